--- /dev/null
+++ b/tests/decision_trace.rs
@@ -0,0 +1,687 @@
+//! Long courses of events through the decision module, its actions held against recorded digests.
+//!
+//! The servers of a course answer, fail, fall silent, drain and restart by dice with a fixed seed, and react to what the
+//! module does. Each action is rendered as a line in a form of this test's own, which no rename in the module touches.
+//! `decision_trace.txt` holds the number of lines and a digest for each course. Where a course differs, its lines are
+//! written to a file under the target folder; compare it with that of the version before.
+
+mod common;
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Write as _;
+use std::path::Path;
+
+use cranetack::*;
+use rand_core::RngCore;
+use rand_pcg::Pcg32;
+
+const MILLISECOND: Micros = 1_000;
+const SECOND: Micros = 1_000_000;
+const START: Micros = 3_000 * SECOND;
+/// The span between two looks at what arrives and what is scripted.
+const STEP: Micros = 10 * MILLISECOND;
+const RECORD: &str = include_str!("decision_trace.txt");
+
+/// What a server does with what it is sent.
+#[derive(Clone, Copy, PartialEq)]
+enum Behaviour {
+    Normal,
+    Failing,
+    Silent,
+    Slow,
+    Full,
+}
+
+/// What the script of a course changes at a time.
+#[derive(Clone)]
+enum Change {
+    Rate(f64),
+    Behave(u64, Behaviour),
+    Drain(u64),
+    Remove(u64),
+    Restart(u64),
+    Add(Member),
+    Snapshot,
+    Restored,
+    PollFailed,
+    PeerLeaves(u32),
+    Shutdown { from: Micros, by: Micros },
+    Statuses,
+}
+
+struct Course {
+    settings: Settings,
+    policy: Policy,
+    rng: Pcg32,
+    now: Micros,
+    rate: f64,
+    arrivals: f64,
+    next_request: u32,
+    servers: BTreeMap<u64, Member>,
+    behaviours: BTreeMap<u64, Behaviour>,
+    timers: BTreeSet<(Micros, u64)>,
+    pending: BTreeMap<(Micros, u64), Event>,
+    sequence: u64,
+    attempts: BTreeMap<u32, u32>,
+    readers: BTreeMap<u32, u64>,
+    prompts: BTreeMap<u32, u64>,
+    lines: Vec<String>,
+}
+
+impl Course {
+    fn new(settings: Settings, servers: Vec<Member>, seed: u64) -> Course {
+        let mut course = Course {
+            policy: Policy::new(settings.clone(), seed, START),
+            settings,
+            rng: Pcg32::new(seed, 99),
+            now: START,
+            rate: 10.0,
+            arrivals: 0.0,
+            next_request: 0,
+            servers: servers.iter().map(|member| (member.host.0, *member)).collect(),
+            behaviours: BTreeMap::new(),
+            timers: BTreeSet::new(),
+            pending: BTreeMap::new(),
+            sequence: 0,
+            attempts: BTreeMap::new(),
+            readers: BTreeMap::new(),
+            prompts: BTreeMap::new(),
+            lines: Vec::new(),
+        };
+        course.deliver(Event::Members { form: ListForm::Stale, members: servers });
+        course
+    }
+
+    /// Plays for a span; the changes come at their times from now on.
+    fn play(&mut self, span: Micros, mut script: Vec<(Micros, Change)>) {
+        let (began, end) = (self.now, self.now + span);
+        script.sort_by_key(|(at, _)| *at);
+        let mut script = script.into_iter().peekable();
+        while self.now < end {
+            self.now += STEP;
+            while let Some((_, change)) = script.next_if(|(at, _)| began + at <= self.now) {
+                self.change(change);
+            }
+            self.arrive();
+            self.pass();
+        }
+    }
+
+    /// Delivers what is due, in the order of time.
+    fn pass(&mut self) {
+        loop {
+            let timer = self.timers.first().copied().filter(|(at, _)| *at <= self.now);
+            let event = self.pending.keys().next().copied().filter(|(at, _)| *at <= self.now);
+            match (timer, event) {
+                (Some(timer), event) if event.is_none_or(|event| timer.0 <= event.0) => {
+                    self.timers.remove(&timer);
+                    self.deliver(Event::Timer(timer.1));
+                }
+                (_, Some(key)) => {
+                    let event = self.pending.remove(&key).expect("it has just been seen");
+                    self.deliver(event);
+                }
+                _ => return,
+            }
+        }
+    }
+
+    fn change(&mut self, change: Change) {
+        let patch = |course: &mut Course, server: u64, edit: &dyn Fn(&mut Member)| {
+            let member = course.servers.get_mut(&server).expect("a server of the course");
+            edit(member);
+            let members = vec![*member];
+            course.deliver(Event::Members { form: ListForm::Patch, members });
+        };
+        let now = self.now;
+        let all = self.servers.values().copied().collect();
+        match change {
+            Change::Rate(rate) => self.rate = rate,
+            Change::Behave(server, behaviour) => {
+                self.behaviours.insert(server, behaviour);
+            }
+            Change::Drain(server) => patch(self, server, &|m| m.readiness = Readiness::Draining),
+            Change::Remove(server) => {
+                patch(self, server, &|m| m.readiness = Readiness::Gone);
+                self.servers.remove(&server);
+            }
+            Change::Restart(server) => patch(self, server, &|m| {
+                m.readiness = Readiness::Up;
+                m.last_start = Some(now - 300 * MILLISECOND);
+            }),
+            Change::Add(member) => {
+                self.servers.insert(member.host.0, member);
+                patch(self, member.host.0, &|m| m.last_start = Some(now - 100 * MILLISECOND));
+            }
+            Change::Snapshot => self.deliver(Event::Members { form: ListForm::Whole, members: all }),
+            Change::Restored => self.deliver(Event::Members { form: ListForm::Stale, members: all }),
+            Change::PollFailed => {
+                self.deliver(Event::Members { form: ListForm::Broken, members: Vec::new() });
+            }
+            Change::PeerLeaves(from) => self.deliver(Event::Peer { from, bytes: vec![1] }),
+            Change::Shutdown { from, by } => {
+                self.deliver(Event::Leaving { from: now + from, by: now + by });
+            }
+            Change::Statuses => self.statuses(),
+        }
+    }
+
+    fn statuses(&mut self) {
+        for status in self.policy.standings(self.now) {
+            let line =
+                format!("status server={} takes={} score={:.6}", status.host.0, status.takes, status.worth);
+            self.note(line);
+        }
+    }
+
+    fn note(&mut self, line: String) {
+        self.lines.push(format!("{} {line}", self.now - START));
+    }
+
+    fn arrive(&mut self) {
+        self.arrivals += self.rate * STEP as f64 / SECOND as f64 * 2.0 * self.share();
+        while self.arrivals >= 1.0 {
+            self.arrivals -= 1.0;
+            let request = self.request();
+            if self.below(25) == 0 {
+                let after = Micros::from(self.below(2_000)) * MILLISECOND;
+                self.schedule(after, Event::ClientGone(request.id));
+            }
+            self.deliver(Event::Ask(request));
+        }
+    }
+
+    fn request(&mut self) -> Ask {
+        let id = self.next_request;
+        self.next_request += 1;
+        let prompt_tokens = 200 + u64::from(self.below(90)).pow(2);
+        self.prompts.insert(id, prompt_tokens);
+        let with_prefix = self.below(3) == 0;
+        let shared_tokens = if with_prefix { prompt_tokens / 2 } else { 0 };
+        Ask {
+            id: RequestId(id),
+            class: ClassId(self.below(self.settings.classes.len() as u32) as usize),
+            session: (self.below(5) != 0).then(|| SessionId(u64::from(self.below(40)))),
+            prefix: with_prefix.then(|| PrefixId(u64::from(self.below(3)))),
+            valid_until: self.now + SECOND + Micros::from(self.below(5_000)) * MILLISECOND,
+            hint: Some(Micros::from(self.below(900)) * MILLISECOND),
+            prompt_tokens,
+            shared_tokens,
+            max_tokens: 300,
+            retry: self.below(10) == 0,
+            came_back: self.below(30) == 0,
+            kinds: (self.below(30) == 0).then_some(0b11),
+        }
+    }
+
+    fn deliver(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.policy.handle(self.now, event, &mut actions);
+        for action in actions {
+            self.render(&action);
+            self.react(action);
+        }
+    }
+
+    /// The one place that knows how the module names its actions.
+    fn render(&mut self, action: &Action) {
+        let line = match action {
+            Action::Route { id, host, expire, up_by } => {
+                let by = if *up_by == Micros::MAX { "none".to_owned() } else { (up_by - START).to_string() };
+                format!("send request={} server={} expire={} write_by={by}", id.0, host.0, expire - START)
+            }
+            Action::Earmark { id, host } => format!("reserve request={} server={}", id.0, host.0),
+            Action::FreeState(id) => format!("release request={}", id.0),
+            Action::Abort { id, attempt } => format!("cancel request={} attempt={attempt}", id.0),
+            Action::Shed { id, pause } => format!("reject request={} retry_after={pause}", id.0),
+            Action::Lose(id) => format!("fail request={}", id.0),
+            Action::Bounce(id) => format!("migrate request={}", id.0),
+            Action::Sleep { at, key } => format!("timer at={} key={key}", at - START),
+            Action::Touch(host) => format!("probe server={}", host.0),
+            Action::FreeLinks(host) => format!("close_idle server={}", host.0),
+            Action::Publish { to, bytes } => format!("gossip to={to:?} bytes={bytes:?}"),
+            Action::Subscribe(wanted) => format!("subscribe wanted={wanted}"),
+            Action::Fetch => "fetch".to_owned(),
+            Action::Log(line) => format!("log {line}"),
+        };
+        self.note(line);
+    }
+
+    /// What the driver and the servers make of an action.
+    fn react(&mut self, action: Action) {
+        match action {
+            Action::Route { id, host, expire, .. } => self.serve(id, host, expire),
+            Action::Earmark { id, host: _ } => {
+                let held = self.below(4) != 0;
+                let host = HostId(self.readers.get(&id.0).copied().unwrap_or(0));
+                let after = self.millis(2, 12);
+                self.schedule(after, Event::Earmarked { id, host, held });
+            }
+            Action::Abort { id, attempt } => self.cancel(id, Some(attempt)),
+            Action::Bounce(id) => self.cancel(id, None),
+            Action::Sleep { at, key } => {
+                self.timers.insert((at, key));
+            }
+            Action::Touch(host) => self.probe(host),
+            Action::Subscribe(_) => {
+                let after = self.millis(5, 40);
+                let form = if self.below(5) == 0 { ListForm::Broken } else { ListForm::Patch };
+                self.schedule(after, Event::Members { form, members: Vec::new() });
+            }
+            Action::Shed { .. }
+            | Action::Lose(_)
+            | Action::FreeState(_)
+            | Action::FreeLinks(_)
+            | Action::Publish { .. }
+            | Action::Fetch
+            | Action::Log(_) => {}
+        }
+    }
+
+    fn probe(&mut self, host: HostId) {
+        let (outcome, after) = match self.behaviour(host) {
+            Behaviour::Silent => (Outcome::Late, SECOND),
+            Behaviour::Failing => (Outcome::Bad, 3 * MILLISECOND),
+            _ => (Outcome::Good, self.millis(2, 20)),
+        };
+        let load = (outcome == Outcome::Good).then(|| self.load());
+        self.schedule(after, Event::Probed { host, outcome, spent: after, load });
+    }
+
+    fn behaviour(&self, host: HostId) -> Behaviour {
+        self.behaviours.get(&host.0).copied().unwrap_or(Behaviour::Normal)
+    }
+
+    fn serve(&mut self, id: RequestId, host: HostId, expire: Micros) {
+        let made = self.attempts.entry(id.0).or_insert(0);
+        let attempt = *made;
+        *made += 1;
+        let kind = self.servers.get(&host.0).map_or(0, |member| member.kind.0);
+        if kind == 0 {
+            self.readers.insert(id.0, host.0);
+        }
+        let tokens = self.prompts.get(&id.0).copied().unwrap_or(0) as Micros;
+        let behaviour = self.behaviour(host);
+        let pace = if behaviour == Behaviour::Slow { 12 } else { 1 };
+        let read = (tokens * 25 + self.millis(1, 30)) * pace;
+        let expired = (expire - self.now).max(MILLISECOND);
+        match behaviour {
+            Behaviour::Silent => return self.end(id, attempt, host, expired, Outcome::Late, 0, false),
+            Behaviour::Failing => {
+                return self.end(id, attempt, host, 2 * MILLISECOND, Outcome::Bad, 0, false)
+            }
+            Behaviour::Full => return self.end(id, attempt, host, 2 * MILLISECOND, Outcome::Full, 0, false),
+            Behaviour::Normal | Behaviour::Slow => {}
+        }
+        let early = self.millis(1, 60);
+        let (after, outcome, info) = match self.below(100) {
+            0..=2 => (early, Outcome::Full, 0),
+            3..=4 => (early, Outcome::Full, 1),
+            5..=6 => (early, Outcome::Bad, 0),
+            7 => (early, Outcome::NoConn, 0),
+            8 => (early, Outcome::NoConn, 1),
+            9..=10 => (early, Outcome::Reset, 0),
+            11 => (early, Outcome::Reset, 1),
+            12 => (expired, Outcome::Late, 0),
+            13 => (early, Outcome::Nop, 0),
+            14 => (early, Outcome::HalfDone, 0),
+            _ if kind == 0 => (read, Outcome::HalfDone, u64::from(self.below(tokens.max(1) as u32))),
+            _ => return self.answer(id, attempt, host, read),
+        };
+        self.end(id, attempt, host, after.min(expired), outcome, info, false);
+    }
+
+    /// A stream that begins and ends, some of them before their time.
+    fn answer(&mut self, id: RequestId, attempt: u32, host: HostId, read: Micros) {
+        let begins = read / 4 + self.millis(5, 120);
+        self.schedule(begins, Event::Established { id, attempt, host, spent: begins });
+        let lasts = self.millis(100, 1_500);
+        let breaks = self.below(12) == 0;
+        let outcome = if breaks { Outcome::Reset } else { Outcome::Good };
+        let kept = u64::from(self.below(400));
+        self.end(id, attempt, host, begins + lasts, outcome, kept, true);
+    }
+
+    #[allow(clippy::too_many_arguments)]
+    fn end(
+        &mut self, id: RequestId, attempt: u32, host: HostId, after: Micros, outcome: Outcome, info: u64,
+        no_more: bool,
+    ) {
+        let reports = self.settings.reporting == Reporting::WithOutcomes
+            && matches!(outcome, Outcome::Good | Outcome::HalfDone | Outcome::Full);
+        let load = reports.then(|| self.load());
+        self.schedule(after, Event::Result { id, attempt, host, outcome, info, no_more, spent: after, load });
+    }
+
+    fn load(&mut self) -> Load {
+        Load {
+            inflight: Some(f64::from(self.below(20))),
+            queue: Some(f64::from(self.below(6))),
+            util: Some(self.share()),
+            memory: (self.below(8) != 0).then(|| f64::from(self.below(1_000)) / 1_000.0),
+            pending_k: (self.below(8) != 0).then(|| f64::from(self.below(40))),
+        }
+    }
+
+    /// What is pending of an attempt, or of the stream that is moved, gives way to its end.
+    fn cancel(&mut self, id: RequestId, wanted: Option<u32>) {
+        let of = |event: &Event| match event {
+            Event::Result { id: of, attempt, host, .. } => Some((*of, *attempt, *host)),
+            Event::Established { id: of, attempt, host, .. } => Some((*of, *attempt, *host)),
+            _ => None,
+        };
+        let matches = |event: &Event| {
+            of(event).filter(|(of, attempt, _)| *of == id && wanted.is_none_or(|w| w == *attempt))
+        };
+        let Some((_, attempt, host)) = self.pending.values().find_map(matches) else { return };
+        self.pending.retain(|_, event| of(event).is_none_or(|(of, a, _)| (of, a) != (id, attempt)));
+        self.end(id, attempt, host, MILLISECOND, Outcome::Cancelled, 0, wanted.is_none());
+    }
+
+    fn schedule(&mut self, after: Micros, event: Event) {
+        self.sequence += 1;
+        self.pending.insert((self.now + after, self.sequence), event);
+    }
+
+    fn below(&mut self, bound: u32) -> u32 {
+        self.rng.next_u32() % bound
+    }
+
+    fn share(&mut self) -> f64 {
+        f64::from(self.below(10_000)) / 10_000.0
+    }
+
+    fn millis(&mut self, least: u32, most: u32) -> Micros {
+        Micros::from(least + self.below(most - least)) * MILLISECOND
+    }
+}
+
+fn class(effect: Effect, aim: Micros, worth: f64) -> Class {
+    Class {
+        aim: Some(aim),
+        aim_per_1000: Some(120_000.0),
+        token_aim: Some(70_000),
+        effect,
+        dedup_window: Some(2 * SECOND),
+        worth: Some(worth),
+    }
+}
+
+fn settings() -> Settings {
+    Settings {
+        balancers: Some(4),
+        me: Some(1),
+        zone: Some(ZoneId(0)),
+        classes: vec![
+            class(Effect::Safe, SECOND, 1.0),
+            class(Effect::Keyed(KeyScope::All), 800 * MILLISECOND, 3.0),
+            class(Effect::Keyed(KeyScope::Zone), 2 * SECOND, 0.5),
+            class(Effect::Keyed(KeyScope::Cell), SECOND, 1.5),
+            class(Effect::Unsafe, SECOND, 2.0),
+        ],
+        kinds: [Stage::Read, Stage::Write, Stage::Both]
+            .map(|stage| Kind { stage: Some(stage), memory_tokens: Some(100_000.0) })
+            .to_vec(),
+        period: Some(2_000),
+        earmarks: true,
+        resume: true,
+        pin_limit: Some(SECOND / 2),
+        reporting: Reporting::WithOutcomes,
+        cancelling: true,
+        peers: true,
+        max_attempts: Some(4),
+        retry_after: true,
+        max_retry_after: Some(2 * SECOND),
+        answer_slack: Some(8_000),
+        fall_multiple: Some(2.5),
+        fall_window: Some(2 * SECOND),
+        start_capacity: Some(0.25),
+        warm_up: Some(8 * SECOND),
+        ..Settings::default()
+    }
+}
+
+fn server(number: u64, kind: usize, cell: i64) -> Member {
+    Member { zone: ZoneId((cell / 2) as usize), ..common::member(number, kind, cell) }
+}
+
+/// Prefill servers 1 to 9, decode servers from 11, in four cells of two zones.
+fn split_servers() -> Vec<Member> {
+    let readers = (1..=7).map(|n| server(n, 0, (n % 4) as i64));
+    let writers = (11..=16).map(|n| server(n, 1, (n % 4) as i64));
+    readers.chain(writers).collect()
+}
+
+fn mixed_servers() -> Vec<Member> {
+    let whole = (21..=25).map(|n| server(n, 2, (n % 4) as i64));
+    let writers = (11..=12).map(|n| server(n, 1, (n % 4) as i64));
+    whole.chain(writers).collect()
+}
+
+fn calm_then_faults() -> Course {
+    let mut course = Course::new(settings(), split_servers(), 1);
+    let script = vec![
+        (0, Change::Rate(25.0)),
+        (4 * SECOND, Change::Behave(3, Behaviour::Failing)),
+        (6 * SECOND, Change::Behave(12, Behaviour::Full)),
+        (8 * SECOND, Change::Behave(5, Behaviour::Slow)),
+        (10 * SECOND, Change::Behave(3, Behaviour::Normal)),
+        (12 * SECOND, Change::Statuses),
+        (14 * SECOND, Change::Behave(12, Behaviour::Normal)),
+        (15 * SECOND, Change::Behave(14, Behaviour::Silent)),
+        (18 * SECOND, Change::Behave(2, Behaviour::Silent)),
+        (22 * SECOND, Change::Behave(14, Behaviour::Normal)),
+        (23 * SECOND, Change::Statuses),
+    ];
+    course.play(26 * SECOND, script);
+    course
+}
+
+fn list_updates() -> Course {
+    let mut course = Course::new(settings(), split_servers(), 2);
+    let script = vec![
+        (0, Change::Rate(20.0)),
+        (SECOND, Change::Snapshot),
+        (3 * SECOND, Change::Drain(1)),
+        (3 * SECOND, Change::Drain(11)),
+        (5 * SECOND, Change::Remove(1)),
+        (6 * SECOND, Change::Restart(11)),
+        (7 * SECOND, Change::Add(server(8, 0, 1))),
+        (8 * SECOND, Change::PollFailed),
+        (9 * SECOND, Change::Restart(2)),
+        (9 * SECOND, Change::Restart(3)),
+        (12 * SECOND, Change::Statuses),
+        (13 * SECOND, Change::Restored),
+        (14 * SECOND, Change::Add(server(17, 1, 3))),
+        (16 * SECOND, Change::Remove(12)),
+        (17 * SECOND, Change::Snapshot),
+        (20 * SECOND, Change::Statuses),
+    ];
+    course.play(24 * SECOND, script);
+    course
+}
+
+fn slow_start_in_a_large_fleet() -> Course {
+    let settings = Settings { balancers: Some(40), ..settings() };
+    let mut course = Course::new(settings, split_servers(), 3);
+    let restarts =
+        [1, 2, 3, 4, 11, 12, 13].map(|n| (8 * SECOND + n as Micros * 20 * MILLISECOND, Change::Restart(n)));
+    let mut script = vec![(0, Change::Rate(6.0)), (SECOND, Change::Snapshot), (8 * SECOND, Change::Snapshot)];
+    script.extend(restarts);
+    script.push((10 * SECOND, Change::Statuses));
+    script.push((12 * SECOND, Change::Rate(20.0)));
+    course.play(20 * SECOND, script);
+    course
+}
+
+fn overload() -> Course {
+    let mut course = Course::new(settings(), split_servers(), 4);
+    let script = vec![
+        (0, Change::Rate(150.0)),
+        (4 * SECOND, Change::Behave(2, Behaviour::Full)),
+        (5 * SECOND, Change::Behave(13, Behaviour::Slow)),
+        (8 * SECOND, Change::Rate(15.0)),
+        (12 * SECOND, Change::Statuses),
+    ];
+    course.play(14 * SECOND, script);
+    course
+}
+
+fn mixed_servers_that_report_on_probes() -> Course {
+    let settings = Settings {
+        reporting: Reporting::OnProbe,
+        probing: true,
+        writers_read: true,
+        earmarks: false,
+        membership_asked: true,
+        ask_within: Some(3 * SECOND),
+        balancers: Some(0),
+        ..settings()
+    };
+    let mut course = Course::new(settings, mixed_servers(), 5);
+    let script = vec![
+        (0, Change::Rate(12.0)),
+        (4 * SECOND, Change::Behave(22, Behaviour::Silent)),
+        (6 * SECOND, Change::Behave(23, Behaviour::Slow)),
+        (8 * SECOND, Change::Restart(24)),
+        (9 * SECOND, Change::Rate(50.0)),
+        (11 * SECOND, Change::Statuses),
+        (12 * SECOND, Change::Behave(22, Behaviour::Normal)),
+        (13 * SECOND, Change::Rate(8.0)),
+        (14 * SECOND, Change::Remove(21)),
+    ];
+    course.play(18 * SECOND, script);
+    course
+}
+
+fn probes_before_prefills() -> Course {
+    let settings = Settings { reporting: Reporting::OnProbe, probing: true, ..settings() };
+    let mut course = Course::new(settings, split_servers(), 6);
+    let script = vec![
+        (0, Change::Rate(6.0)),
+        (5 * SECOND, Change::Behave(4, Behaviour::Silent)),
+        (8 * SECOND, Change::Rate(25.0)),
+        (10 * SECOND, Change::Behave(4, Behaviour::Normal)),
+        (11 * SECOND, Change::Statuses),
+    ];
+    course.play(14 * SECOND, script);
+    course
+}
+
+fn shutdown_with_gossip() -> Course {
+    let settings = Settings { balancers: Some(9), ..settings() };
+    let mut course = Course::new(settings, split_servers(), 7);
+    let script = vec![
+        (0, Change::Rate(40.0)),
+        (SECOND, Change::PeerLeaves(2)),
+        (2 * SECOND, Change::PeerLeaves(1)),
+        (3 * SECOND, Change::PeerLeaves(3)),
+        (5 * SECOND, Change::Behave(6, Behaviour::Silent)),
+        (5 * SECOND, Change::PeerLeaves(5)),
+        (6 * SECOND, Change::Shutdown { from: 700 * MILLISECOND, by: 3 * SECOND }),
+        (6_500 * MILLISECOND, Change::Rate(4.0)),
+    ];
+    course.play(12 * SECOND, script);
+    course
+}
+
+fn shutdown_while_all_peers_are_away() -> Course {
+    let settings = Settings { balancers: Some(3), ..settings() };
+    let mut course = Course::new(settings, split_servers(), 8);
+    let script = vec![
+        (0, Change::Rate(30.0)),
+        (2 * SECOND, Change::PeerLeaves(0)),
+        (2 * SECOND, Change::PeerLeaves(2)),
+        (3 * SECOND, Change::Shutdown { from: 500 * MILLISECOND, by: 6 * SECOND }),
+        (4 * SECOND, Change::Rate(10.0)),
+    ];
+    course.play(12 * SECOND, script);
+    course
+}
+
+fn nothing_optional() -> Course {
+    let settings = Settings {
+        classes: vec![Class::default(), Class { effect: Effect::Safe, ..Class::default() }],
+        kinds: settings().kinds,
+        ..Settings::default()
+    };
+    let mut course = Course::new(settings, split_servers(), 9);
+    let script = vec![
+        (0, Change::Rate(25.0)),
+        (4 * SECOND, Change::Restart(3)),
+        (5 * SECOND, Change::Behave(15, Behaviour::Silent)),
+        (8 * SECOND, Change::Shutdown { from: SECOND, by: 2 * SECOND }),
+    ];
+    course.play(12 * SECOND, script);
+    course
+}
+
+fn many_sessions_and_prefixes_in_skewed_cells() -> Course {
+    let mut servers = split_servers();
+    servers.retain(|member| member.cell.0 != 2 || member.kind.0 == 0);
+    servers.extend((31..=33).map(|n| server(n, 2, 1)));
+    let settings = Settings { zone: Some(ZoneId(1)), cancelling: false, ..settings() };
+    let mut course = Course::new(settings, servers, 10);
+    let script = vec![
+        (0, Change::Rate(60.0)),
+        (6 * SECOND, Change::Behave(31, Behaviour::Slow)),
+        (8 * SECOND, Change::Behave(4, Behaviour::Slow)),
+        (10 * SECOND, Change::Statuses),
+    ];
+    course.play(16 * SECOND, script);
+    course
+}
+
+fn courses() -> Vec<(&'static str, Course)> {
+    vec![
+        ("calm_then_faults", calm_then_faults()),
+        ("list_updates", list_updates()),
+        ("slow_start_in_a_large_fleet", slow_start_in_a_large_fleet()),
+        ("overload", overload()),
+        ("mixed_servers_that_report_on_probes", mixed_servers_that_report_on_probes()),
+        ("probes_before_prefills", probes_before_prefills()),
+        ("shutdown_with_gossip", shutdown_with_gossip()),
+        ("shutdown_while_all_peers_are_away", shutdown_while_all_peers_are_away()),
+        ("nothing_optional", nothing_optional()),
+        ("many_sessions_and_prefixes_in_skewed_cells", many_sessions_and_prefixes_in_skewed_cells()),
+    ]
+}
+
+/// FNV-1a over the lines.
+fn digest(lines: &[String]) -> u64 {
+    let bytes = lines.iter().flat_map(|line| line.bytes().chain([b'\n']));
+    bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
+}
+
+#[test]
+fn decisions_are_the_recorded_ones() {
+    let mut found = String::new();
+    for (name, course) in courses() {
+        writeln!(found, "{name} {} {:016x}", course.lines.len(), digest(&course.lines)).expect("to a string");
+        let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.trace"));
+        std::fs::write(&file, course.lines.join("\n")).expect("the lines are written");
+    }
+    assert_eq!(found, RECORD, "the lines of each course are in {}", env!("CARGO_TARGET_TMPDIR"));
+}
+
+#[test]
+fn the_courses_reach_each_decision() {
+    let lines: Vec<String> = courses().into_iter().flat_map(|(_, course)| course.lines).collect();
+    let reached = [
+        ("send", 3_000),
+        ("reserve", 500),
+        ("release", 500),
+        ("cancel", 100),
+        ("reject", 100),
+        ("fail", 20),
+        ("migrate", 10),
+        ("probe", 50),
+        ("gossip", 6),
+        ("subscribe", 5),
+        ("status", 50),
+    ];
+    for (action, least) in reached {
+        let count = lines.iter().filter(|line| line.split(' ').nth(1) == Some(action)).count();
+        assert!(count >= least, "{action}: {count}, wanted {least}");
+    }
+}
