--- a/Makefile
+++ b/Makefile
@@ -24,10 +24,10 @@
 
 # The second front beside the version before it was built anew. Builds that version once, under target/.
 measure-front: build
-	cargo build --release --locked -p cranetack-measure
-	target/release/measure-front --baseline "$$(measure/baseline.sh 3d14c4c)"
+	cargo build --release --locked -p cranetack-bench
+	target/release/measure-front --baseline "$$(crates/bench/baseline.sh 3d14c4c)"
 
 # Real routers on loopback, through overlapping troubles drawn from seeds; the rules are the oracle. Bounded: two minutes.
 soak: build
-	cargo build --release --locked -p cranetack-soak -p cranetack-soak-shim
+	cargo build --release --locked -p cranetack-soak -p cranetack-syscall-fault-shim
 	target/release/soak --seeds 4
--- a/batching/tests/engine.rs
+++ b/crates/batch-scheduler/tests/engine.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use cranetack_batching::{
+use cranetack_batch_scheduler::{
     BatchId, Engine, Failure, Flow, Micros, Opening, Order, Refusal, Settings, Verdict,
 };
 use proptest::prelude::*;
--- a/measure/baseline.sh
+++ b/crates/bench/baseline.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Builds an earlier version of the router, for measurements beside the present one. Usage: baseline.sh COMMIT
 set -euo pipefail
-cd "$(dirname "$0")/.."
+cd "$(dirname "$0")/../.."
 commit=$(git rev-parse --short=12 "$1")
 at=target/baseline/$commit
 if [ ! -x "$at/target/release/cranetack" ]; then
--- a/measure/src/front.rs
+++ b/crates/bench/src/front.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use clap::Parser;
-use cranetack_standins::{line, Behaviour, Client, Discovery, Raw, Worker};
+use cranetack_testkit::{line, Behaviour, Client, Discovery, Raw, Worker};
 use hdrhistogram::Histogram;
 use http::Request;
 use process::Router;
--- a/measure/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -5,7 +5,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use cranetack_standins::{settings, Client};
+use cranetack_testkit::{settings, Client};
 use serde_json::json;
 
 /// Clock ticks of a second in the system's figures on processes.
--- a/client/examples/ask.rs
+++ b/crates/inference-client/examples/ask.rs
@@ -1,9 +1,9 @@
 //! Asks the toy service's models through a router (`make toy` and `make run` in other terminals).
 
-use cranetack_client::{ChatRequest, Client, EmbeddingsRequest, Message, RerankRequest};
+use cranetack_inference_client::{ChatRequest, Client, EmbeddingsRequest, Message, RerankRequest};
 
 #[tokio::main(flavor = "current_thread")]
-async fn main() -> Result<(), cranetack_client::Error> {
+async fn main() -> Result<(), cranetack_inference_client::Error> {
     let base = std::env::args().nth(1).unwrap_or_else(|| "http://127.0.0.1:8090".to_owned());
     let client = Client::new(&base)?;
     let models: Vec<String> = client.models().await?.data.into_iter().map(|m| m.id).collect();
--- a/client/examples/orders.rs
+++ b/crates/inference-client/examples/orders.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cranetack_client::{ChatRequest, Client, Error, Message, Options, Safety};
+use cranetack_inference_client::{ChatRequest, Client, Error, Message, Options, Safety};
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<(), Error> {
--- a/client/src/lib.rs
+++ b/crates/inference-client/src/lib.rs
@@ -1,8 +1,8 @@
 //! A client of the inference API that cranetack serves: chat, whole and streamed, embeddings, rerank, models.
 //!
 //! ```no_run
-//! # async fn example() -> Result<(), cranetack_client::Error> {
-//! use cranetack_client::{ChatRequest, Client, Message};
+//! # async fn example() -> Result<(), cranetack_inference_client::Error> {
+//! use cranetack_inference_client::{ChatRequest, Client, Message};
 //!
 //! let client = Client::new("http://127.0.0.1:8090")?;
 //! let asked = ChatRequest::new("parts-chat", vec![Message::user("Which gasket fits a 6LY3?")]);
--- a/client/src/stream.rs
+++ b/crates/inference-client/src/stream.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use cranetack_inference::{events, Events};
+use cranetack_inference_api::{events, Events};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use tokio::time::timeout;
--- a/client/tests/client.rs
+++ b/crates/inference-client/tests/client.rs
@@ -4,11 +4,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cranetack_client::retry::Rules;
-use cranetack_client::{
+use cranetack_inference_client::retry::Rules;
+use cranetack_inference_client::{
     ChatRequest, Client, EmbeddingsRequest, Error, Message, Options, RerankRequest, Safety,
 };
-use cranetack_standins::{run, run_paused, DONE, EVENT, FINISH};
+use cranetack_testkit::{run, run_paused, DONE, EVENT, FINISH};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
--- a/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use cranetack::Settings;
-use cranetack_facts::Facts;
+use cranetack_routing_policy::Settings;
+use cranetack_settings::Facts;
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use tokio::sync::watch;
--- a/router/src/config/tests.rs
+++ b/crates/router/src/config/tests.rs
@@ -4,7 +4,7 @@
 use tokio::sync::mpsc;
 
 use super::*;
-use cranetack_standins::{run, settings};
+use cranetack_testkit::{run, settings};
 
 /// Guards against a file that is read while it is being written, after which no further signal comes.
 #[test]
--- a/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cranetack::{Readiness, Standing};
-use cranetack_facts::Facts;
-use cranetack_xds::{Health, Server, Snapshot};
+use cranetack_routing_policy::{Readiness, Standing};
+use cranetack_settings::Facts;
+use cranetack_xds_server::{Health, Server, Snapshot};
 use serde::Deserialize;
 use tokio::sync::watch;
 
--- a/router/src/control/tests.rs
+++ b/crates/router/src/control/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `control`.
 
-use cranetack::{CellId, HostId, KindId, Member, ZoneId};
+use cranetack_routing_policy::{CellId, HostId, KindId, Member, ZoneId};
 
 use super::*;
 
--- a/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -15,8 +15,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cranetack::effects::{EffectRule, PossibleRun};
-use cranetack::{
+use cranetack_routing_policy::effects::{EffectRule, PossibleRun};
+use cranetack_routing_policy::{
     Action, Ask, Effect, Event, HostId, ListForm, Member, Micros, Outcome, Policy, PrefixId, Readiness,
     RequestId, SessionId, Settings, Stage, Standing,
 };
--- a/router/src/core/clock.rs
+++ b/crates/router/src/core/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use cranetack::Micros;
+use cranetack_routing_policy::Micros;
 use tokio::time::Instant;
 
 /// The clock: microseconds of Unix time, read once from the system and then advanced monotonically, so that
--- a/router/src/core/guard.rs
+++ b/crates/router/src/core/guard.rs
@@ -1,9 +1,9 @@
-//! The run-time check of the rule on effects: the module decides by [`cranetack::effects`], and the core asks the same rule
+//! The run-time check of the rule on effects: the module decides by [`cranetack_routing_policy::effects`], and the core asks the same rule
 //! again, by its own record of the request, at the moment in which it carries a decision out. A decision that would break
 //! it is not carried out, is counted, and is written to the log with all that happened to the request.
 
-use cranetack::effects::{may_have_run, EffectRule, PossibleRun};
-use cranetack::{Member, Micros, Outcome, Stage};
+use cranetack_routing_policy::effects::{may_have_run, EffectRule, PossibleRun};
+use cranetack_routing_policy::{Member, Micros, Outcome, Stage};
 
 /// A decision that would have broken a rule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/router/src/core/guard/tests.rs
+++ b/crates/router/src/core/guard/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `guard`.
 
-use cranetack::{CellId, Class, Effect, HostId, KeyScope, KindId, Readiness, ZoneId};
+use cranetack_routing_policy::{CellId, Class, Effect, HostId, KeyScope, KindId, Readiness, ZoneId};
 
 use super::*;
 
--- a/router/src/core/handle.rs
+++ b/crates/router/src/core/handle.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use cranetack::RequestId;
+use cranetack_routing_policy::RequestId;
 use tokio::sync::{mpsc, oneshot};
 
 use super::messages::{CoreEvent, EndpointStatus, IncomingRequest};
--- a/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cranetack::{ClassId, HostId, ListForm, Load, Member, Outcome, RequestId, Standing};
+use cranetack_routing_policy::{ClassId, HostId, ListForm, Load, Member, Outcome, RequestId, Standing};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
--- a/router/src/core/recorder.rs
+++ b/crates/router/src/core/recorder.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::rc::Rc;
 
-use cranetack::{HostId, Micros, Outcome};
+use cranetack_routing_policy::{HostId, Micros, Outcome};
 
 use super::messages::{Place, WireTrace};
 
--- a/router/src/core/server.rs
+++ b/crates/router/src/core/server.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::net::SocketAddr;
 
-use cranetack::{CellId, HostId, KindId, Micros, Readiness, ZoneId};
+use cranetack_routing_policy::{CellId, HostId, KindId, Micros, Readiness, ZoneId};
 
 /// A number for a word that is the same at every router: FNV-1a.
 pub(super) fn stable(word: &str) -> u64 {
--- a/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cranetack::{CellId, KindId, ListForm, Readiness, ZoneId};
-use cranetack_facts::Facts;
+use cranetack_routing_policy::{CellId, KindId, ListForm, Readiness, ZoneId};
+use cranetack_settings::Facts;
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
--- a/router/src/front/inference/mod.rs
+++ b/crates/router/src/front/inference/mod.rs
@@ -17,10 +17,10 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use cranetack::{ClassId, Effect, Settings};
-use cranetack_batching::{Failure as SliceFailure, Flow, Opening, Order as Slice, Verdict};
-use cranetack_facts::Facts;
-use cranetack_inference::{
+use cranetack_routing_policy::{ClassId, Effect, Settings};
+use cranetack_batch_scheduler::{Failure as SliceFailure, Flow, Opening, Order as Slice, Verdict};
+use cranetack_settings::Facts;
+use cranetack_inference_api::{
     join, ApiError, Batch, Catalogue, Chat, Endpoint, Fold, Form, Kind, Part, Resolved,
 };
 use http::header::{HeaderName, ALLOW, CONNECTION, CONTENT_TYPE};
--- a/router/src/front/inference/queue.rs
+++ b/crates/router/src/front/inference/queue.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cranetack_batching::{BatchId, Engine, Failure, Micros, Opening, Order, Refusal, Settings, Verdict};
+use cranetack_batch_scheduler::{BatchId, Engine, Failure, Micros, Opening, Order, Refusal, Settings, Verdict};
 use tokio::sync::{mpsc, Notify};
 use tokio::time::Instant;
 
--- a/router/src/front/inference/setup.rs
+++ b/crates/router/src/front/inference/setup.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cranetack::Stage;
-use cranetack_batching::Settings;
-use cranetack_facts::Facts;
-use cranetack_inference::{Bounds, Catalogue, Endpoint, Model};
+use cranetack_routing_policy::Stage;
+use cranetack_batch_scheduler::Settings;
+use cranetack_settings::Facts;
+use cranetack_inference_api::{Bounds, Catalogue, Endpoint, Model};
 use serde::Deserialize;
 
 /// The file.
--- a/router/src/front/inference/setup/tests.rs
+++ b/crates/router/src/front/inference/setup/tests.rs
@@ -13,7 +13,7 @@
     .unwrap()
 }
 
-const FILE: &str = include_str!("../../../../../deploy/inference.toml");
+const FILE: &str = include_str!("../../../../../../deploy/inference.toml");
 
 #[test]
 fn the_operators_file_as_shipped_can_be_used() {
--- a/router/src/front/inference/stream.rs
+++ b/crates/router/src/front/inference/stream.rs
@@ -4,7 +4,7 @@
 use std::task::{Context, Poll};
 
 use bytes::Bytes;
-use cranetack_inference::{ApiError, Events};
+use cranetack_inference_api::{ApiError, Events};
 use http_body::{Body, Frame};
 
 use crate::exchange::{Broken, CancelGuard, Parts};
--- a/router/src/front/platform.rs
+++ b/crates/router/src/front/platform.rs
@@ -4,8 +4,8 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use cranetack::ClassId;
-use cranetack_facts::Facts;
+use cranetack_routing_policy::ClassId;
+use cranetack_settings::Facts;
 use http::header::{CONNECTION, CONTENT_TYPE};
 use http::request::Parts as Head;
 use http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode};
--- a/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -24,8 +24,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cranetack::ListForm;
-use cranetack_facts::ClassFacts;
+use cranetack_routing_policy::ListForm;
+use cranetack_settings::ClassFacts;
 use tokio::net::TcpListener;
 use tokio::runtime::Runtime;
 use tokio::sync::watch;
@@ -241,7 +241,7 @@
             let leaving = shutdown::reached(phase.clone(), shutdown::Phase::Leaving);
             spawn_local(control::survey(handle.clone(), setup, config.facts.clone(), snapshots));
             spawn_local(async move {
-                if let Err(error) = cranetack_xds::serve(listener, shown, leaving).await {
+                if let Err(error) = cranetack_xds_server::serve(listener, shown, leaving).await {
                     tracing::error!(%error, "the control service ended");
                 }
             })
--- a/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -104,13 +104,13 @@
 fn conform(asked: &Conform) -> Result<bool, Box<dyn std::error::Error>> {
     let text = match &asked.cases {
         Some(path) => std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?,
-        None => cranetack_conform::CASES.to_owned(),
+        None => cranetack_conformance::CASES.to_owned(),
     };
-    let mut cases = cranetack_conform::cases(&text)?;
+    let mut cases = cranetack_conformance::cases(&text)?;
     cases.retain(|c| asked.only.as_ref().is_none_or(|only| c.name.contains(only.as_str())));
-    let base = cranetack_conform::Base::new(&asked.base, asked.key.clone())?;
+    let base = cranetack_conformance::Base::new(&asked.base, asked.key.clone())?;
     let (all, mut told) = (cases.len(), 0);
-    let tell = |outcome: &cranetack_conform::Outcome| {
+    let tell = |outcome: &cranetack_conformance::Outcome| {
         told += 1;
         if asked.json {
             println!("{}", serde_json::to_string(outcome).unwrap_or_default());
@@ -122,7 +122,7 @@
         }
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let outcomes = runtime.block_on(cranetack_conform::run(&base, &cases, tell));
+    let outcomes = runtime.block_on(cranetack_conformance::run(&base, &cases, tell));
     let failed = outcomes.iter().filter(|o| !o.problems.is_empty()).count();
     println!("conformance: {} passed, {failed} failed", outcomes.len() - failed);
     Ok(failed == 0)
--- a/router/src/tenants/tests.rs
+++ b/crates/router/src/tenants/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const FILE: &str = include_str!("../../../deploy/tenants.toml");
+const FILE: &str = include_str!("../../../../deploy/tenants.toml");
 
 #[test]
 fn the_operators_file_as_shipped_can_be_used_and_a_wrong_one_names_its_key() {
--- a/router/src/upstream/attempt.rs
+++ b/crates/router/src/upstream/attempt.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use cranetack::Outcome;
+use cranetack_routing_policy::Outcome;
 use http::{Method, Request, Response};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
--- a/router/src/upstream/calls.rs
+++ b/crates/router/src/upstream/calls.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cranetack::Outcome;
+use cranetack_routing_policy::Outcome;
 use http::{Method, Request, StatusCode};
 use http_body::Body;
 use http_body_util::{BodyExt, Limited};
--- a/router/src/upstream/calls/tests.rs
+++ b/crates/router/src/upstream/calls/tests.rs
@@ -1,7 +1,7 @@
 //! Short calls while servers do not answer, on a paused clock.
 
-use cranetack_facts::Report;
-use cranetack_standins::{run_paused, Behaviour, ManualServer, Seen, Worker};
+use cranetack_settings::Report;
+use cranetack_testkit::{run_paused, Behaviour, ManualServer, Seen, Worker};
 
 use super::*;
 use crate::core::Handle;
--- a/router/src/upstream/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -14,8 +14,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cranetack::{HostId, Outcome, RequestId};
-use cranetack_facts::Report;
+use cranetack_routing_policy::{HostId, Outcome, RequestId};
+use cranetack_settings::Report;
 use http::StatusCode;
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
--- a/router/src/upstream/model.rs
+++ b/crates/router/src/upstream/model.rs
@@ -13,9 +13,9 @@
 use super::pool::{ConnectionPool, PooledConnection, REST};
 use super::{Options, Upstream};
 use crate::core::{AttemptId, AttemptSpec, CoreEvent, Ended, Handle, Host, Outbound};
-use cranetack::{Outcome, RequestId};
-use cranetack_facts::Report;
-use cranetack_standins::{run_paused, Behaviour, Worker};
+use cranetack_routing_policy::{Outcome, RequestId};
+use cranetack_settings::Report;
+use cranetack_testkit::{run_paused, Behaviour, Worker};
 
 const MOST: usize = 3;
 const KEEP: Duration = Duration::from_secs(5);
--- a/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cranetack::HostId;
+use cranetack_routing_policy::HostId;
 use http::{Request, Response};
 use http_body_util::Full;
 use hyper::body::Incoming;
--- a/router/src/upstream/pool/tests.rs
+++ b/crates/router/src/upstream/pool/tests.rs
@@ -1,7 +1,7 @@
 use std::io::Write;
 
 use super::*;
-use cranetack_standins::{run, run_paused, Behaviour, Worker};
+use cranetack_testkit::{run, run_paused, Behaviour, Worker};
 
 /// Guards against descriptors and buffers held for connections that a burst has left behind.
 #[test]
--- a/router/src/upstream/reply.rs
+++ b/crates/router/src/upstream/reply.rs
@@ -1,7 +1,7 @@
 //! What workers say: outcomes from the heads of their answers, and load reports.
 
-use cranetack::{Load, Outcome};
-use cranetack_facts::Report;
+use cranetack_routing_policy::{Load, Outcome};
+use cranetack_settings::Report;
 use http::{HeaderMap, StatusCode};
 use serde::Deserialize;
 
--- a/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-pub use cranetack_standins::*;
+pub use cranetack_testkit::*;
 
 use cranetack_router::config::{parse_toml, Config};
 use cranetack_router::tenants::Tenants;
@@ -26,7 +26,7 @@
     pub stopped: tokio::task::JoinHandle<()>,
 }
 
-const SHIPPED: &str = include_str!("../../../deploy/inference.toml");
+const SHIPPED: &str = include_str!("../../../../deploy/inference.toml");
 
 /// The second front's file for most tests: small slices, and any name of a model will do.
 pub fn file(edits: &[(&str, &str)]) -> String {
--- a/router/tests/conform.rs
+++ b/crates/router/tests/conform.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{line, Bed, Behaviour, Worker};
-use cranetack_conform::{cases, run, Base, CASES};
+use cranetack_conformance::{cases, run, Base, CASES};
 
 /// Longer than any single test may take: these are hundreds.
 const ALL: Duration = Duration::from_secs(300);
--- a/router/tests/control.rs
+++ b/crates/router/tests/control.rs
@@ -27,7 +27,7 @@
         let mut client =
             AggregatedDiscoveryServiceClient::connect(format!("http://{}", bed.control)).await.unwrap();
         // The first request goes out with the call.
-        requests.send(request(cranetack_xds::CLUSTER, &[])).unwrap();
+        requests.send(request(cranetack_xds_server::CLUSTER, &[])).unwrap();
         let responses = client.stream_aggregated_resources(UnboundedReceiverStream::new(rx)).await.unwrap();
         Proxy { requests, responses: responses.into_inner() }
     }
@@ -87,8 +87,8 @@
         let [a_port, b_port] = [&a, &b].map(|w| u32::from(w.address.port()));
         let mut proxy = Proxy::connect(&bed).await;
         let clusters = proxy.next().await;
-        assert_eq!((clusters.type_url.as_str(), clusters.resources.len()), (cranetack_xds::CLUSTER, 3));
-        proxy.requests.send(request(cranetack_xds::ENDPOINTS, &["mixed"])).unwrap();
+        assert_eq!((clusters.type_url.as_str(), clusters.resources.len()), (cranetack_xds_server::CLUSTER, 3));
+        proxy.requests.send(request(cranetack_xds_server::ENDPOINTS, &["mixed"])).unwrap();
         let healthy = i32::from(HealthStatus::Healthy);
         proxy.until("mixed", |s| *s == BTreeMap::from([(a_port, healthy), (b_port, healthy)])).await;
         bed.discovery.publish(vec![line(&a, "mixed", "draining"), line(&b, "mixed", "up")]);
--- a/router/tests/core.rs
+++ b/crates/router/tests/core.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cranetack::{
+use cranetack_routing_policy::{
     CellId, Class, ClassId, Effect, HostId, Kind, KindId, ListForm, Outcome, Readiness, RequestId, Settings,
     Stage, ZoneId,
 };
--- a/src/lib.rs
+++ b/crates/routing-policy/src/lib.rs
@@ -2,8 +2,8 @@
 //! servers. The module does no I/O and owns no clock: the host feeds it [`Event`]s and carries out [`Action`]s.
 //!
 //! ```
-//! use cranetack::{Action, Ask, CellId, Class, ClassId, Effect, Event, HostId, Kind, KindId, ListForm, Member};
-//! use cranetack::{Outcome, Policy, Readiness, RequestId, Settings, Stage, ZoneId};
+//! use cranetack_routing_policy::{Action, Ask, CellId, Class, ClassId, Effect, Event, HostId, Kind, KindId, ListForm, Member};
+//! use cranetack_routing_policy::{Outcome, Policy, Readiness, RequestId, Settings, Stage, ZoneId};
 //!
 //! let settings = Settings {
 //!     classes: vec![Class { effect: Effect::Safe, ..Class::default() }],
--- a/tests/clock.rs
+++ b/crates/routing-policy/tests/clock.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use cranetack::*;
+use cranetack_routing_policy::*;
 
 const READERS: std::ops::Range<u64> = 1..5;
 const NEW: u64 = 9;
--- a/tests/common/fleet.rs
+++ b/crates/routing-policy/tests/common/fleet.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use cranetack::*;
+use cranetack_routing_policy::*;
 use rand_core::RngCore;
 use rand_pcg::Pcg32;
 
--- a/tests/common/mod.rs
+++ b/crates/routing-policy/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod fleet;
 
-use cranetack::*;
+use cranetack_routing_policy::*;
 
 pub const SECOND: Micros = 1_000_000;
 pub const START: Micros = 50 * SECOND;
--- a/tests/decision_trace.rs
+++ b/crates/routing-policy/tests/decision_trace.rs
@@ -11,7 +11,7 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-use cranetack::*;
+use cranetack_routing_policy::*;
 use rand_core::RngCore;
 use rand_pcg::Pcg32;
 
--- a/tests/fleet.rs
+++ b/crates/routing-policy/tests/fleet.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use cranetack::*;
+use cranetack_routing_policy::*;
 
 fn cold(host: u64, kind: usize, cell: i64) -> Member {
     Member { last_start: Some(START - SECOND / 2), ..member(host, kind, cell) }
--- a/tests/giving_up.rs
+++ b/crates/routing-policy/tests/giving_up.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use cranetack::*;
+use cranetack_routing_policy::*;
 
 const READER: u64 = 1;
 const WRITER: u64 = 2;
--- a/tests/lanes.rs
+++ b/crates/routing-policy/tests/lanes.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use cranetack::*;
+use cranetack_routing_policy::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
--- a/tests/openings.rs
+++ b/crates/routing-policy/tests/openings.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use common::*;
-use cranetack::*;
+use cranetack_routing_policy::*;
 
 const READERS: u64 = 20;
 const OPENING: u64 = 4_000;
--- a/tests/repeats.rs
+++ b/crates/routing-policy/tests/repeats.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use cranetack::*;
+use cranetack_routing_policy::*;
 
 const READER: usize = 0;
 const WRITER: usize = 1;
--- a/tests/rules.rs
+++ b/crates/routing-policy/tests/rules.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use common::*;
-use cranetack::*;
+use cranetack_routing_policy::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
--- a/tests/zones.rs
+++ b/crates/routing-policy/tests/zones.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use cranetack::*;
+use cranetack_routing_policy::*;
 
 /// The share of new sessions that read away from our zone, where a read takes so long in our zone and elsewhere.
 fn share_away(near: Micros, far: Micros) -> f64 {
--- a/facts/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use cranetack::{Class, Effect, KeyScope, Kind, Reporting, Settings, Stage, ZoneId};
+use cranetack_routing_policy::{Class, Effect, KeyScope, Kind, Reporting, Settings, Stage, ZoneId};
 use serde::Deserialize;
 
 pub use check::OutOfRange;
--- a/facts/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings that cannot be meant are refused, naming the key; those that are missing have defaults.
 
-use cranetack_facts::Facts;
+use cranetack_settings::Facts;
 use serde_json::{json, Value};
 
 fn settings() -> Value {
--- a/adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -11,7 +11,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("cranetack-adapter: {message}");
+            eprintln!("cranetack-simulator-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, HashMap};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use cranetack::{
+use cranetack_routing_policy::{
     Action, Ask, CellId, ClassId, Event, HostId, KindId, ListForm, Load, Member, Outcome, Policy, PrefixId,
     Readiness, RequestId, SessionId, ZoneId,
 };
-use cranetack_facts::Facts;
+use cranetack_settings::Facts;
 use serde::Deserialize;
 use serde_json::{json, Value};
 
--- a/adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -6,7 +6,7 @@
 use serde_json::{json, Value};
 
 fn run(lines: &[String]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_cranetack-adapter"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_cranetack-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -17,7 +17,7 @@
     #[arg(long, default_value = "target/release/cranetack")]
     program: PathBuf,
     /// The library that steps the clock and fails system calls; `--plain` runs without it.
-    #[arg(long, default_value = "target/release/libcranetack_soak_shim.so")]
+    #[arg(long, default_value = "target/release/libcranetack_syscall_fault_shim.so")]
     shim: PathBuf,
     /// Leave clock and system calls alone.
     #[arg(long)]
--- a/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -274,13 +274,13 @@
     let (events, parts) = mpsc::channel(1);
     spawn_local(async move {
         for _ in 0..world.draw(3, 20) {
-            let event = Bytes::from_static(cranetack_standins::EVENT.as_bytes());
+            let event = Bytes::from_static(cranetack_testkit::EVENT.as_bytes());
             if events.send(Ok(Frame::data(event))).await.is_err() {
                 break;
             }
             sleep(Duration::from_millis(world.draw(5, 30))).await;
         }
-        let _ = events.send(Ok(Frame::data(Bytes::from_static(cranetack_standins::DONE.as_bytes())))).await;
+        let _ = events.send(Ok(Frame::data(Bytes::from_static(cranetack_testkit::DONE.as_bytes())))).await;
         world.attempt_ends(connection);
     });
     let body = StreamBody::new(tokio_stream::wrappers::ReceiverStream::new(parts)).boxed_unsync();
--- a/soak/shim/tests/program.rs
+++ b/crates/syscall-fault-shim/tests/program.rs
@@ -4,7 +4,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use cranetack_standins::{line, run, settings, Behaviour, Client, Discovery, Worker};
+use cranetack_testkit::{line, run, settings, Behaviour, Client, Discovery, Worker};
 use serde_json::json;
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
@@ -22,7 +22,7 @@
 /// What cargo has built: the test itself is among libraries, one folder below programs.
 fn built() -> (PathBuf, PathBuf) {
     let folder = std::env::current_exe().unwrap().parent().unwrap().to_owned();
-    let (program, library) = (folder.join("../cranetack"), folder.join("libcranetack_soak_shim.so"));
+    let (program, library) = (folder.join("../cranetack"), folder.join("libcranetack_syscall_fault_shim.so"));
     assert!(program.exists() && library.exists(), "{program:?} and {library:?} are needed");
     (program, library)
 }
--- a/tests/known_red.rs
+++ b/crates/testkit/tests/known_red.rs
@@ -27,7 +27,7 @@
         Some(list) => fs::write(&known, list).unwrap(),
         None => drop(fs::remove_file(&known)),
     }
-    let script = concat!(env!("CARGO_MANIFEST_DIR"), "/.ci/test");
+    let script = concat!(env!("CARGO_MANIFEST_DIR"), "/../../.ci/test");
     Command::new("bash").arg(script).env("CARGO", cargo).env("KNOWN_RED", known).output().unwrap()
 }
 
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use cranetack_standins::{line, Behaviour, Discovery, Worker};
+use cranetack_testkit::{line, Behaviour, Discovery, Worker};
 
 fn main() -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
