--- a/crates/batch-scheduler/src/budget.rs
+++ b/crates/batch-scheduler/src/budget.rs
@@ -12,7 +12,11 @@
     /// A budget of `share` repeats for each success, `most` of which may be saved. It starts full: the first to
     /// fail would else never be repeated.
     pub fn new(share: f64, most: f64) -> Budget {
-        Budget { share, most, left: most }
+        Budget {
+            share,
+            most,
+            left: most,
+        }
     }
 
     /// Notes a success.
--- a/crates/batch-scheduler/src/engine.rs
+++ b/crates/batch-scheduler/src/engine.rs
@@ -190,7 +190,14 @@
 
     /// Takes a batch, unless it has no hope.
     pub fn open(&mut self, now: Micros, opening: Opening) -> Result<BatchId, Refusal> {
-        let Opening { flow, tokens, common, first, due, repeats } = opening;
+        let Opening {
+            flow,
+            tokens,
+            common,
+            first,
+            due,
+            repeats,
+        } = opening;
         let left_tokens = tokens.iter().map(|t| u64::from(*t)).sum();
         if self.batches.len() >= self.settings.open_most {
             return Err(self.refusal(now, now + self.settings.slice_target));
@@ -232,7 +239,12 @@
         let one = pace.forecast(tokens.min(size) + common)?;
         let alone = one.saturating_mul(i64::try_from(slices).unwrap_or(i64::MAX));
         // One slice of a batch is out at a time; where more batches run than slices may be out, they share.
-        let flows = self.batches.values().filter(|b| !matches!(b.state, State::Over)).count() + 1;
+        let flows = self
+            .batches
+            .values()
+            .filter(|b| !matches!(b.state, State::Over))
+            .count()
+            + 1;
         let crowd = (flows as f64 / self.window.size() as f64).max(1.0);
         Some((alone as f64 * crowd) as Micros)
     }
@@ -244,7 +256,9 @@
 
     fn refusal(&self, now: Micros, at: Micros) -> Refusal {
         let least = self.settings.slice_target.min(self.settings.come_back_most);
-        Refusal { come_back: (at - now).clamp(least, self.settings.come_back_most) }
+        Refusal {
+            come_back: (at - now).clamp(least, self.settings.come_back_most),
+        }
     }
 
     /// The next slice of a batch: from its first item that has not been served.
@@ -283,18 +297,33 @@
         let (items, tokens) = self.cut(self.batches.get(&id)?);
         let batch = self.batches.get_mut(&id)?;
         let tries = batch.again.map_or(0, |(_, tries)| tries) + 1;
-        batch.state = State::Out { items: items.clone(), tokens, since: now, tries };
+        batch.state = State::Out {
+            items: items.clone(),
+            tokens,
+            since: now,
+            tries,
+        };
         let number = batch.orders;
         batch.orders += 1;
         self.out += 1;
-        Some(Order { batch: id, items, tokens, number })
+        Some(Order {
+            batch: id,
+            items,
+            tokens,
+            number,
+        })
     }
 
     /// Takes back the slice that is out; `None` if none is.
     fn back(&mut self, id: BatchId) -> Option<(&mut Batch, Range<usize>, u64, Micros, u32)> {
         let batch = self.batches.get_mut(&id)?;
         match std::mem::replace(&mut batch.state, State::Ready) {
-            State::Out { items, tokens, since, tries } => {
+            State::Out {
+                items,
+                tokens,
+                since,
+                tries,
+            } => {
                 self.out -= 1;
                 Some((batch, items, tokens, since, tries))
             }
@@ -307,15 +336,23 @@
 
     /// The slice that is out has been served.
     pub fn served(&mut self, now: Micros, id: BatchId) {
-        let Some((batch, items, tokens, since, _)) = self.back(id) else { return };
-        let done: u64 = batch.tokens[items.clone()].iter().map(|t| u64::from(*t)).sum();
+        let Some((batch, items, tokens, since, _)) = self.back(id) else {
+            return;
+        };
+        let done: u64 = batch.tokens[items.clone()]
+            .iter()
+            .map(|t| u64::from(*t))
+            .sum();
         batch.served = items.end;
         batch.served_tokens += done;
         batch.left_tokens -= done;
         batch.slices += 1;
         batch.again = batch.again.filter(|(end, _)| *end > items.end);
         let (class, whole) = (batch.flow.class, batch.served == batch.tokens.len());
-        self.paces.entry(class).or_default().served(tokens, now - since);
+        self.paces
+            .entry(class)
+            .or_default()
+            .served(tokens, now - since);
         self.window.served();
         self.budget.succeeded();
         if whole {
@@ -348,7 +385,9 @@
 
     /// The slice that is out has failed.
     pub fn failed(&mut self, now: Micros, id: BatchId, failure: Failure) {
-        let Some((batch, items, _, _, tries)) = self.back(id) else { return };
+        let Some((batch, items, _, _, tries)) = self.back(id) else {
+            return;
+        };
         let (class, repeats, due) = (batch.flow.class, batch.repeats, batch.due);
         let end = batch.again.map_or(items.end, |(end, _)| end.min(items.end));
         batch.again = Some((end, tries));
@@ -394,8 +433,11 @@
             }
             // A refusal says that trying again is harmless, which is untrue where slices ran that must not run twice.
             let ran = !batch.repeats && batch.served > 0;
-            let verdict =
-                if ran && matches!(verdict, Verdict::Refused(_)) { Verdict::Failed } else { verdict };
+            let verdict = if ran && matches!(verdict, Verdict::Refused(_)) {
+                Verdict::Failed
+            } else {
+                verdict
+            };
             if !matches!(batch.state, State::Over) {
                 batch.state = State::Over;
                 self.verdicts.push_back((id, verdict));
@@ -435,7 +477,9 @@
                 break;
             }
             self.times.pop_first();
-            let Some(batch) = self.batches.get(&id) else { continue };
+            let Some(batch) = self.batches.get(&id) else {
+                continue;
+            };
             if at >= batch.due {
                 self.back(id);
                 self.end(id, Verdict::Late);
--- a/crates/batch-scheduler/src/pace.rs
+++ b/crates/batch-scheduler/src/pace.rs
@@ -101,7 +101,9 @@
 
     /// How long a slice of so many tokens takes; `None` while too little is known.
     pub fn forecast(&self, tokens: u64) -> Option<Micros> {
-        self.expected(tokens as f64).filter(|_| self.is_known()).map(|time| time as Micros)
+        self.expected(tokens as f64)
+            .filter(|_| self.is_known())
+            .map(|time| time as Micros)
     }
 
     /// Tokens of a slice that stays under `target`, within these bounds; `first` while too little is known.
--- a/crates/batch-scheduler/src/turns.rs
+++ b/crates/batch-scheduler/src/turns.rs
@@ -37,7 +37,11 @@
     /// Turns in which a flow gets so many tokens a round.
     pub fn new(quantum: u64) -> Turns {
         let quantum = i64::try_from(quantum.max(1)).unwrap_or(i64::MAX);
-        Turns { quantum, flows: HashMap::new(), ring: VecDeque::new() }
+        Turns {
+            quantum,
+            flows: HashMap::new(),
+            ring: VecDeque::new(),
+        }
     }
 
     /// A batch of this flow is ready to send.
@@ -62,7 +66,9 @@
                 continue;
             };
             let size = loop {
-                let Some(batch) = queue.ready.front() else { break None };
+                let Some(batch) = queue.ready.front() else {
+                    break None;
+                };
                 match tokens(*batch) {
                     Some(size) => break Some(i64::try_from(size).unwrap_or(i64::MAX)),
                     None => drop(queue.ready.pop_front()),
@@ -90,7 +96,11 @@
             queue.visited = false;
             self.ring.rotate_left(1);
             // Where all owe, rounds without a turn are skipped.
-            if self.ring.iter().all(|f| self.flows.get(f).is_some_and(|q| q.deficit + self.quantum <= 0)) {
+            if self.ring.iter().all(|f| {
+                self.flows
+                    .get(f)
+                    .is_some_and(|q| q.deficit + self.quantum <= 0)
+            }) {
                 self.forgive();
             }
         }
@@ -98,7 +108,13 @@
 
     /// Passes as many rounds at once as leave the flow that owes least with a turn.
     fn forgive(&mut self) {
-        let owed = self.ring.iter().filter_map(|f| self.flows.get(f)).map(|q| q.deficit).max().unwrap_or(0);
+        let owed = self
+            .ring
+            .iter()
+            .filter_map(|f| self.flows.get(f))
+            .map(|q| q.deficit)
+            .max()
+            .unwrap_or(0);
         let rounds = -owed / self.quantum;
         for queue in self.flows.values_mut().filter(|q| q.deficit < 0) {
             queue.deficit = (queue.deficit + rounds * self.quantum).min(0);
--- a/crates/batch-scheduler/src/turns/tests.rs
+++ b/crates/batch-scheduler/src/turns/tests.rs
@@ -10,7 +10,9 @@
 fn play(batches: &[(u64, u64, u64)], quantum: u64, turns: usize) -> HashMap<u64, u64> {
     let mut given = HashMap::new();
     let mut all = Turns::new(quantum);
-    batches.iter().for_each(|(batch, tenant, _)| all.push(flow(*tenant), *batch));
+    batches
+        .iter()
+        .for_each(|(batch, tenant, _)| all.push(flow(*tenant), *batch));
     for _ in 0..turns {
         let size = |batch: u64| batches.iter().find(|b| b.0 == batch).map(|b| b.2);
         let batch = all.next(size).unwrap();
--- a/crates/batch-scheduler/src/window.rs
+++ b/crates/batch-scheduler/src/window.rs
@@ -19,7 +19,11 @@
     /// A window that starts at its most, which is at least 1.
     pub fn new(most: usize) -> Window {
         let most = most.max(1) as f64;
-        Window { most, size: most, shrunk: None }
+        Window {
+            most,
+            size: most,
+            shrunk: None,
+        }
     }
 
     /// Slices that may be out at once.
--- a/crates/conformance/src/lib.rs
+++ b/crates/conformance/src/lib.rs
@@ -92,7 +92,10 @@
     struct File {
         case: Vec<Case>,
     }
-    let line = |e: &toml::de::Error| e.span().map_or(0, |span| text[..span.start].lines().count());
+    let line = |e: &toml::de::Error| {
+        e.span()
+            .map_or(0, |span| text[..span.start].lines().count())
+    };
     let toml = toml::Deserializer::parse(text)
         .map_err(|e| Unusable(format!("line {}: {}", line(&e), e.message())))?;
     let file: File = serde_path_to_error::deserialize(toml)
@@ -121,7 +124,10 @@
             Ok(answer) => check(&case.expect, &answer),
             Err(error) => vec![error.to_string()],
         };
-        let outcome = Outcome { name: case.name.clone(), problems };
+        let outcome = Outcome {
+            name: case.name.clone(),
+            problems,
+        };
         tell(&outcome);
         outcomes.push(outcome);
     }
--- a/crates/conformance/src/send.rs
+++ b/crates/conformance/src/send.rs
@@ -45,11 +45,23 @@
 impl Base {
     /// The service at an address such as `http://127.0.0.1:8090`, and a tenant's key for it.
     pub fn new(base: &str, key: Option<String>) -> Result<Base, SendError> {
-        let authority = base.strip_prefix("http://").map(|a| a.trim_end_matches('/'));
+        let authority = base
+            .strip_prefix("http://")
+            .map(|a| a.trim_end_matches('/'));
         let authority = authority.filter(|a| !a.is_empty() && !a.contains('/'));
         let authority = authority.ok_or_else(|| SendError::Address(base.to_owned()))?;
-        let port = authority.rsplit(':').next().is_some_and(|p| p.parse::<u16>().is_ok());
-        Ok(Base { authority: if port { authority.to_owned() } else { format!("{authority}:80") }, key })
+        let port = authority
+            .rsplit(':')
+            .next()
+            .is_some_and(|p| p.parse::<u16>().is_ok());
+        Ok(Base {
+            authority: if port {
+                authority.to_owned()
+            } else {
+                format!("{authority}:80")
+            },
+            key,
+        })
     }
 }
 
@@ -68,9 +80,16 @@
 
 /// Sends a case's request and reads all of the answer.
 pub async fn send(base: &Base, case: &Case) -> Result<Answer, SendError> {
-    let mut request =
-        Request::builder().method(case.method.as_str()).uri(&case.path).header("host", &base.authority);
-    if !case.headers.keys().any(|k| k.eq_ignore_ascii_case("content-type")) && case.method == "POST" {
+    let mut request = Request::builder()
+        .method(case.method.as_str())
+        .uri(&case.path)
+        .header("host", &base.authority);
+    if !case
+        .headers
+        .keys()
+        .any(|k| k.eq_ignore_ascii_case("content-type"))
+        && case.method == "POST"
+    {
         request = request.header("content-type", "application/json");
     }
     if let Some(key) = &base.key {
@@ -82,15 +101,22 @@
     let request = request.body(Full::<Bytes>::from(body(case)?))?;
     timeout(WAIT, async {
         let stream = TcpStream::connect(&base.authority).await?;
-        let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
+        let (mut sender, connection) =
+            hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
         let driver = tokio::spawn(async move { drop(connection.await) });
         let answer = sender.send_request(request).await?;
         let (head, mut body) = answer.into_parts();
-        let mut answer =
-            Answer { status: head.status.as_u16(), headers: head.headers, body: Vec::new(), broken: false };
+        let mut answer = Answer {
+            status: head.status.as_u16(),
+            headers: head.headers,
+            body: Vec::new(),
+            broken: false,
+        };
         while let Some(frame) = body.frame().await {
             match frame {
-                Ok(frame) => answer.body.extend_from_slice(&frame.into_data().unwrap_or_default()),
+                Ok(frame) => answer
+                    .body
+                    .extend_from_slice(&frame.into_data().unwrap_or_default()),
                 Err(_) => {
                     answer.broken = true;
                     break;
--- a/crates/inference-api/src/batch.rs
+++ b/crates/inference-api/src/batch.rs
@@ -98,9 +98,15 @@
             match item_tokens(form, raw) {
                 Some(count) => tokens.push(u32::try_from(count).unwrap_or(u32::MAX)),
                 None if raws.len() == 1 && at == 0 && form == Form::Embeddings => {
-                    reader.wrong("input", "must be a text, texts, or token ids that are whole numbers");
+                    reader.wrong(
+                        "input",
+                        "must be a text, texts, or token ids that are whole numbers",
+                    );
                 }
-                None => reader.wrong(format!("{}[{at}]", form.items()), "is not as the interface has it"),
+                None => reader.wrong(
+                    format!("{}[{at}]", form.items()),
+                    "is not as the interface has it",
+                ),
             }
         }
         let (mut common_tokens, mut top, mut gives_back) = (0, None, false);
@@ -115,7 +121,9 @@
             dimensions = reader.count("dimensions", 1..=65_536);
         } else {
             common_tokens = text_tokens(&reader.needed_text("query", "a text"));
-            top = reader.count("top_n", 1..=u64::MAX).map(|n| usize::try_from(n).unwrap_or(usize::MAX));
+            top = reader
+                .count("top_n", 1..=u64::MAX)
+                .map(|n| usize::try_from(n).unwrap_or(usize::MAX));
             gives_back = reader.flag("return_documents").unwrap_or(false);
             reader.count("max_tokens_per_doc", 1..=u64::MAX);
             reader.count("max_chunks_per_doc", 1..=u64::MAX);
@@ -163,16 +171,27 @@
 
     /// The tokens of a slice.
     pub fn slice_tokens(&self, slice: &Range<usize>) -> u64 {
-        self.common_tokens + self.tokens[slice.clone()].iter().map(|t| u64::from(*t)).sum::<u64>()
+        self.common_tokens
+            + self.tokens[slice.clone()]
+                .iter()
+                .map(|t| u64::from(*t))
+                .sum::<u64>()
     }
 
     /// The body of a slice, for a server that knows the model by this name.
     pub fn encode(&self, slice: &Range<usize>, model: &str) -> Bytes {
-        let held: usize = self.items[slice.clone()].iter().map(ExactSizeIterator::len).sum();
+        let held: usize = self.items[slice.clone()]
+            .iter()
+            .map(ExactSizeIterator::len)
+            .sum();
         let mut text = String::with_capacity(self.rest.len() + held + slice.len() + 64);
         text.push('{');
         text.push_str(&self.rest);
-        push_field(&mut text, "model", &serde_json::to_string(model).unwrap_or_default());
+        push_field(
+            &mut text,
+            "model",
+            &serde_json::to_string(model).unwrap_or_default(),
+        );
         text.push('"');
         text.push_str(self.form.items());
         text.push_str("\":[");
@@ -189,7 +208,10 @@
 
 /// The items: one text, or one text as token ids, is a batch of one.
 fn raw_items<'a>(
-    form: Form, fields: &Fields<'a>, reader: &mut Reader<'_, 'a>, bounds: &Bounds,
+    form: Form,
+    fields: &Fields<'a>,
+    reader: &mut Reader<'_, 'a>,
+    bounds: &Bounds,
 ) -> Vec<&'a RawValue> {
     let name = form.items();
     let Some(raw) = fields.get(name) else {
@@ -199,11 +221,15 @@
     let text = raw.get();
     if form == Form::Embeddings {
         let first = text.strip_prefix('[').map(str::trim_start);
-        if text.starts_with('"') || first.is_some_and(|f| f.starts_with(|c: char| c.is_ascii_digit())) {
+        if text.starts_with('"')
+            || first.is_some_and(|f| f.starts_with(|c: char| c.is_ascii_digit()))
+        {
             return vec![raw];
         }
     }
-    let Some(items) = reader.items(name, bounds.items) else { return Vec::new() };
+    let Some(items) = reader.items(name, bounds.items) else {
+        return Vec::new();
+    };
     if items.is_empty() {
         reader.wrong(name, "must not be empty");
     }
@@ -218,9 +244,9 @@
             let text: Cow<str> = serde_json::from_str(text).ok()?;
             (form != Form::Embeddings || !text.is_empty()).then(|| text_tokens(&text).max(1))
         }
-        (b'{', Form::RerankV1) => {
-            serde_json::from_str::<Document>(text).ok().map(|d| text_tokens(&d.text).max(1))
-        }
+        (b'{', Form::RerankV1) => serde_json::from_str::<Document>(text)
+            .ok()
+            .map(|d| text_tokens(&d.text).max(1)),
         (b'[', Form::Embeddings) => {
             let Counted(count) = serde_json::from_str(text).ok()?;
             (count > 0).then_some(count)
@@ -242,7 +268,10 @@
                 f.write_str("token ids")
             }
 
-            fn visit_seq<A: serde::de::SeqAccess<'de>>(self, mut ids: A) -> Result<Counted, A::Error> {
+            fn visit_seq<A: serde::de::SeqAccess<'de>>(
+                self,
+                mut ids: A,
+            ) -> Result<Counted, A::Error> {
                 let mut count = 0;
                 while ids.next_element::<u32>()?.is_some() {
                     count += 1;
--- a/crates/inference-api/src/error.rs
+++ b/crates/inference-api/src/error.rs
@@ -47,7 +47,12 @@
 
 impl ApiError {
     /// A request that is wrong.
-    pub fn invalid(status: u16, code: &'static str, param: Option<&str>, message: impl Into<String>) -> Self {
+    pub fn invalid(
+        status: u16,
+        code: &'static str,
+        param: Option<&str>,
+        message: impl Into<String>,
+    ) -> Self {
         ApiError {
             status,
             kind: Kind::Invalid,
@@ -64,13 +69,30 @@
 
     /// A failure of the service.
     pub fn server(status: u16, code: &'static str, message: impl Into<String>) -> Self {
-        ApiError { status, kind: Kind::Server, code, param: None, message: message.into() }
+        ApiError {
+            status,
+            kind: Kind::Server,
+            code,
+            param: None,
+            message: message.into(),
+        }
     }
 
     /// The body of the answer.
     pub fn to_json(&self) -> String {
-        let Self { kind, code, param, message, .. } = self;
-        let error = Shown { message, r#type: *kind, param: param.as_deref(), code };
+        let Self {
+            kind,
+            code,
+            param,
+            message,
+            ..
+        } = self;
+        let error = Shown {
+            message,
+            r#type: *kind,
+            param: param.as_deref(),
+            code,
+        };
         serde_json::to_string(&Whole { error }).unwrap_or_default()
     }
 
--- a/crates/inference-api/src/events.rs
+++ b/crates/inference-api/src/events.rs
@@ -30,8 +30,9 @@
         let mut at = self.seen.saturating_sub(3);
         while at < self.held.len() {
             let rest = &self.held[at..];
-            let blank =
-                [&b"\n\n"[..], b"\r\n\r\n", b"\r\r"].into_iter().find(|blank| rest.starts_with(blank));
+            let blank = [&b"\n\n"[..], b"\r\n\r\n", b"\r\r"]
+                .into_iter()
+                .find(|blank| rest.starts_with(blank));
             match blank {
                 Some(blank) => {
                     at += blank.len();
@@ -56,7 +57,10 @@
 
 /// The data of whole events, as [`Events::push`] gives them, but for the one that ends an answer.
 pub fn data(whole: &[u8]) -> Result<Vec<String>, NotEvents> {
-    let text = std::str::from_utf8(whole).map_err(|_| NotEvents)?.replace("\r\n", "\n").replace('\r', "\n");
+    let text = std::str::from_utf8(whole)
+        .map_err(|_| NotEvents)?
+        .replace("\r\n", "\n")
+        .replace('\r', "\n");
     let of = |event: &str| data_of(event.as_bytes()).filter(|data| data != "[DONE]");
     Ok(text.split("\n\n").filter_map(of).collect())
 }
@@ -68,8 +72,10 @@
 /// The data of an event.
 fn data_of(event: &[u8]) -> Option<String> {
     let text = std::str::from_utf8(event).ok()?;
-    let of =
-        |line: &str| line.strip_prefix("data:").map(|data| data.strip_prefix(' ').unwrap_or(data).to_owned());
+    let of = |line: &str| {
+        line.strip_prefix("data:")
+            .map(|data| data.strip_prefix(' ').unwrap_or(data).to_owned())
+    };
     let lines: Vec<String> = text.lines().filter_map(of).collect();
     (!lines.is_empty()).then(|| lines.join("\n"))
 }
@@ -96,7 +102,9 @@
 impl Fold {
     /// Adds what has come.
     pub fn push(&mut self, come: &[u8]) -> Result<(), NotEvents> {
-        let Some(whole) = self.events.push(come)? else { return Ok(()) };
+        let Some(whole) = self.events.push(come)? else {
+            return Ok(());
+        };
         for data in data(&whole)? {
             self.chunk(serde_json::from_str(&data).map_err(|_| NotEvents)?)?;
         }
@@ -116,9 +124,13 @@
         }
         let choices = chunk.remove("choices");
         self.head.get_or_insert(chunk);
-        let Some(Value::Array(choices)) = choices else { return Ok(()) };
+        let Some(Value::Array(choices)) = choices else {
+            return Ok(());
+        };
         for choice in choices {
-            let Value::Object(mut choice) = choice else { return Err(NotEvents) };
+            let Value::Object(mut choice) = choice else {
+                return Err(NotEvents);
+            };
             let index = choice.get("index").and_then(Value::as_u64).unwrap_or(0);
             let into = slot(&mut self.choices, index)?;
             if let Some(reason) = choice.remove("finish_reason").filter(|r| !r.is_null()) {
@@ -127,7 +139,9 @@
             if let Some(part) = choice.remove("logprobs").filter(|l| !l.is_null()) {
                 merge(into.logprobs.get_or_insert(json!({})), part);
             }
-            let Some(Value::Object(delta)) = choice.remove("delta") else { continue };
+            let Some(Value::Object(delta)) = choice.remove("delta") else {
+                continue;
+            };
             into.delta(delta)?;
         }
         Ok(())
@@ -144,7 +158,11 @@
         answer.entry("created").or_insert_with(|| json!(0));
         answer.insert("model".to_owned(), json!(model));
         answer.insert("object".to_owned(), json!("chat.completion"));
-        let choices = self.choices.into_iter().enumerate().map(|(index, c)| c.finish(index));
+        let choices = self
+            .choices
+            .into_iter()
+            .enumerate()
+            .map(|(index, c)| c.finish(index));
         answer.insert("choices".to_owned(), choices.collect());
         if let Some(usage) = self.usage {
             answer.insert("usage".to_owned(), usage);
@@ -155,7 +173,10 @@
 
 /// The place for this index, bounded.
 fn slot<T: Default>(list: &mut Vec<T>, index: u64) -> Result<&mut T, NotEvents> {
-    let index = usize::try_from(index).ok().filter(|i| *i < CHOICES_MOST).ok_or(NotEvents)?;
+    let index = usize::try_from(index)
+        .ok()
+        .filter(|i| *i < CHOICES_MOST)
+        .ok_or(NotEvents)?;
     if list.len() <= index {
         list.resize_with(index + 1, T::default);
     }
@@ -170,10 +191,13 @@
                 ("role", role) => drop(self.message.insert(name, role)),
                 ("tool_calls", Value::Array(calls)) => {
                     for call in calls {
-                        let Value::Object(mut call) = call else { return Err(NotEvents) };
+                        let Value::Object(mut call) = call else {
+                            return Err(NotEvents);
+                        };
                         let index = call.remove("index").and_then(|i| i.as_u64()).unwrap_or(0);
                         let into = slot(&mut self.calls, index)?;
-                        call.into_iter().for_each(|(name, part)| grow(into, name, part));
+                        call.into_iter()
+                            .for_each(|(name, part)| grow(into, name, part));
                     }
                 }
                 (_, value) => grow(&mut self.message, name, value),
@@ -183,10 +207,15 @@
     }
 
     fn finish(mut self, index: usize) -> Value {
-        self.message.entry("role").or_insert_with(|| json!("assistant"));
+        self.message
+            .entry("role")
+            .or_insert_with(|| json!("assistant"));
         self.message.entry("content").or_insert(Value::Null);
         if !self.calls.is_empty() {
-            self.message.insert("tool_calls".to_owned(), self.calls.into_iter().map(Value::Object).collect());
+            self.message.insert(
+                "tool_calls".to_owned(),
+                self.calls.into_iter().map(Value::Object).collect(),
+            );
         }
         let logprobs = self.logprobs.unwrap_or(Value::Null);
         json!({"index": index, "message": self.message, "finish_reason": self.finish, "logprobs": logprobs})
@@ -208,7 +237,8 @@
         (Value::String(have), Value::String(more)) => have.push_str(&more),
         (Value::Array(have), Value::Array(more)) => have.extend(more),
         (Value::Object(have), Value::Object(more)) => {
-            more.into_iter().for_each(|(name, part)| grow(have, name, part));
+            more.into_iter()
+                .for_each(|(name, part)| grow(have, name, part));
         }
         (_, Value::Null) => {}
         (have, part) => *have = part,
--- a/crates/inference-api/src/fields.rs
+++ b/crates/inference-api/src/fields.rs
@@ -32,7 +32,9 @@
                 let mut fields: Vec<(Cow<'de, str>, &'de RawValue)> = Vec::new();
                 while let Some(Name(name)) = map.next_key()? {
                     if fields.iter().any(|(n, _)| *n == name) {
-                        return Err(serde::de::Error::custom(format_args!("{name:?} stands twice")));
+                        return Err(serde::de::Error::custom(format_args!(
+                            "{name:?} stands twice"
+                        )));
                     }
                     if fields.len() == FIELDS_MOST {
                         return Err(serde::de::Error::custom("too many fields"));
@@ -74,13 +76,18 @@
 impl<'a> Fields<'a> {
     /// Decodes a body.
     pub fn decode(body: &'a [u8]) -> Result<Fields<'a>, ApiError> {
-        serde_json::from_slice(body)
-            .map_err(|e| ApiError::invalid(400, "invalid_json", None, format!("not a JSON object: {e}")))
+        serde_json::from_slice(body).map_err(|e| {
+            ApiError::invalid(400, "invalid_json", None, format!("not a JSON object: {e}"))
+        })
     }
 
     /// A field; one that is null counts as absent.
     pub fn get(&self, name: &str) -> Option<&'a RawValue> {
-        self.0.iter().find(|(n, _)| n == name).map(|(_, value)| *value).filter(|v| v.get() != "null")
+        self.0
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, value)| *value)
+            .filter(|v| v.get() != "null")
     }
 
     /// All fields but these, encoded one behind the other, each with a comma behind it.
@@ -110,7 +117,10 @@
 impl<'f, 'a> Reader<'f, 'a> {
     /// A reader of these fields.
     pub fn new(fields: &'f Fields<'a>) -> Self {
-        Reader { fields, problems: Vec::new() }
+        Reader {
+            fields,
+            problems: Vec::new(),
+        }
     }
 
     /// Notes that a field is wrong.
@@ -120,7 +130,10 @@
 
     /// An optional field, of which `what` says what it must be.
     pub fn optional<T: Deserialize<'a>>(
-        &mut self, name: &str, what: &str, fits: impl Fn(&T) -> bool,
+        &mut self,
+        name: &str,
+        what: &str,
+        fits: impl Fn(&T) -> bool,
     ) -> Option<T> {
         let raw = self.fields.get(name)?;
         match serde_json::from_str::<T>(raw.get()) {
@@ -142,7 +155,8 @@
     /// A text that must be there and not be empty.
     pub fn needed_text(&mut self, name: &str, what: &str) -> String {
         self.need(name, what);
-        self.optional::<String>(name, what, |t| !t.is_empty()).unwrap_or_default()
+        self.optional::<String>(name, what, |t| !t.is_empty())
+            .unwrap_or_default()
     }
 
     /// A text.
@@ -174,7 +188,10 @@
     pub fn items(&mut self, name: &str, most: usize) -> Option<Vec<&'a RawValue>> {
         let items: Vec<&'a RawValue> = self.optional(name, "a list", |_| true)?;
         if items.len() > most {
-            self.wrong(name, format!("holds {} items, more than {most}", items.len()));
+            self.wrong(
+                name,
+                format!("holds {} items, more than {most}", items.len()),
+            );
             return None;
         }
         Some(items)
@@ -182,8 +199,14 @@
 
     /// All is well, or one error that names every field that is wrong.
     pub fn finish(self) -> Result<(), ApiError> {
-        let Some((param, _)) = self.problems.first() else { return Ok(()) };
-        let all: Vec<String> = self.problems.iter().map(|(param, what)| format!("{param} {what}")).collect();
+        let Some((param, _)) = self.problems.first() else {
+            return Ok(());
+        };
+        let all: Vec<String> = self
+            .problems
+            .iter()
+            .map(|(param, what)| format!("{param} {what}"))
+            .collect();
         Err(ApiError::value(param, all.join("; ")))
     }
 }
--- a/crates/inference-api/src/scan.rs
+++ b/crates/inference-api/src/scan.rs
@@ -16,7 +16,11 @@
 
 impl Default for Bounds {
     fn default() -> Self {
-        Bounds { depth: 64, text: 4 * 1024 * 1024, items: 16_384 }
+        Bounds {
+            depth: 64,
+            text: 4 * 1024 * 1024,
+            items: 16_384,
+        }
     }
 }
 
@@ -37,7 +41,10 @@
             b'"' => {
                 let end = text_end(&body[at + 1..]);
                 if end > bounds.text {
-                    let message = format!("the text at byte {at} holds more than {} bytes", bounds.text);
+                    let message = format!(
+                        "the text at byte {at} holds more than {} bytes",
+                        bounds.text
+                    );
                     return Err(ApiError::invalid(400, "text_too_long", None, message));
                 }
                 at += 1 + end;
@@ -66,7 +73,11 @@
 mod tests {
     use super::*;
 
-    const BOUNDS: Bounds = Bounds { depth: 3, text: 5, items: 9 };
+    const BOUNDS: Bounds = Bounds {
+        depth: 3,
+        text: 5,
+        items: 9,
+    };
 
     #[test]
     fn nesting_and_texts_are_bounded_whatever_stands_in_texts() {
--- a/crates/inference-client/src/call.rs
+++ b/crates/inference-client/src/call.rs
@@ -17,8 +17,8 @@
 use crate::retry::{Retries, Rules, Safety, Tried};
 use crate::stream::ChatStream;
 use crate::types::{
-    ApiErrorBody, ChatAnswer, ChatRequest, EmbeddingsAnswer, EmbeddingsRequest, Model, Models, RerankAnswer,
-    RerankRequest,
+    ApiErrorBody, ChatAnswer, ChatRequest, EmbeddingsAnswer, EmbeddingsRequest, Model, Models,
+    RerankAnswer, RerankRequest,
 };
 
 /// Why a call has no answer.
@@ -117,7 +117,10 @@
     pub fn with(base: &str, options: Options) -> Result<Client, Error> {
         let wrong = || Error::Address(base.to_owned());
         let uri: http::Uri = base.parse().map_err(|_| wrong())?;
-        let host = uri.host().filter(|_| uri.scheme_str() == Some("http")).ok_or_else(wrong)?;
+        let host = uri
+            .host()
+            .filter(|_| uri.scheme_str() == Some("http"))
+            .ok_or_else(wrong)?;
         if !matches!(uri.path(), "" | "/") {
             return Err(wrong());
         }
@@ -129,7 +132,10 @@
             own: rand::random(),
             calls: AtomicU64::new(0),
         };
-        Ok(Client { shared: Arc::new(shared), options })
+        Ok(Client {
+            shared: Arc::new(shared),
+            options,
+        })
     }
 
     /// The same client with other options, but for its budget for repeats, which all its clones share.
@@ -147,12 +153,17 @@
 
     /// A chat answer as it comes. The last event tells the use.
     pub async fn chat_stream(&self, request: &ChatRequest) -> Result<ChatStream, Error> {
-        let mut body = serde_json::to_value(request).map_err(|e| Error::Unreadable(e.to_string()))?;
+        let mut body =
+            serde_json::to_value(request).map_err(|e| Error::Unreadable(e.to_string()))?;
         body["stream"] = Value::Bool(true);
         body["stream_options"] = json!({"include_usage": true});
         let call = Call::post("/v1/chat/completions", &body)?;
         let open = async |answer: Response<Incoming>, link: Link| {
-            Ok(ChatStream::new(answer.into_body(), link, self.options.silence))
+            Ok(ChatStream::new(
+                answer.into_body(),
+                link,
+                self.options.silence,
+            ))
         };
         self.call(call, open).await
     }
@@ -177,23 +188,43 @@
         let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b'~');
         let escaped: String = id
             .bytes()
-            .map(|b| if plain(b) { char::from(b).to_string() } else { format!("%{b:02X}") })
+            .map(|b| {
+                if plain(b) {
+                    char::from(b).to_string()
+                } else {
+                    format!("%{b:02X}")
+                }
+            })
             .collect();
         self.get(&format!("/v1/models/{escaped}")).await
     }
 
-    async fn post<T: DeserializeOwned>(&self, path: &str, body: &impl Serialize) -> Result<T, Error> {
+    async fn post<T: DeserializeOwned>(
+        &self,
+        path: &str,
+        body: &impl Serialize,
+    ) -> Result<T, Error> {
         self.whole(Call::post(path, body)?).await
     }
 
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
-        self.whole(Call { method: Method::GET, path: path.to_owned(), body: Bytes::new() }).await
+        self.whole(Call {
+            method: Method::GET,
+            path: path.to_owned(),
+            body: Bytes::new(),
+        })
+        .await
     }
 
     async fn whole<T: DeserializeOwned>(&self, call: Call) -> Result<T, Error> {
         let read = async |answer: Response<Incoming>, link: Link| {
             // Nothing of it has been seen yet, so a part of it counts as none.
-            let body = answer.into_body().collect().await.map_err(|_| Error::Lost)?.to_bytes();
+            let body = answer
+                .into_body()
+                .collect()
+                .await
+                .map_err(|_| Error::Lost)?
+                .to_bytes();
             self.shared.links.put(link).await;
             Ok(body)
         };
@@ -203,7 +234,9 @@
 
     /// Tries a call until it is served, must not be tried again, or its deadline has passed.
     async fn call<T>(
-        &self, call: Call, read: impl AsyncFn(Response<Incoming>, Link) -> Result<T, Error>,
+        &self,
+        call: Call,
+        read: impl AsyncFn(Response<Incoming>, Link) -> Result<T, Error>,
     ) -> Result<T, Error> {
         let until = Instant::now() + self.options.deadline;
         let number = self.shared.calls.fetch_add(1, Ordering::Relaxed);
@@ -222,12 +255,20 @@
             let tried = match &error {
                 Error::NotSent(_) => Tried::NotSent,
                 Error::Lost => Tried::Lost,
-                Error::Api { status, retry_after, .. } => Tried::Answered(*status, *retry_after),
+                Error::Api {
+                    status,
+                    retry_after,
+                    ..
+                } => Tried::Answered(*status, *retry_after),
                 _ => Tried::Broken,
             };
-            let (left, chance) = (until.saturating_duration_since(Instant::now()), rand::random());
-            let again =
-                |retries: &mut Retries| retries.again(tried, self.options.safety, tries, left, chance);
+            let (left, chance) = (
+                until.saturating_duration_since(Instant::now()),
+                rand::random(),
+            );
+            let again = |retries: &mut Retries| {
+                retries.again(tried, self.options.safety, tries, left, chance)
+            };
             match self.retries(again).flatten() {
                 Some(pause) => sleep(pause).await,
                 None => return Err(error),
@@ -236,14 +277,26 @@
     }
 
     fn retries<T>(&self, step: impl FnOnce(&mut Retries) -> T) -> Option<T> {
-        self.shared.retries.lock().ok().map(|mut retries| step(&mut retries))
+        self.shared
+            .retries
+            .lock()
+            .ok()
+            .map(|mut retries| step(&mut retries))
     }
 
     async fn once<T>(
-        &self, call: &Call, id: &str, until: Instant,
+        &self,
+        call: &Call,
+        id: &str,
+        until: Instant,
         read: &impl AsyncFn(Response<Incoming>, Link) -> Result<T, Error>,
     ) -> Result<T, Error> {
-        let mut link = self.shared.links.take().await.map_err(|e| Error::NotSent(e.to_string()))?;
+        let mut link = self
+            .shared
+            .links
+            .take()
+            .await
+            .map_err(|e| Error::NotSent(e.to_string()))?;
         let left = until.saturating_duration_since(Instant::now()).as_millis();
         let mut request = Request::builder()
             .method(call.method.clone())
@@ -260,7 +313,9 @@
         if let Some(session) = &self.options.session {
             request = request.header("x-key", session);
         }
-        let request = request.body(call.body.clone()).map_err(|e| Error::NotSent(e.to_string()))?;
+        let request = request
+            .body(call.body.clone())
+            .map_err(|e| Error::NotSent(e.to_string()))?;
         let answer = link.send(request).await.map_err(|all_out| match all_out {
             true => Error::Lost,
             false => Error::NotSent("the connection ended".to_owned()),
@@ -269,23 +324,39 @@
             return read(answer, link).await;
         }
         let (status, retry_after) = (answer.status().as_u16(), retry_after(answer.headers()));
-        let body = answer.into_body().collect().await.map(|b| b.to_bytes()).unwrap_or_default();
+        let body = answer
+            .into_body()
+            .collect()
+            .await
+            .map(|b| b.to_bytes())
+            .unwrap_or_default();
         self.shared.links.put(link).await;
-        Err(Error::Api { status, error: error_of(&body), retry_after })
+        Err(Error::Api {
+            status,
+            error: error_of(&body),
+            retry_after,
+        })
     }
 }
 
 impl Call {
     fn post(path: &str, body: &impl Serialize) -> Result<Call, Error> {
         let body = serde_json::to_vec(body).map_err(|e| Error::Unreadable(e.to_string()))?;
-        Ok(Call { method: Method::POST, path: path.to_owned(), body: body.into() })
+        Ok(Call {
+            method: Method::POST,
+            path: path.to_owned(),
+            body: body.into(),
+        })
     }
 }
 
 /// Seconds, whole or decimal.
 fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("retry-after")?.to_str().ok()?;
-    text.trim().parse().ok().and_then(|seconds| Duration::try_from_secs_f64(seconds).ok())
+    text.trim()
+        .parse()
+        .ok()
+        .and_then(|seconds| Duration::try_from_secs_f64(seconds).ok())
 }
 
 /// What the service says is wrong; its words as they are, where they are not the API's.
@@ -294,7 +365,9 @@
     struct Whole {
         error: ApiErrorBody,
     }
-    let text =
-        || ApiErrorBody { message: String::from_utf8_lossy(body).into_owned(), ..ApiErrorBody::default() };
+    let text = || ApiErrorBody {
+        message: String::from_utf8_lossy(body).into_owned(),
+        ..ApiErrorBody::default()
+    };
     serde_json::from_slice::<Whole>(body).map_or_else(|_| text(), |whole| whole.error)
 }
--- a/crates/inference-client/src/lib.rs
+++ b/crates/inference-client/src/lib.rs
@@ -28,6 +28,6 @@
 pub use retry::Safety;
 pub use stream::ChatStream;
 pub use types::{
-    ApiErrorBody, ChatAnswer, ChatChunk, ChatRequest, Choice, Embedding, EmbeddingsAnswer, EmbeddingsRequest,
-    Message, Model, Models, RerankAnswer, RerankRequest, Scored, Usage,
+    ApiErrorBody, ChatAnswer, ChatChunk, ChatRequest, Choice, Embedding, EmbeddingsAnswer,
+    EmbeddingsRequest, Message, Model, Models, RerankAnswer, RerankRequest, Scored, Usage,
 };
--- a/crates/inference-client/src/link.rs
+++ b/crates/inference-client/src/link.rs
@@ -51,7 +51,8 @@
         }
         self.matched.store(matched as u8, Ordering::Relaxed);
         let left = self.body_left.load(Ordering::Relaxed);
-        self.body_left.store(left.saturating_sub(written.len() - at), Ordering::Relaxed);
+        self.body_left
+            .store(left.saturating_sub(written.len() - at), Ordering::Relaxed);
         self.begun.fetch_add(written.len(), Ordering::Relaxed);
     }
 
@@ -69,14 +70,20 @@
 
 impl AsyncRead for Metered {
     fn poll_read(
-        mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>,
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
 }
 
 impl AsyncWrite for Metered {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
         if let Poll::Ready(Ok(count)) = written {
             self.meter.count(&buf[..count]);
@@ -110,7 +117,10 @@
     /// Sends a request and waits for the head of its answer. The flag says whether its last byte was written.
     pub async fn send(&mut self, request: Request<Bytes>) -> Result<Response<Incoming>, bool> {
         self.meter.begin(request.body().len());
-        self.sender.send_request(request.map(Full::new)).await.map_err(|_| self.meter.all_out())
+        self.sender
+            .send_request(request.map(Full::new))
+            .await
+            .map_err(|_| self.meter.all_out())
     }
 }
 
@@ -124,7 +134,11 @@
 impl Links {
     /// To this host and port.
     pub fn new(host: String, port: u16) -> Links {
-        Links { host, port, idle: Mutex::default() }
+        Links {
+            host,
+            port,
+            idle: Mutex::default(),
+        }
     }
 
     /// A connection: a kept one if there is one.
@@ -143,10 +157,17 @@
         let stream = TcpStream::connect((self.host.as_str(), self.port)).await?;
         stream.set_nodelay(true)?;
         let meter = Arc::new(Meter::default());
-        let io = TokioIo::new(Metered { stream, meter: meter.clone() });
+        let io = TokioIo::new(Metered {
+            stream,
+            meter: meter.clone(),
+        });
         let (sender, connection) = http1::handshake(io).await.map_err(io::Error::other)?;
         let driver = tokio::spawn(async move { drop(connection.await) }).abort_handle();
-        Ok(Link { sender, meter, driver })
+        Ok(Link {
+            sender,
+            meter,
+            driver,
+        })
     }
 
     /// Keeps a connection whose answer has been read to its end.
--- a/crates/inference-client/src/retry.rs
+++ b/crates/inference-client/src/retry.rs
@@ -62,7 +62,10 @@
 impl Retries {
     /// A budget that starts full.
     pub fn new(rules: Rules) -> Retries {
-        Retries { left: rules.saved, rules }
+        Retries {
+            left: rules.saved,
+            rules,
+        }
     }
 
     /// A call has succeeded.
@@ -73,7 +76,12 @@
     /// The pause after which to try again, or `None`: what came of the try is the end. `tries` counts those made,
     /// `left` is the time to the deadline, `chance` from 0 to 1 spreads the pauses of many clients.
     pub fn again(
-        &mut self, tried: Tried, safety: Safety, tries: u32, left: Duration, chance: f64,
+        &mut self,
+        tried: Tried,
+        safety: Safety,
+        tries: u32,
+        left: Duration,
+        chance: f64,
     ) -> Option<Duration> {
         let harmless = match tried {
             Tried::NotSent => true,
@@ -91,8 +99,12 @@
         let pause = match tried {
             // Not before the service asks for; the spread comes on top.
             Tried::Answered(_, Some(asked)) if asked > self.rules.pause_most => return None,
-            Tried::Answered(_, Some(asked)) => asked + self.rules.pause.mul_f64(chance.clamp(0.0, 1.0)),
-            _ => doubled.min(self.rules.pause_most).mul_f64(0.5 + chance.clamp(0.0, 1.0) / 2.0),
+            Tried::Answered(_, Some(asked)) => {
+                asked + self.rules.pause.mul_f64(chance.clamp(0.0, 1.0))
+            }
+            _ => doubled
+                .min(self.rules.pause_most)
+                .mul_f64(0.5 + chance.clamp(0.0, 1.0) / 2.0),
         };
         if pause >= left || self.left < 1.0 {
             return None;
--- a/crates/inference-client/src/stream.rs
+++ b/crates/inference-client/src/stream.rs
@@ -25,7 +25,14 @@
 impl ChatStream {
     pub(crate) fn new(body: Incoming, link: Link, silence: Duration) -> ChatStream {
         let (events, waiting) = (Events::default(), VecDeque::new());
-        ChatStream { body, _link: link, silence, events, waiting, over: false }
+        ChatStream {
+            body,
+            _link: link,
+            silence,
+            events,
+            waiting,
+            over: false,
+        }
     }
 
     /// The next event; `None` at the end of a whole answer. After an error nothing comes.
@@ -50,15 +57,24 @@
 
     /// Waits for further events; `false` at the end.
     async fn fill(&mut self) -> Result<bool, Error> {
-        let frame = timeout(self.silence, self.body.frame()).await.map_err(|_| Error::Broken)?;
+        let frame = timeout(self.silence, self.body.frame())
+            .await
+            .map_err(|_| Error::Broken)?;
         let Some(Ok(frame)) = frame else {
             // What breaks off after the end has been whole.
-            return if self.events.is_done() { Ok(false) } else { Err(Error::Broken) };
+            return if self.events.is_done() {
+                Ok(false)
+            } else {
+                Err(Error::Broken)
+            };
+        };
+        let Ok(data) = frame.into_data() else {
+            return Ok(true);
         };
-        let Ok(data) = frame.into_data() else { return Ok(true) };
         let unreadable = |e: events::NotEvents| Error::Unreadable(e.to_string());
         if let Some(whole) = self.events.push(&data).map_err(unreadable)? {
-            self.waiting.extend(events::data(&whole).map_err(unreadable)?);
+            self.waiting
+                .extend(events::data(&whole).map_err(unreadable)?);
         }
         Ok(true)
     }
@@ -72,7 +88,11 @@
         if serde_json::from_str::<IsError>(data).is_ok() {
             self.over = true;
             self.waiting.clear();
-            return Err(Error::Api { status: 200, error: error_of(data.as_bytes()), retry_after: None });
+            return Err(Error::Api {
+                status: 200,
+                error: error_of(data.as_bytes()),
+                retry_after: None,
+            });
         }
         serde_json::from_str(data).map_err(|e| Error::Unreadable(e.to_string()))
     }
--- a/crates/inference-client/src/types.rs
+++ b/crates/inference-client/src/types.rs
@@ -22,12 +22,19 @@
 impl Message {
     /// A user's message.
     pub fn user(content: impl Into<String>) -> Message {
-        Message { role: "user".to_owned(), content: Some(content.into()), ..Message::default() }
+        Message {
+            role: "user".to_owned(),
+            content: Some(content.into()),
+            ..Message::default()
+        }
     }
 
     /// A system's message.
     pub fn system(content: impl Into<String>) -> Message {
-        Message { role: "system".to_owned(), ..Message::user(content) }
+        Message {
+            role: "system".to_owned(),
+            ..Message::user(content)
+        }
     }
 }
 
@@ -49,7 +56,11 @@
 impl ChatRequest {
     /// A request.
     pub fn new(model: impl Into<String>, messages: Vec<Message>) -> ChatRequest {
-        ChatRequest { model: model.into(), messages, ..ChatRequest::default() }
+        ChatRequest {
+            model: model.into(),
+            messages,
+            ..ChatRequest::default()
+        }
     }
 }
 
@@ -96,8 +107,13 @@
 impl ChatChunk {
     /// The text that it adds to the first choice.
     pub fn text(&self) -> &str {
-        let first = self.choices.iter().find(|c| c["index"].as_u64().unwrap_or(0) == 0);
-        first.and_then(|c| c["delta"]["content"].as_str()).unwrap_or("")
+        let first = self
+            .choices
+            .iter()
+            .find(|c| c["index"].as_u64().unwrap_or(0) == 0);
+        first
+            .and_then(|c| c["delta"]["content"].as_str())
+            .unwrap_or("")
     }
 }
 
--- a/crates/router/src/backoff.rs
+++ b/crates/router/src/backoff.rs
@@ -20,12 +20,20 @@
 impl Backoff {
     /// Spans of up to `first` after the first failure and up to `most` after many. Routers' seeds must differ.
     pub fn new(first: Duration, most: Duration, seed: u64) -> Backoff {
-        Backoff { first, most: most.max(first), failures: 0, rng: Pcg32::new(seed, 0x0a02_bdbf_7bb3_c0a7) }
+        Backoff {
+            first,
+            most: most.max(first),
+            failures: 0,
+            rng: Pcg32::new(seed, 0x0a02_bdbf_7bb3_c0a7),
+        }
     }
 
     /// Notes a failure, and says how long to wait before the next try.
     pub fn failed(&mut self) -> Duration {
-        let bound = self.first.saturating_mul(1 << self.failures.min(20)).min(self.most);
+        let bound = self
+            .first
+            .saturating_mul(1 << self.failures.min(20))
+            .min(self.most);
         self.failures = self.failures.saturating_add(1);
         bound.mul_f64((f64::from(self.rng.next_u32()) + 0.5) / 2_f64.powi(32))
     }
--- a/crates/router/src/closing.rs
+++ b/crates/router/src/closing.rs
@@ -17,7 +17,10 @@
 pub async fn shut_down_and_drain(stream: &RefCell<Socket>) {
     // Fails where the client has reset the connection: then there is nothing to read either.
     let _ = poll_fn(|cx| Pin::new(&mut *stream.borrow_mut()).poll_shutdown(cx)).await;
-    while poll_fn(|cx| poll_discard(stream, cx)).await.is_ok_and(|length| length > 0) {}
+    while poll_fn(|cx| poll_discard(stream, cx))
+        .await
+        .is_ok_and(|length| length > 0)
+    {}
 }
 
 /// Throws away what has been received, without waiting for more.
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -40,22 +40,30 @@
 
 /// Reads an operator's file and checks it. The message names the key that is wrong.
 pub fn load_toml<T: DeserializeOwned>(
-    path: &Path, check: impl FnOnce(&T) -> Result<(), String>,
+    path: &Path,
+    check: impl FnOnce(&T) -> Result<(), String>,
 ) -> Result<T, ConfigError> {
     let shown = path.display().to_string();
     match std::fs::read_to_string(path) {
         Ok(text) => {
             let read = parse_toml(&text).and_then(|file| check(&file).map(|()| file));
-            read.map_err(|message| ConfigError::Wrong { path: shown, message })
+            read.map_err(|message| ConfigError::Wrong {
+                path: shown,
+                message,
+            })
         }
-        Err(source) => Err(ConfigError::Unreadable { path: shown, source }),
+        Err(source) => Err(ConfigError::Unreadable {
+            path: shown,
+            source,
+        }),
     }
 }
 
 /// Reads an operator's file from its text.
 pub fn parse_toml<T: DeserializeOwned>(text: &str) -> Result<T, String> {
     let toml = toml::Deserializer::parse(text).map_err(|e| format!("not TOML: {}", e.message()))?;
-    serde_path_to_error::deserialize(toml).map_err(|e| format!("{}: {}", e.path(), e.inner().message()))
+    serde_path_to_error::deserialize(toml)
+        .map_err(|e| format!("{}: {}", e.path(), e.inner().message()))
 }
 
 /// What one router may use.
@@ -72,7 +80,9 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { sockets: default_sockets() }
+        Limits {
+            sockets: default_sockets(),
+        }
     }
 }
 
@@ -108,7 +118,9 @@
 /// else of it takes effect before the next start. Guards against a bad file that costs a running router what it
 /// has: then all stays as it was.
 pub async fn follow(
-    path: &Path, mut hangup: impl AsyncFnMut() -> Option<()>, discovery: watch::Sender<SocketAddr>,
+    path: &Path,
+    mut hangup: impl AsyncFnMut() -> Option<()>,
+    discovery: watch::Sender<SocketAddr>,
 ) {
     loop {
         tokio::select! {
@@ -127,8 +139,16 @@
 
 /// Whether a reading may succeed a moment later.
 fn is_momentary(error: &std::io::Error) -> bool {
-    let codes = [libc::EIO, libc::ENFILE, libc::EMFILE, libc::EINTR, libc::EAGAIN];
-    error.raw_os_error().is_some_and(|code| codes.contains(&code))
+    let codes = [
+        libc::EIO,
+        libc::ENFILE,
+        libc::EMFILE,
+        libc::EINTR,
+        libc::EAGAIN,
+    ];
+    error
+        .raw_os_error()
+        .is_some_and(|code| codes.contains(&code))
 }
 
 /// The file once it can be used: it may be half written, or its reading fail for a moment, and no further signal comes.
@@ -182,17 +202,24 @@
     pub fn load(path: &Path) -> Result<Config, ConfigError> {
         let shown = path.display().to_string();
         match std::fs::read(path) {
-            Ok(bytes) => Config::parse(&bytes).map_err(|message| ConfigError::Wrong { path: shown, message }),
-            Err(source) => Err(ConfigError::Unreadable { path: shown, source }),
+            Ok(bytes) => Config::parse(&bytes).map_err(|message| ConfigError::Wrong {
+                path: shown,
+                message,
+            }),
+            Err(source) => Err(ConfigError::Unreadable {
+                path: shown,
+                source,
+            }),
         }
     }
 
     /// Reads a configuration from its text. The message names the key that is wrong.
     pub fn parse(bytes: &[u8]) -> Result<Config, String> {
         let json = &mut serde_json::Deserializer::from_slice(bytes);
-        let file: File =
-            serde_path_to_error::deserialize(json).map_err(|e| format!("{}: {}", e.path(), e.inner()))?;
-        let seed = u64::from_str_radix(&file.seed, 16).map_err(|e| format!("seed: not hexadecimal: {e}"))?;
+        let file: File = serde_path_to_error::deserialize(json)
+            .map_err(|e| format!("{}: {}", e.path(), e.inner()))?;
+        let seed = u64::from_str_radix(&file.seed, 16)
+            .map_err(|e| format!("seed: not hexadecimal: {e}"))?;
         if file.limits.sockets < 64 {
             return Err(format!(
                 "limits.sockets: {} is too few, at least 64 are needed",
@@ -204,7 +231,9 @@
         // Discovery is always watched here, so the module never has to ask for the list.
         let settings = Settings {
             membership_asked: false,
-            ..facts.settings().map_err(|message| format!("settings: {message}"))?
+            ..facts
+                .settings()
+                .map_err(|message| format!("settings: {message}"))?
         };
         let peering = file.peer_listen.filter(|_| settings.peers);
         Ok(Config {
@@ -213,7 +242,11 @@
             discovery: file.discovery,
             seed,
             limits: file.limits,
-            peering: peering.map(|listen| Peering { listen, peers: file.peers, all: file.peers_all }),
+            peering: peering.map(|listen| Peering {
+                listen,
+                peers: file.peers,
+                all: file.peers_all,
+            }),
             known: file.known,
             facts,
             settings,
--- a/crates/router/src/config/tests.rs
+++ b/crates/router/src/config/tests.rs
@@ -44,7 +44,8 @@
 #[test]
 fn a_hangup_brings_a_new_address_and_a_bad_file_changes_nothing() {
     run(async {
-        let path = std::env::temp_dir().join(format!("cranetack-config-{}.json", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("cranetack-config-{}.json", std::process::id()));
         let write = |discovery: &str| {
             let file = json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "7",
                 "settings": settings()});
--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -39,14 +39,21 @@
     pub fn check(&self) -> Result<(), String> {
         match self {
             Setup { period_ms: 0, .. } => Err("period_ms: must be above 0".to_owned()),
-            Setup { weight_steps: 0, .. } => Err("weight_steps: must be above 0".to_owned()),
+            Setup {
+                weight_steps: 0, ..
+            } => Err("weight_steps: must be above 0".to_owned()),
             _ => Ok(()),
         }
     }
 }
 
 /// Asks the core again and again, and shows what has changed to those who watch, until nobody does.
-pub async fn survey(handle: Handle, setup: Setup, facts: Facts, snapshots: watch::Sender<Snapshot>) {
+pub async fn survey(
+    handle: Handle,
+    setup: Setup,
+    facts: Facts,
+    snapshots: watch::Sender<Snapshot>,
+) {
     let mut every = tokio::time::interval(Duration::from_millis(setup.period_ms.into()));
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
@@ -54,7 +61,9 @@
             _ = every.tick() => {}
             () = snapshots.closed() => return,
         }
-        let Some(endpoint_status) = handle.endpoint_statuses().await else { return };
+        let Some(endpoint_status) = handle.endpoint_statuses().await else {
+            return;
+        };
         let now = snapshot(&endpoint_status, &facts, setup.weight_steps);
         snapshots.send_if_modified(|shown| {
             let changed = *shown != now;
@@ -66,8 +75,17 @@
 
 /// A cluster for each kind of server, named as the settings name it.
 fn snapshot(endpoint_status: &[EndpointStatus], facts: &Facts, steps: u32) -> Snapshot {
-    let mut snapshot: Snapshot = facts.kinds.iter().map(|kind| (kind.clone(), Vec::new())).collect();
-    for EndpointStatus { address, member, standing } in endpoint_status {
+    let mut snapshot: Snapshot = facts
+        .kinds
+        .iter()
+        .map(|kind| (kind.clone(), Vec::new()))
+        .collect();
+    for EndpointStatus {
+        address,
+        member,
+        standing,
+    } in endpoint_status
+    {
         let Standing { takes, worth, .. } = standing;
         let health = match (member.readiness, takes) {
             (Readiness::Gone, _) => continue,
@@ -83,9 +101,14 @@
             health,
             weight: ((worth.clamp(0.0, 1.0) * f64::from(steps)).round() as u32).max(1),
         };
-        snapshot.entry(name(&facts.kinds, member.kind.0)).or_default().push(server);
+        snapshot
+            .entry(name(&facts.kinds, member.kind.0))
+            .or_default()
+            .push(server);
     }
-    snapshot.values_mut().for_each(|servers| servers.sort_by_key(|s| s.address));
+    snapshot
+        .values_mut()
+        .for_each(|servers| servers.sort_by_key(|s| s.address));
     snapshot
 }
 
--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -17,8 +17,8 @@
 
 use cranetack_routing_policy::effects::{EffectRule, PossibleRun};
 use cranetack_routing_policy::{
-    Action, Ask, Effect, Event, HostId, ListForm, Member, Micros, Outcome, Policy, PrefixId, Readiness,
-    RequestId, SessionId, Settings, Stage, Standing,
+    Action, Ask, Effect, Event, HostId, ListForm, Member, Micros, Outcome, Policy, PrefixId,
+    Readiness, RequestId, SessionId, Settings, Stage, Standing,
 };
 use tokio::sync::mpsc;
 
@@ -28,8 +28,8 @@
 use guard::{Breach, EffectRecord};
 pub use handle::Handle;
 pub use messages::{
-    AttemptId, AttemptSpec, CoreEvent, EndReason, Ended, EndpointStatus, IncomingRequest, Outbound, Place,
-    WireTrace,
+    AttemptId, AttemptSpec, CoreEvent, EndReason, Ended, EndpointStatus, IncomingRequest, Outbound,
+    Place, WireTrace,
 };
 use recorder::{NotSent, Step, Trace};
 use server::stable;
@@ -102,7 +102,12 @@
     /// Runs until all handles are gone.
     pub async fn run(mut self, mut events: mpsc::UnboundedReceiver<CoreEvent>) {
         // The module's first timer is among the actions of its first event.
-        self.guarded(|core| core.decide(Event::Members { form: ListForm::Patch, members: Vec::new() }));
+        self.guarded(|core| {
+            core.decide(Event::Members {
+                form: ListForm::Patch,
+                members: Vec::new(),
+            })
+        });
         loop {
             let wake = self.timers.peek().map_or(i64::MAX, |Reverse((at, _))| *at);
             let wake = self.clock.instant(wake.min(self.clock.now() + 1_000_000));
@@ -133,21 +138,40 @@
         match event {
             CoreEvent::Submitted(id, incoming, carrier) => self.submitted(id, incoming, carrier),
             CoreEvent::ClientGone(id) => self.client_gone(id),
-            CoreEvent::Established { attempt, media_type, parts } => {
+            CoreEvent::Established {
+                attempt,
+                media_type,
+                parts,
+            } => {
                 self.established(attempt, media_type, parts);
             }
             CoreEvent::AttemptEnded(attempt, ended) => self.attempt_ended(attempt, ended),
-            CoreEvent::ReservationAnswered { reading, request_id, host, place } => {
+            CoreEvent::ReservationAnswered {
+                reading,
+                request_id,
+                host,
+                place,
+            } => {
                 self.reservation_answered(reading, request_id, host, place);
             }
-            CoreEvent::Probed { host, outcome, spent, load } => {
+            CoreEvent::Probed {
+                host,
+                outcome,
+                spent,
+                load,
+            } => {
                 if let Some(host) = self.hosts.get(&host) {
                     tracing::debug!(to = host.name, ?outcome, ?spent, ?load, "a probe has ended");
                 }
                 if matches!(outcome, Outcome::Good | Outcome::Full) {
                     self.heard(host);
                 }
-                self.decide(Event::Probed { host, outcome, spent: micros(spent), load });
+                self.decide(Event::Probed {
+                    host,
+                    outcome,
+                    spent: micros(spent),
+                    load,
+                });
             }
             CoreEvent::Members(form, listed) => self.members(form, listed),
             CoreEvent::MembersLeaving(names) => self.members_leaving(&names),
@@ -166,14 +190,22 @@
         let standings = self.policy.standings(self.clock.now());
         let endpoint_status = |standing: Standing| {
             let address = self.hosts.get(&standing.host)?.address();
-            Some(EndpointStatus { address, member: *self.members.get(&standing.host)?, standing })
+            Some(EndpointStatus {
+                address,
+                member: *self.members.get(&standing.host)?,
+                standing,
+            })
         };
         standings.into_iter().filter_map(endpoint_status).collect()
     }
 
     fn submitted(&mut self, id: RequestId, incoming: IncomingRequest, carrier: Carrier) {
         // What servers hold is held by the id on the wire, so two requests must not share one.
-        if self.requests.values().any(|r| r.incoming.request_id == incoming.request_id) {
+        if self
+            .requests
+            .values()
+            .any(|r| r.incoming.request_id == incoming.request_id)
+        {
             carrier.answer(Answer::DuplicateId);
             return;
         }
@@ -207,8 +239,21 @@
             effects: EffectRecord::default(),
             trace: Trace::default(),
         };
-        let IncomingRequest { request_id, retry, came_back, session, prefix, .. } = &request.incoming;
-        let Ask { class, prompt_tokens, shared_tokens, valid_until, .. } = ask;
+        let IncomingRequest {
+            request_id,
+            retry,
+            came_back,
+            session,
+            prefix,
+            ..
+        } = &request.incoming;
+        let Ask {
+            class,
+            prompt_tokens,
+            shared_tokens,
+            valid_until,
+            ..
+        } = ask;
         let (class, patience) = (class.0, valid_until - now);
         tracing::debug!(id = %request_id, class, prompt_tokens, shared_tokens, patience, retry, came_back, session, prefix,
             "a request has come");
@@ -229,12 +274,27 @@
     fn established(&mut self, attempt: AttemptId, media_type: String, parts: Parts) {
         let now = self.clock.now();
         let id = attempt.request;
-        let Some(request) = self.requests.get_mut(&id).filter(|r| !r.over && r.parting.is_none()) else {
+        let Some(request) = self
+            .requests
+            .get_mut(&id)
+            .filter(|r| !r.over && r.parting.is_none())
+        else {
+            return;
+        };
+        let Some(out) = request
+            .in_flight
+            .as_mut()
+            .filter(|o| o.number == attempt.number)
+        else {
             return;
         };
-        let Some(out) = request.in_flight.as_mut().filter(|o| o.number == attempt.number) else { return };
         out.streaming = true;
-        request.trace.note(now, Step::Established { number: attempt.number });
+        request.trace.note(
+            now,
+            Step::Established {
+                number: attempt.number,
+            },
+        );
         // Nothing further is sent for it: its body need not be held while the answer streams.
         request.incoming.message = Rc::default();
         let (host, spent) = (out.host, now - out.sent);
@@ -242,16 +302,38 @@
         if let Some(carrier) = request.carrier.take() {
             carrier.answer(Answer::Served { media_type, parts });
         }
-        self.decide(Event::Established { id, attempt: attempt.number, host, spent });
+        self.decide(Event::Established {
+            id,
+            attempt: attempt.number,
+            host,
+            spent,
+        });
     }
 
     fn attempt_ended(&mut self, attempt: AttemptId, ended: Ended) {
         let id = attempt.request;
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(out) = request.in_flight.take_if(|o| o.number == attempt.number) else { return };
-        let Ended { outcome, info, load, wire } = ended;
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(out) = request.in_flight.take_if(|o| o.number == attempt.number) else {
+            return;
+        };
+        let Ended {
+            outcome,
+            info,
+            load,
+            wire,
+        } = ended;
         let number = attempt.number;
-        request.trace.note(self.clock.now(), Step::Ended { number, outcome, info, wire });
+        request.trace.note(
+            self.clock.now(),
+            Step::Ended {
+                number,
+                outcome,
+                info,
+                wire,
+            },
+        );
         request.effects.ended(out.stage, outcome, out.run);
         if out.streaming {
             self.finish(id, None);
@@ -259,7 +341,10 @@
             self.finish(id, Some(refusal));
         }
         let no_more = self.requests.get(&id).is_none_or(|r| r.over);
-        if matches!(outcome, Outcome::Good | Outcome::HalfDone | Outcome::Full | Outcome::Bad) {
+        if matches!(
+            outcome,
+            Outcome::Good | Outcome::HalfDone | Outcome::Full | Outcome::Bad
+        ) {
             self.heard(out.host);
         }
         let (host, spent) = (out.host, self.clock.now() - out.sent);
@@ -267,14 +352,29 @@
             let (id, to) = (&request.incoming.request_id, &to.name);
             tracing::debug!(%id, number, to, ?outcome, info, spent, "an attempt has ended");
         }
-        self.decide(Event::Result { id, attempt: number, host, outcome, info, no_more, spent, load });
+        self.decide(Event::Result {
+            id,
+            attempt: number,
+            host,
+            outcome,
+            info,
+            no_more,
+            spent,
+            load,
+        });
     }
 
     /// A place that may be held for a request that no longer wants one is let go: the answer may have
     /// crossed the module's own release. So is one of which the writer is unsure while we still wait for the read: none
     /// was out where it looked, so the read may be under way on a connection that has gone silent, with nothing out at
     /// its reader, and the place would be held for nobody.
-    fn reservation_answered(&mut self, reading: AttemptId, request_id: Rc<str>, host: HostId, place: Place) {
+    fn reservation_answered(
+        &mut self,
+        reading: AttemptId,
+        request_id: Rc<str>,
+        host: HostId,
+        place: Place,
+    ) {
         let id = reading.request;
         self.note(id, Step::PlaceAnswered { place });
         let request = self.requests.get(&id);
@@ -283,12 +383,19 @@
         if place != Place::Unsure {
             self.heard(host);
         }
-        let unread = request.and_then(|r| r.in_flight.as_ref()).is_some_and(|o| o.number == reading.number);
+        let unread = request
+            .and_then(|r| r.in_flight.as_ref())
+            .is_some_and(|o| o.number == reading.number);
         if (!wanted && place != Place::Refused) || (place == Place::Unsure && unread) {
             let hosts = self.reachable();
             self.outbound.release(id, request_id, hosts);
-        } else if wanted && place != Place::Unsure && request.is_some_and(|r| r.in_flight.is_some()) {
-            self.decide(Event::Earmarked { id, host, held: place == Place::Held });
+        } else if wanted && place != Place::Unsure && request.is_some_and(|r| r.in_flight.is_some())
+        {
+            self.decide(Event::Earmarked {
+                id,
+                host,
+                held: place == Place::Held,
+            });
         }
     }
 
@@ -299,8 +406,12 @@
         }
         let members: Vec<Member> = listed.iter().map(|line| self.member(line)).collect();
         // Machines are replaced by others for as long as the router runs: one that is gone is forgotten here.
-        self.members.retain(|_, member| member.readiness != Readiness::Gone);
-        for (id, _) in self.hosts.extract_if(|id, _| !self.members.contains_key(id)) {
+        self.members
+            .retain(|_, member| member.readiness != Readiness::Gone);
+        for (id, _) in self
+            .hosts
+            .extract_if(|id, _| !self.members.contains_key(id))
+        {
             self.outbound.close_idle(id);
         }
         self.decide(Event::Members { form, members });
@@ -311,21 +422,32 @@
         let mut members = Vec::new();
         for name in names {
             let id = HostId(stable(name));
-            let (Some(host), Some(member)) = (self.hosts.get(&id), self.members.get_mut(&id)) else {
+            let (Some(host), Some(member)) = (self.hosts.get(&id), self.members.get_mut(&id))
+            else {
                 continue;
             };
             host.open.set(false);
             member.readiness = Readiness::Draining;
             members.push(*member);
         }
-        self.decide(Event::Members { form: ListForm::Patch, members });
+        self.decide(Event::Members {
+            form: ListForm::Patch,
+            members,
+        });
     }
 
     fn member(&mut self, line: &Listed) -> Member {
         let id = HostId(stable(&line.name));
-        let host = self.hosts.entry(id).or_insert_with(|| Rc::new(Host::new(&line.name, line.address)));
+        let host = self
+            .hosts
+            .entry(id)
+            .or_insert_with(|| Rc::new(Host::new(&line.name, line.address)));
         // What was kept to the machine or process before is of no use, and may never say so.
-        if self.members.get(&id).is_some_and(|member| member.last_start != line.last_start) {
+        if self
+            .members
+            .get(&id)
+            .is_some_and(|member| member.last_start != line.last_start)
+        {
             self.outbound.close_idle(id);
         }
         host.address.set(line.address);
@@ -342,7 +464,9 @@
         tracing::debug!(name = line.name, kind = line.kind.0, zone = line.zone.0, cell = line.cell.0,
             readiness = ?line.readiness, started = line.last_start, "a line of the list");
         let before = self.members.insert(id, member);
-        if before.is_some_and(|m| (m.readiness, m.last_start) != (member.readiness, member.last_start)) {
+        if before
+            .is_some_and(|m| (m.readiness, m.last_start) != (member.readiness, member.last_start))
+        {
             tracing::info!(name = line.name, kind = line.kind.0, address = %line.address,
                 readiness = ?line.readiness, started = line.last_start, "a server has changed");
         }
@@ -357,7 +481,9 @@
             let now = self.clock.now();
             let mut actions = Vec::new();
             self.policy.handle(now, event, &mut actions);
-            actions.into_iter().for_each(|action| self.carry_out(action));
+            actions
+                .into_iter()
+                .for_each(|action| self.carry_out(action));
             if let Some(id) = touched {
                 self.forget(id);
             }
@@ -380,27 +506,50 @@
         self.due.clear();
         let open: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in open {
-            if let Some(out) =
-                self.requests.get(&id).and_then(|r| r.in_flight.as_ref()).filter(|o| !o.streaming)
+            if let Some(out) = self
+                .requests
+                .get(&id)
+                .and_then(|r| r.in_flight.as_ref())
+                .filter(|o| !o.streaming)
             {
-                self.outbound.cancel(AttemptId { request: id, number: out.number }, false);
+                self.outbound.cancel(
+                    AttemptId {
+                        request: id,
+                        number: out.number,
+                    },
+                    false,
+                );
             }
             self.finish(id, Some(Answer::Failed));
             self.release(id);
             self.forget(id);
         }
         let members = self.members.values().copied().collect();
-        self.decide(Event::Members { form: ListForm::Whole, members });
+        self.decide(Event::Members {
+            form: ListForm::Whole,
+            members,
+        });
     }
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Route { id, host, expire, up_by } => self.route(id, host, expire, up_by),
+            Action::Route {
+                id,
+                host,
+                expire,
+                up_by,
+            } => self.route(id, host, expire, up_by),
             Action::Earmark { id, host } => self.earmark(id, host),
             Action::FreeState(id) => self.release(id),
             Action::Abort { id, attempt } => {
                 self.note(id, Step::Cancelled { number: attempt });
-                self.outbound.cancel(AttemptId { request: id, number: attempt }, false);
+                self.outbound.cancel(
+                    AttemptId {
+                        request: id,
+                        number: attempt,
+                    },
+                    false,
+                );
             }
             Action::Shed { id, pause } => {
                 let pause = Duration::from_micros(u64::try_from(pause).unwrap_or(0));
@@ -408,10 +557,19 @@
             }
             Action::Lose(id) => self.finish(id, Some(Answer::Failed)),
             Action::Bounce(id) => {
-                let streaming =
-                    self.requests.get(&id).and_then(|r| r.in_flight.as_ref()).filter(|o| o.streaming);
+                let streaming = self
+                    .requests
+                    .get(&id)
+                    .and_then(|r| r.in_flight.as_ref())
+                    .filter(|o| o.streaming);
                 if let Some(out) = streaming {
-                    self.outbound.cancel(AttemptId { request: id, number: out.number }, true);
+                    self.outbound.cancel(
+                        AttemptId {
+                            request: id,
+                            number: out.number,
+                        },
+                        true,
+                    );
                 }
             }
             Action::Sleep { at, key } => self.timers.push(Reverse((at, key))),
@@ -440,16 +598,28 @@
             .get_mut(&id)
             .filter(|r| !r.over)
             .and_then(|r| Some((r.in_flight.as_ref()?.number, r)));
-        let Some((number, request)) = out else { return self.finish(id, Some(refusal)) };
+        let Some((number, request)) = out else {
+            return self.finish(id, Some(refusal));
+        };
         request.parting = Some(refusal);
         request.wanted.set(false);
-        request.trace.note(self.clock.now(), Step::Cancelled { number });
-        self.outbound.cancel(AttemptId { request: id, number }, false);
+        request
+            .trace
+            .note(self.clock.now(), Step::Cancelled { number });
+        self.outbound.cancel(
+            AttemptId {
+                request: id,
+                number,
+            },
+            false,
+        );
     }
 
     fn route(&mut self, id: RequestId, host: HostId, expire: Micros, up_by: Micros) {
         let now = self.clock.now();
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         let number = request.attempts;
         request.attempts += 1;
         let most = self.settings.max_attempts.unwrap_or(u32::MAX);
@@ -462,7 +632,14 @@
             Some(target) => Ok(target),
         };
         let target = target.inspect_err(|reason| {
-            request.trace.note(now, Step::NotSent { number, to: host, reason: *reason });
+            request.trace.note(
+                now,
+                Step::NotSent {
+                    number,
+                    to: host,
+                    reason: *reason,
+                },
+            );
         });
         let Ok((target, member)) = target else {
             return self.not_sent(id, number, host);
@@ -474,20 +651,45 @@
         let kind = self.settings.kinds.get(member.kind.0);
         let stage = kind.and_then(|k| k.stage).unwrap_or(Stage::Both);
         let reads = stage == Stage::Read;
-        if let Err(breach) = request.effects.check_send(EffectRule::of(class), member, now) {
+        if let Err(breach) = request
+            .effects
+            .check_send(EffectRule::of(class), member, now)
+        {
             self.note_breach(id, breach);
             return self.not_sent(id, number, host);
         }
         let run = PossibleRun::at(member, now);
-        request.in_flight = Some(InFlight { number, sent: now, host, stage, run, streaming: false });
-        request.trace.note(now, Step::Sent { number, to: target.name.as_str().into(), reads });
+        request.in_flight = Some(InFlight {
+            number,
+            sent: now,
+            host,
+            stage,
+            run,
+            streaming: false,
+        });
+        request.trace.note(
+            now,
+            Step::Sent {
+                number,
+                to: target.name.as_str().into(),
+                reads,
+            },
+        );
         if effect != Effect::Safe && !reads && request.trace.tried_before(number) {
             tracing::info!(id = %request.incoming.request_id, trace = %request.trace, "a request is sent again");
         }
-        let [expire, up_by] =
-            [expire, up_by].map(|at| if at == 0 { request.valid_until } else { at.min(request.valid_until) });
+        let [expire, up_by] = [expire, up_by].map(|at| {
+            if at == 0 {
+                request.valid_until
+            } else {
+                at.min(request.valid_until)
+            }
+        });
         self.outbound.send(AttemptSpec {
-            attempt: AttemptId { request: id, number },
+            attempt: AttemptId {
+                request: id,
+                number,
+            },
             request_id: request.incoming.request_id.clone(),
             host: target.clone(),
             expire: self.clock.instant(expire),
@@ -503,13 +705,27 @@
     fn not_sent(&mut self, id: RequestId, attempt: u32, host: HostId) {
         let no_more = self.requests.get(&id).is_none_or(|r| r.over);
         let (outcome, info, spent, load) = (Outcome::Nop, 0, 0, None);
-        self.due.push_back(Event::Result { id, attempt, host, outcome, info, no_more, spent, load });
+        self.due.push_back(Event::Result {
+            id,
+            attempt,
+            host,
+            outcome,
+            info,
+            no_more,
+            spent,
+            load,
+        });
     }
 
     fn check_refusal(&self, id: RequestId) -> Result<(), Breach> {
-        let Some(request) = self.requests.get(&id).filter(|r| !r.over) else { return Ok(()) };
+        let Some(request) = self.requests.get(&id).filter(|r| !r.over) else {
+            return Ok(());
+        };
         let rule = EffectRule::of(self.settings.classes.get(request.incoming.class.0));
-        let out = request.in_flight.as_ref().is_some_and(|out| out.stage != Stage::Read);
+        let out = request
+            .in_flight
+            .as_ref()
+            .is_some_and(|out| out.stage != Stage::Read);
         request.effects.check_refusal(rule, out)
     }
 
@@ -527,12 +743,23 @@
     }
 
     fn earmark(&mut self, id: RequestId, writer: HostId) {
-        let Some(request) = self.requests.get(&id) else { return };
-        let (Some(out), Some(writer)) = (request.in_flight.as_ref(), self.hosts.get(&writer)) else { return };
-        let reading = AttemptId { request: id, number: out.number };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let (Some(out), Some(writer)) = (request.in_flight.as_ref(), self.hosts.get(&writer))
+        else {
+            return;
+        };
+        let reading = AttemptId {
+            request: id,
+            number: out.number,
+        };
         tracing::debug!(id = %request.incoming.request_id, at = writer.name, "a place is asked for");
-        let step = Step::PlaceAsked { at: writer.name.as_str().into() };
-        self.outbound.reserve(reading, request.incoming.request_id.clone(), writer.clone());
+        let step = Step::PlaceAsked {
+            at: writer.name.as_str().into(),
+        };
+        self.outbound
+            .reserve(reading, request.incoming.request_id.clone(), writer.clone());
         self.note(id, step);
     }
 
@@ -544,7 +771,9 @@
     }
 
     fn release(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         request.released = true;
         request.trace.note(self.clock.now(), Step::Released);
         let request_id = request.incoming.request_id.clone();
@@ -555,7 +784,12 @@
     /// The servers through which something may be let go: any of them can, so the likeliest to be reached come first,
     /// which are those that answered last. Guards against calls that are tried at one unreachable server after another.
     fn reachable(&mut self) -> Vec<Rc<Host>> {
-        let mut open: Vec<_> = self.hosts.values().filter(|h| h.is_open()).cloned().collect();
+        let mut open: Vec<_> = self
+            .hosts
+            .values()
+            .filter(|h| h.is_open())
+            .cloned()
+            .collect();
         open.sort_by_key(|h| h.id);
         self.turn = self.turn.wrapping_add(1);
         let turn = self.turn % open.len().max(1);
@@ -572,12 +806,19 @@
 
     /// Ends a request: the only place that does. `None` where its client has all of the answer or is gone.
     fn finish(&mut self, id: RequestId, answer: Option<Answer>) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         request.over = true;
         request.wanted.set(false);
         let now = self.clock.now();
         let refused = matches!(answer, Some(Answer::Refused(_)));
-        request.trace.note(now, Step::Answered { answer: answer.as_ref().map_or("none", Answer::name) });
+        request.trace.note(
+            now,
+            Step::Answered {
+                answer: answer.as_ref().map_or("none", Answer::name),
+            },
+        );
         let (id, spent) = (&request.incoming.request_id, now - request.arrived);
         tracing::debug!(%id, ?answer, spent, "a request has ended");
         let class = self.settings.classes.get(request.incoming.class.0);
@@ -592,7 +833,11 @@
 
     /// Drops the record of a request that is over and has nothing out.
     fn forget(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|r| r.over && r.in_flight.is_none()) {
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(|r| r.over && r.in_flight.is_none())
+        {
             self.requests.remove(&id);
         }
     }
--- a/crates/router/src/core/clock.rs
+++ b/crates/router/src/core/clock.rs
@@ -16,8 +16,13 @@
 impl Clock {
     /// A clock that starts from the system's time.
     pub fn system() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix: micros(unix) }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            start: Instant::now(),
+            unix: micros(unix),
+        }
     }
 
     /// Now.
@@ -27,12 +32,14 @@
 
     /// The point in time of an instant.
     pub fn at(&self, instant: Instant) -> Micros {
-        self.now().saturating_add(micros(instant.saturating_duration_since(Instant::now())))
+        self.now()
+            .saturating_add(micros(instant.saturating_duration_since(Instant::now())))
     }
 
     /// The instant of a point in time; one that has passed is now.
     pub fn instant(&self, at: Micros) -> Instant {
-        Instant::now() + Duration::from_micros(u64::try_from(at.saturating_sub(self.now())).unwrap_or(0))
+        Instant::now()
+            + Duration::from_micros(u64::try_from(at.saturating_sub(self.now())).unwrap_or(0))
     }
 }
 
--- a/crates/router/src/core/handle.rs
+++ b/crates/router/src/core/handle.rs
@@ -20,7 +20,13 @@
     /// A handle, and where its events come out.
     pub fn new() -> (Handle, mpsc::UnboundedReceiver<CoreEvent>) {
         let (events, rx) = mpsc::unbounded_channel();
-        (Handle { events, next: Rc::new(Cell::new(0)) }, rx)
+        (
+            Handle {
+                events,
+                next: Rc::new(Cell::new(0)),
+            },
+            rx,
+        )
     }
 
     /// Sends the core an event. Once it has stopped, nobody needs to know.
--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -5,7 +5,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cranetack_routing_policy::{ClassId, HostId, ListForm, Load, Member, Outcome, RequestId, Standing};
+use cranetack_routing_policy::{
+    ClassId, HostId, ListForm, Load, Member, Outcome, RequestId, Standing,
+};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
@@ -114,13 +116,24 @@
 impl Ended {
     /// The same with why it ended.
     pub fn because(self, reason: EndReason) -> Ended {
-        Ended { wire: WireTrace { reason, ..self.wire }, ..self }
+        Ended {
+            wire: WireTrace {
+                reason,
+                ..self.wire
+            },
+            ..self
+        }
     }
 }
 
 impl From<Outcome> for Ended {
     fn from(outcome: Outcome) -> Ended {
-        Ended { outcome, info: 0, load: None, wire: WireTrace::default() }
+        Ended {
+            outcome,
+            info: 0,
+            load: None,
+            wire: WireTrace::default(),
+        }
     }
 }
 
--- a/crates/router/src/core/server.rs
+++ b/crates/router/src/core/server.rs
@@ -7,8 +7,9 @@
 
 /// A number for a word that is the same at every router: FNV-1a.
 pub(super) fn stable(word: &str) -> u64 {
-    word.bytes()
-        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
+    word.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 /// A server as the list has it now. Shared with the upstream, which must look at the moment of writing.
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -93,15 +93,25 @@
 impl From<RawList> for List {
     /// Keeps the lines that can be read: one that cannot must not cost the others, nor hide a drain.
     fn from(raw: RawList) -> List {
-        let RawList { index, snapshot, endpoints: lines } = raw;
-        let mut list = List { index, snapshot, endpoints: Vec::new(), leaving: Vec::new() };
+        let RawList {
+            index,
+            snapshot,
+            endpoints: lines,
+        } = raw;
+        let mut list = List {
+            index,
+            snapshot,
+            endpoints: Vec::new(),
+            leaving: Vec::new(),
+        };
         for (number, line) in lines.into_iter().enumerate() {
             match serde_json::from_value(line.clone()) {
                 Ok(endpoint) => list.endpoints.push(endpoint),
                 Err(error) => {
                     tracing::warn!(number, %error, "a line of the list cannot be read: left out");
                     let departure = serde_json::from_value::<Departure>(line).ok();
-                    list.leaving.extend(departure.filter(|d| d.status != Status::Up).map(|d| d.name));
+                    list.leaving
+                        .extend(departure.filter(|d| d.status != Status::Up).map(|d| d.name));
                 }
             }
         }
@@ -141,9 +151,18 @@
 impl List {
     /// The names of workers that take nothing new by lines that are left out otherwise.
     pub fn leaving(&self, facts: &Facts) -> Vec<String> {
-        let unknown = |e: &&Endpoint| !facts.zones.contains(&e.zone) || !facts.kinds.contains(&e.kind);
-        let unknown = self.endpoints.iter().filter(unknown).filter(|e| e.status != Status::Up);
-        self.leaving.iter().cloned().chain(unknown.map(|e| e.name.clone())).collect()
+        let unknown =
+            |e: &&Endpoint| !facts.zones.contains(&e.zone) || !facts.kinds.contains(&e.kind);
+        let unknown = self
+            .endpoints
+            .iter()
+            .filter(unknown)
+            .filter(|e| e.status != Status::Up);
+        self.leaving
+            .iter()
+            .cloned()
+            .chain(unknown.map(|e| e.name.clone()))
+            .collect()
     }
 
     /// The lines in the core's terms. A line with a zone or kind that the settings do not name is left out:
@@ -210,7 +229,13 @@
         let refused = Backoff::new((2 * span).min(most), (4 * span).min(most), seed);
         let unreached = Backoff::new(UNREACHED[0], UNREACHED[1], seed);
         let rng = Pcg32::new(seed, 0x51f1_5e0b_9a6c_2d37);
-        Pace { hold: HOLD[0], hold_most: span.clamp(HOLD[0], HOLD[1]), refused, unreached, rng }
+        Pace {
+            hold: HOLD[0],
+            hold_most: span.clamp(HOLD[0], HOLD[1]),
+            refused,
+            unreached,
+            rng,
+        }
     }
 
     /// For how long the next watch waits.
@@ -243,8 +268,12 @@
 /// the first answer. A new address begins anew with the whole list: its versions may not continue the old ones.
 /// Guards against an old address that hangs while a new one is known: the change cuts its watch off.
 pub async fn watch(
-    mut address: watch::Receiver<SocketAddr>, mut known: Option<u64>, facts: Facts, handle: Handle,
-    fresh: watch::Sender<bool>, mut pace: Pace,
+    mut address: watch::Receiver<SocketAddr>,
+    mut known: Option<u64>,
+    facts: Facts,
+    handle: Handle,
+    fresh: watch::Sender<bool>,
+    mut pace: Pace,
 ) {
     loop {
         let at = *address.borrow_and_update();
@@ -265,7 +294,11 @@
 
 /// Watches the list at one address, over one connection after another.
 async fn follow<C, F>(
-    connect: C, mut index: Option<u64>, facts: &Facts, handle: &Handle, fresh: &watch::Sender<bool>,
+    connect: C,
+    mut index: Option<u64>,
+    facts: &Facts,
+    handle: &Handle,
+    fresh: &watch::Sender<bool>,
     pace: &mut Pace,
 ) where
     C: Fn() -> F,
@@ -293,7 +326,11 @@
                 }
                 index = Some(list.index);
                 hold = pace.hold();
-                let form = if list.snapshot { ListForm::Whole } else { ListForm::Patch };
+                let form = if list.snapshot {
+                    ListForm::Whole
+                } else {
+                    ListForm::Patch
+                };
                 // Every answer concerns the core: that there are no news tells how recent the next ones are.
                 handle.send(CoreEvent::Members(form, list.listed(facts)));
                 let leaving = list.leaving(facts);
@@ -324,7 +361,9 @@
 }
 
 async fn open(stream: impl AsyncRead + AsyncWrite + Unpin + 'static) -> std::io::Result<Sender> {
-    let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(std::io::Error::other)?;
+    let (sender, connection) = http1::handshake(TokioIo::new(stream))
+        .await
+        .map_err(std::io::Error::other)?;
     // Ends when the sender is dropped.
     tokio::task::spawn_local(async move { drop(connection.await) });
     Ok(sender)
@@ -337,20 +376,31 @@
         None => "/discovery/hosts".to_owned(),
     };
     let patience = if hold.is_zero() { ANSWER } else { hold + LATE };
-    let request = Request::get(target).header("host", "discovery").body(Empty::new());
+    let request = Request::get(target)
+        .header("host", "discovery")
+        .body(Empty::new());
     let request = request.map_err(|_| Failure::Unreached)?;
     let answer = timeout(patience, async {
         sender.ready().await.ok()?;
         let answer = sender.send_request(request).await.ok()?;
         let status = answer.status();
-        let body = Limited::new(answer.into_body(), LIST_MOST).collect().await.ok()?.to_bytes();
+        let body = Limited::new(answer.into_body(), LIST_MOST)
+            .collect()
+            .await
+            .ok()?
+            .to_bytes();
         Some((status, body))
     });
     let began = Instant::now();
     let answer = answer.await;
-    let (spent, status) = (began.elapsed(), answer.as_ref().map(|a| a.as_ref().map(|a| a.0)));
+    let (spent, status) = (
+        began.elapsed(),
+        answer.as_ref().map(|a| a.as_ref().map(|a| a.0)),
+    );
     tracing::debug!(index, ?spent, ?status, "a call of discovery has ended");
-    let (status, body) = answer.map_err(|_| Failure::Silent)?.ok_or(Failure::Unreached)?;
+    let (status, body) = answer
+        .map_err(|_| Failure::Silent)?
+        .ok_or(Failure::Unreached)?;
     if status != StatusCode::OK {
         return Err(Failure::Refused);
     }
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -81,7 +81,13 @@
 /// Opens an exchange; `gone` runs when the front's half ends.
 pub fn open(gone: impl FnOnce() + 'static) -> (Caller, Carrier) {
     let (tx, answer) = oneshot::channel();
-    (Caller { answer, gone: CancelGuard(Some(Box::new(gone))) }, Carrier(tx))
+    (
+        Caller {
+            answer,
+            gone: CancelGuard(Some(Box::new(gone))),
+        },
+        Carrier(tx),
+    )
 }
 
 impl Caller {
@@ -136,7 +142,13 @@
 /// Opens a stream of parts.
 pub fn stream() -> (Sink, Parts) {
     let (tx, waiting) = mpsc::channel(PARTS_WAITING);
-    (Sink(tx), Parts { waiting, ended: false })
+    (
+        Sink(tx),
+        Parts {
+            waiting,
+            ended: false,
+        },
+    )
 }
 
 impl Sink {
--- a/crates/router/src/framing.rs
+++ b/crates/router/src/framing.rs
@@ -50,7 +50,10 @@
 
     /// Follows what workers send.
     pub fn of_answers() -> Framing {
-        Framing { answers: true, ..Framing::of_requests() }
+        Framing {
+            answers: true,
+            ..Framing::of_requests()
+        }
     }
 
     /// Takes what has come in.
@@ -72,7 +75,8 @@
                 At::Head | At::Size | At::Trailer => {
                     let end = bytes.iter().position(|b| *b == b'\n');
                     let part = &bytes[..end.unwrap_or(bytes.len())];
-                    self.line.extend(part.iter().take(LINE_MOST - self.line.len()));
+                    self.line
+                        .extend(part.iter().take(LINE_MOST - self.line.len()));
                     bytes = end.map_or(&[], |end| &bytes[end + 1..]);
                     if end.is_some() {
                         let line = std::mem::take(&mut self.line);
@@ -87,7 +91,10 @@
         let text = std::str::from_utf8(line).unwrap_or("");
         match self.at {
             At::Size => {
-                let size = text.split(';').next().map(|size| u64::from_str_radix(size.trim(), 16));
+                let size = text
+                    .split(';')
+                    .next()
+                    .map(|size| u64::from_str_radix(size.trim(), 16));
                 self.at = match size {
                     Some(Ok(0)) => At::Trailer,
                     // A part ends with an end of line.
@@ -102,7 +109,12 @@
                 }
             }
             At::Head if self.begun.is_none() => {
-                self.begun = Some(text.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0));
+                self.begun = Some(
+                    text.split(' ')
+                        .nth(1)
+                        .and_then(|s| s.parse().ok())
+                        .unwrap_or(0),
+                );
             }
             At::Head => {
                 let (name, value) = text.split_once(':').unwrap_or_default();
--- a/crates/router/src/front/account.rs
+++ b/crates/router/src/front/account.rs
@@ -17,19 +17,28 @@
 impl Account {
     /// So many bytes.
     pub fn new(most: usize) -> Account {
-        Account(Rc::new(Held { most, now: Cell::default(), peak: Cell::default() }))
+        Account(Rc::new(Held {
+            most,
+            now: Cell::default(),
+            peak: Cell::default(),
+        }))
     }
 
     /// Claims bytes, if there are so many.
     pub fn claim(&self, bytes: usize) -> Option<Claim> {
-        let mut claim = Claim { account: self.clone(), bytes: 0 };
+        let mut claim = Claim {
+            account: self.clone(),
+            bytes: 0,
+        };
         claim.grow_to(bytes).then_some(claim)
     }
 
     /// Claims bytes for a body. Guards against bodies that take all there is, so that nothing could be sent for any of
     /// them: a quarter is left for slices and answers.
     pub fn claim_body(&self, bytes: usize) -> Option<Claim> {
-        self.has_room_for_bodies(bytes).then(|| self.claim(bytes)).flatten()
+        self.has_room_for_bodies(bytes)
+            .then(|| self.claim(bytes))
+            .flatten()
     }
 
     /// Whether bodies may hold so many bytes more.
@@ -53,7 +62,9 @@
     /// Grows as a body does: see [`Account::claim_body`].
     #[must_use]
     pub fn grow_body_to(&mut self, bytes: usize) -> bool {
-        self.account.has_room_for_bodies(bytes.saturating_sub(self.bytes)) && self.grow_to(bytes)
+        self.account
+            .has_room_for_bodies(bytes.saturating_sub(self.bytes))
+            && self.grow_to(bytes)
     }
 
     /// Grows to so many bytes, if there are; otherwise it stays. It never shrinks so.
--- a/crates/router/src/front/body.rs
+++ b/crates/router/src/front/body.rs
@@ -81,14 +81,18 @@
     /// client that waits for a word is told to go on, before there is room. The head, where it is given, must say
     /// that it is JSON, or nothing.
     pub async fn whole(
-        self, headers: Option<&HeaderMap>, most: usize, account: &Account,
+        self,
+        headers: Option<&HeaderMap>,
+        most: usize,
+        account: &Account,
     ) -> Result<(Bytes, Claim), BodyError> {
         if self.ambiguous {
             return Err(BodyError::Ambiguous);
         }
         let declared = usize::try_from(self.body.size_hint().lower()).unwrap_or(usize::MAX);
-        let admitted =
-            headers.map_or(Ok(Coding::Plain), coding).and_then(|coding| match account.claim_body(declared) {
+        let admitted = headers
+            .map_or(Ok(Coding::Plain), coding)
+            .and_then(|coding| match account.claim_body(declared) {
                 _ if declared > most => Err(BodyError::TooLong(most)),
                 Some(claim) => Ok((coding, claim)),
                 None => Err(BodyError::NoRoom),
@@ -97,7 +101,9 @@
         let read = match admitted {
             Ok((coding, claim)) => {
                 let reading = read(&mut body, coding, declared, most, claim);
-                timeout_at(self.due, reading).await.unwrap_or(Err(BodyError::Slow))
+                timeout_at(self.due, reading)
+                    .await
+                    .unwrap_or(Err(BodyError::Slow))
             }
             Err(error) => Err(error),
         };
@@ -125,12 +131,19 @@
 
 /// Checks what the head says of the body: JSON, in a coding that is known here.
 fn coding(headers: &HeaderMap) -> Result<Coding, BodyError> {
-    let word = |name| headers.get(name).map(|v| v.to_str().unwrap_or("?").to_ascii_lowercase());
+    let word = |name| {
+        headers
+            .get(name)
+            .map(|v| v.to_str().unwrap_or("?").to_ascii_lowercase())
+    };
     if let Some(media) = word(CONTENT_TYPE) {
         let (kind, rest) = media.split_once(';').unwrap_or((&media, ""));
-        let charset =
-            rest.split(';').filter_map(|p| p.trim().strip_prefix("charset=").map(str::to_owned)).next();
-        let utf8 = charset.is_none_or(|c| matches!(c.trim_matches('"'), "utf-8" | "utf8" | "us-ascii"));
+        let charset = rest
+            .split(';')
+            .filter_map(|p| p.trim().strip_prefix("charset=").map(str::to_owned))
+            .next();
+        let utf8 =
+            charset.is_none_or(|c| matches!(c.trim_matches('"'), "utf-8" | "utf8" | "us-ascii"));
         if kind.trim() != "application/json" || !utf8 {
             return Err(BodyError::MediaType);
         }
@@ -143,12 +156,18 @@
 }
 
 async fn read(
-    body: &mut Incoming, coding: Coding, declared: usize, most: usize, mut claim: Claim,
+    body: &mut Incoming,
+    coding: Coding,
+    declared: usize,
+    most: usize,
+    mut claim: Claim,
 ) -> Result<(Bytes, Claim), BodyError> {
     let mut decoder = MultiGzDecoder::new(Vec::new());
     let mut plain = BytesMut::with_capacity(if coding == Coding::Plain { declared } else { 0 });
     while let Some(frame) = body.frame().await {
-        let Ok(data) = frame.map_err(|_| BodyError::Unreadable)?.into_data() else { continue };
+        let Ok(data) = frame.map_err(|_| BodyError::Unreadable)?.into_data() else {
+            continue;
+        };
         if coding == Coding::Plain {
             let length = plain.len() + data.len();
             check(length, length.max(plain.capacity()), most, &mut claim)?;
@@ -156,7 +175,9 @@
             continue;
         }
         for piece in data.chunks(PIECE) {
-            decoder.write_all(piece).map_err(|_| BodyError::Unreadable)?;
+            decoder
+                .write_all(piece)
+                .map_err(|_| BodyError::Unreadable)?;
             let held = decoder.get_ref();
             check(held.len(), held.capacity(), most, &mut claim)?;
         }
--- a/crates/router/src/front/client_stream.rs
+++ b/crates/router/src/front/client_stream.rs
@@ -41,7 +41,8 @@
         let mut piece = [0; PIECE];
         while self.may_read_on() {
             let mut read = ReadBuf::new(&mut piece);
-            let failed = ready!(Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, &mut read)).is_err();
+            let failed =
+                ready!(Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, &mut read)).is_err();
             if failed || read.filled().is_empty() {
                 return Poll::Ready(());
             }
@@ -100,7 +101,11 @@
 }
 
 impl AsyncRead for TrackedStream {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let read = self.poll_next_bytes(cx, buf);
         let mut framing = self.state.framing.borrow_mut();
@@ -113,10 +118,16 @@
 }
 
 impl AsyncWrite for TrackedStream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut *self.stream.borrow_mut()).poll_write(cx, buf);
         let blocked_since = self.state.blocked_since.get().unwrap_or_else(Instant::now);
-        self.state.blocked_since.set(written.is_pending().then_some(blocked_since));
+        self.state
+            .blocked_since
+            .set(written.is_pending().then_some(blocked_since));
         written
     }
 
--- a/crates/router/src/front/connections.rs
+++ b/crates/router/src/front/connections.rs
@@ -102,7 +102,8 @@
     pub(super) fn reserve_read_ahead(&self, length: usize) -> bool {
         let own = self.read_ahead.borrow().len() + length;
         let total = self.read_ahead_total.get() + length;
-        let fits = own <= self.limits.body_bytes + 2 * super::BUFFER_MOST && total <= READ_AHEAD_TOTAL;
+        let fits =
+            own <= self.limits.body_bytes + 2 * super::BUFFER_MOST && total <= READ_AHEAD_TOTAL;
         if fits {
             self.read_ahead_total.set(total);
         }
@@ -111,7 +112,8 @@
 
     /// So many bytes of what was read ahead are kept no longer.
     pub(super) fn release_read_ahead(&self, length: usize) {
-        self.read_ahead_total.set(self.read_ahead_total.get() - length);
+        self.read_ahead_total
+            .set(self.read_ahead_total.get() - length);
     }
 
     /// For how long the connection has been idle, if it may be evicted.
@@ -154,7 +156,9 @@
             if self.permits.available_permits() == 0 {
                 self.evict_longest_idle();
             }
-            if let Ok(permit) = timeout(EVICTION_INTERVAL, self.permits.clone().acquire_owned()).await {
+            if let Ok(permit) =
+                timeout(EVICTION_INTERVAL, self.permits.clone().acquire_owned()).await
+            {
                 return permit.ok();
             }
         }
@@ -174,21 +178,30 @@
             close: Notify::new(),
         });
         self.connections.borrow_mut().insert(number, state.clone());
-        ClientConnection { limiter: self.clone(), number, state, _permit: permit }
+        ClientConnection {
+            limiter: self.clone(),
+            number,
+            state,
+            _permit: permit,
+        }
     }
 
     /// Closes the connections whose time is up.
     pub fn close_expired(&self) {
         let now = Instant::now();
         let connections = self.connections.borrow();
-        let expired = connections.values().filter(|state| state.expires_at().is_some_and(|at| at <= now));
+        let expired = connections
+            .values()
+            .filter(|state| state.expires_at().is_some_and(|at| at <= now));
         expired.for_each(|state| state.close.notify_one());
     }
 
     fn evict_longest_idle(&self) {
         let now = Instant::now();
         let connections = self.connections.borrow();
-        let idle = connections.values().filter_map(|state| Some((state.evictable_for(now)?, state)));
+        let idle = connections
+            .values()
+            .filter_map(|state| Some((state.evictable_for(now)?, state)));
         if let Some((_, state)) = idle.max_by_key(|(idle, _)| *idle) {
             state.close.notify_one();
         }
@@ -206,7 +219,8 @@
 impl Drop for ClientConnection {
     fn drop(&mut self) {
         self.limiter.connections.borrow_mut().remove(&self.number);
-        self.state.release_read_ahead(self.state.read_ahead.borrow().len());
+        self.state
+            .release_read_ahead(self.state.read_ahead.borrow().len());
     }
 }
 
@@ -239,7 +253,8 @@
 
     /// Whether a request has arrived of which nothing has been read yet.
     pub fn has_unread_request(&self, stream: &RefCell<Socket>) -> bool {
-        let between = self.state.framing.borrow().is_between() && self.state.read_ahead.borrow().is_empty();
+        let between =
+            self.state.framing.borrow().is_between() && self.state.read_ahead.borrow().is_empty();
         let blocked = self.state.blocked_since.get().is_some();
         between && !blocked && stream.borrow().has_received()
     }
@@ -266,7 +281,10 @@
             Activity::Receiving(since) => since,
             Activity::Answering | Activity::Idle(_) => Instant::now(),
         };
-        RequestGuard { state: self.0.clone(), body_deadline: since + self.0.limits.request_timeout }
+        RequestGuard {
+            state: self.0.clone(),
+            body_deadline: since + self.0.limits.request_timeout,
+        }
     }
 
     /// Whether where this request ends is in doubt.
@@ -297,6 +315,10 @@
     fn drop(&mut self) {
         let now = Instant::now();
         let between = self.state.framing.borrow().is_between();
-        self.state.activity.set(if between { Activity::Idle(now) } else { Activity::Receiving(now) });
+        self.state.activity.set(if between {
+            Activity::Idle(now)
+        } else {
+            Activity::Receiving(now)
+        });
     }
 }
--- a/crates/router/src/front/headers.rs
+++ b/crates/router/src/front/headers.rs
@@ -27,17 +27,27 @@
 /// The headers that pass on unchanged: all but those of the connection and those that an attempt sets itself. What a
 /// server needs of them is the server's affair: an idempotency key, for one, by which it discards repeats.
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    let named = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
-    let named: Vec<&str> = named.flat_map(|value| value.split(',')).map(str::trim).collect();
+    let named = headers
+        .get_all(CONNECTION)
+        .iter()
+        .filter_map(|value| value.to_str().ok());
+    let named: Vec<&str> = named
+        .flat_map(|value| value.split(','))
+        .map(str::trim)
+        .collect();
     let stays = |name: &HeaderName| {
         name == CONTENT_TYPE
             || HOP_BY_HOP.contains(name)
             || HOP_BY_HOP_NAMES.contains(&name.as_str())
             || SET_BY_ATTEMPT.contains(&name.as_str())
-            || named.iter().any(|other| name.as_str().eq_ignore_ascii_case(other))
+            || named
+                .iter()
+                .any(|other| name.as_str().eq_ignore_ascii_case(other))
     };
     let passed = headers.iter().filter(|(name, _)| !stays(name));
-    passed.map(|(name, value)| (name.clone(), value.clone())).collect()
+    passed
+        .map(|(name, value)| (name.clone(), value.clone()))
+        .collect()
 }
 
 #[cfg(test)]
--- a/crates/router/src/front/inference/held.rs
+++ b/crates/router/src/front/inference/held.rs
@@ -31,7 +31,8 @@
     type Error = Broken;
 
     fn poll_frame(
-        mut self: Pin<&mut Self>, _: &mut Context<'_>,
+        mut self: Pin<&mut Self>,
+        _: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
         if self.left.is_empty() {
             return Poll::Ready(None);
