--- a/crates/router/src/front/inference/mod.rs
+++ b/crates/router/src/front/inference/mod.rs
@@ -17,12 +17,12 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use cranetack_routing_policy::{ClassId, Effect, Settings};
 use cranetack_batch_scheduler::{Failure as SliceFailure, Flow, Opening, Order as Slice, Verdict};
-use cranetack_settings::Facts;
 use cranetack_inference_api::{
     join, ApiError, Batch, Catalogue, Chat, Endpoint, Fold, Form, Kind, Part, Resolved,
 };
+use cranetack_routing_policy::{ClassId, Effect, Settings};
+use cranetack_settings::Facts;
 use http::header::{HeaderName, ALLOW, CONNECTION, CONTENT_TYPE};
 use http::request::Parts as Head;
 use http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode};
@@ -83,21 +83,33 @@
             Failure::Body(BodyError::NoRoom) => {
                 ApiError::server(503, "overloaded", BodyError::NoRoom.to_string())
             }
-            Failure::Body(error) => {
-                ApiError::invalid(error.status().as_u16(), "invalid_body", None, error.to_string())
-            }
-            Failure::Method(allowed) => {
-                ApiError::invalid(405, "method_not_supported", None, format!("this path takes {allowed}"))
-            }
-            Failure::Refused(_) => {
-                ApiError::server(503, "overloaded", "there is no room now; trying again is harmless")
-            }
-            Failure::Deadline => {
-                ApiError::server(504, "deadline_exceeded", "no answer had begun by the deadline")
-            }
-            Failure::Failed => {
-                ApiError::server(502, "upstream_failed", "the request failed; it may have run")
-            }
+            Failure::Body(error) => ApiError::invalid(
+                error.status().as_u16(),
+                "invalid_body",
+                None,
+                error.to_string(),
+            ),
+            Failure::Method(allowed) => ApiError::invalid(
+                405,
+                "method_not_supported",
+                None,
+                format!("this path takes {allowed}"),
+            ),
+            Failure::Refused(_) => ApiError::server(
+                503,
+                "overloaded",
+                "there is no room now; trying again is harmless",
+            ),
+            Failure::Deadline => ApiError::server(
+                504,
+                "deadline_exceeded",
+                "no answer had begun by the deadline",
+            ),
+            Failure::Failed => ApiError::server(
+                502,
+                "upstream_failed",
+                "the request failed; it may have run",
+            ),
             Failure::Taken => {
                 let message = "another request with this id is open";
                 ApiError::invalid(409, "id_in_use", Some("X-Request-Id"), message)
@@ -108,10 +120,13 @@
     fn response(&self) -> Response<AnswerBody> {
         let error = self.error();
         let mut response = json_response(AnswerBody::text(error.to_json()));
-        *response.status_mut() = StatusCode::from_u16(error.status).unwrap_or(StatusCode::BAD_GATEWAY);
+        *response.status_mut() =
+            StatusCode::from_u16(error.status).unwrap_or(StatusCode::BAD_GATEWAY);
         let headers = response.headers_mut();
         match self {
-            Failure::Method(allowed) => drop(headers.insert(ALLOW, HeaderValue::from_static(allowed))),
+            Failure::Method(allowed) => {
+                drop(headers.insert(ALLOW, HeaderValue::from_static(allowed)))
+            }
             // What is left of the body is not read.
             Failure::Body(_) => drop(headers.insert(CONNECTION, HeaderValue::from_static("close"))),
             _ => {}
@@ -122,7 +137,9 @@
 
 fn json_response(body: AnswerBody) -> Response<AnswerBody> {
     let mut response = Response::new(body);
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
@@ -197,11 +214,25 @@
     /// A front that hands its requests to `handle`. `seed` keeps the ids it gives apart from other routers'. Must
     /// be called within a `LocalSet`. The setup must have passed its check.
     pub fn new(
-        handle: Handle, setup: Setup, facts: &Facts, settings: &Settings, tenants: Option<Tenants>,
-        seed: u64, phase: watch::Receiver<Phase>,
+        handle: Handle,
+        setup: Setup,
+        facts: &Facts,
+        settings: &Settings,
+        tenants: Option<Tenants>,
+        seed: u64,
+        phase: watch::Receiver<Phase>,
     ) -> Inference {
-        let class = |name: &str| facts.classes.iter().position(|c| c.name == name).unwrap_or(0);
-        let most = settings.max_retry_after.and_then(|us| u64::try_from(us).ok()).map(Duration::from_micros);
+        let class = |name: &str| {
+            facts
+                .classes
+                .iter()
+                .position(|c| c.name == name)
+                .unwrap_or(0)
+        };
+        let most = settings
+            .max_retry_after
+            .and_then(|us| u64::try_from(us).ok())
+            .map(Duration::from_micros);
         Inference(Rc::new(Inner {
             handle,
             classes: Endpoint::ALL.map(|endpoint| class(&setup.served(endpoint).class)),
@@ -220,7 +251,9 @@
 
 impl Inner {
     async fn route(
-        &self, name: Rc<str>, request: Request<Arriving>,
+        &self,
+        name: Rc<str>,
+        request: Request<Arriving>,
     ) -> Result<Response<AnswerBody>, Failure> {
         let (head, body) = request.into_parts();
         let (endpoint, form) = match head.uri.path() {
@@ -234,7 +267,13 @@
             return Err(Failure::Method("POST"));
         }
         let order = self.order(name, &head, endpoint)?;
-        let body = body.whole(Some(&head.headers), self.setup.limits.body_bytes, &self.account).await;
+        let body = body
+            .whole(
+                Some(&head.headers),
+                self.setup.limits.body_bytes,
+                &self.account,
+            )
+            .await;
         let (body, claim) = body.map_err(Failure::Body)?;
         match form {
             None => self.chat(order, body, claim).await,
@@ -247,9 +286,17 @@
 
     /// `/v1/models` and `/v1/models/{id}`.
     fn models(&self, path: &str, head: &Head) -> Result<Response<AnswerBody>, Failure> {
-        let rest = path.strip_prefix(MODELS).filter(|rest| rest.is_empty() || rest.starts_with('/'));
+        let rest = path
+            .strip_prefix(MODELS)
+            .filter(|rest| rest.is_empty() || rest.starts_with('/'));
         let Some(rest) = rest else {
-            return Err(ApiError::invalid(404, "unknown_url", None, "there is nothing at this path").into());
+            return Err(ApiError::invalid(
+                404,
+                "unknown_url",
+                None,
+                "there is nothing at this path",
+            )
+            .into());
         };
         if head.method != Method::GET {
             return Err(Failure::Method("GET"));
@@ -266,7 +313,9 @@
         let patience = match header(head, "X-Deadline-Ms")?.map(str::parse::<u32>) {
             None => Duration::from_millis(self.setup.served(endpoint).deadline_ms.into()),
             Some(Ok(ms)) => Duration::from_millis(ms.into()).min(PATIENCE_MOST),
-            Some(Err(_)) => return Err(ApiError::value("X-Deadline-Ms", "must be whole milliseconds").into()),
+            Some(Err(_)) => {
+                return Err(ApiError::value("X-Deadline-Ms", "must be whole milliseconds").into())
+            }
         };
         let tenant = self.tenant(header(head, "authorization")?)?;
         let session = header(head, "X-Key")?.map(str::to_owned);
@@ -274,11 +323,17 @@
             return Err(Failure::Taken);
         }
         Ok(Order {
-            name: Name { name, open: self.open.clone() },
+            name: Name {
+                name,
+                open: self.open.clone(),
+            },
             endpoint,
             tenant,
             session,
-            query: head.uri.query().map_or(String::new(), |query| format!("?{query}")),
+            query: head
+                .uri
+                .query()
+                .map_or(String::new(), |query| format!("?{query}")),
             idempotency_key: head.headers.get(IDEMPOTENCY_KEY).cloned(),
             due: Instant::now() + patience,
         })
@@ -294,14 +349,19 @@
         match header(head, "X-Request-Id") {
             Ok(None) => Ok(made_up()),
             Ok(Some(id)) if is_word(id) => Ok(id.into()),
-            Ok(Some(_)) => Err((made_up(), ApiError::value("X-Request-Id", "must be a plain word").into())),
+            Ok(Some(_)) => Err((
+                made_up(),
+                ApiError::value("X-Request-Id", "must be a plain word").into(),
+            )),
             Err(failure) => Err((made_up(), failure)),
         }
     }
 
     /// Whose request it is, where there are tenants.
     fn tenant(&self, authorization: Option<&str>) -> Result<Option<Rc<str>>, Failure> {
-        let Some(tenants) = &self.tenants else { return Ok(None) };
+        let Some(tenants) = &self.tenants else {
+            return Ok(None);
+        };
         let nobody = || ApiError {
             kind: Kind::Authentication,
             ..ApiError::invalid(
@@ -311,7 +371,9 @@
                 "the key (Authorization: Bearer KEY) is no tenant's",
             )
         };
-        let key = authorization.and_then(|a| a.strip_prefix("Bearer ")).ok_or_else(nobody)?;
+        let key = authorization
+            .and_then(|a| a.strip_prefix("Bearer "))
+            .ok_or_else(nobody)?;
         match tenants.bearer(key.trim()) {
             Bearer::Tenant(name) => Ok(Some(name)),
             Bearer::Unknown => Err(nobody().into()),
@@ -325,13 +387,25 @@
     /// The name that servers know a model by, the class that it is served as, and the kinds of server that have it.
     fn model<'a>(&'a self, name: &'a str, endpoint: Endpoint) -> Result<Known<'a>, Failure> {
         let Resolved { name, class, kinds } = self.catalogue.resolve(name, endpoint)?;
-        let own = Endpoint::ALL.iter().position(|e| *e == endpoint).map_or(0, |at| self.classes[at]);
-        Ok(Known { name, class: ClassId(class.unwrap_or(own)), kinds })
+        let own = Endpoint::ALL
+            .iter()
+            .position(|e| *e == endpoint)
+            .map_or(0, |at| self.classes[at]);
+        Ok(Known {
+            name,
+            class: ClassId(class.unwrap_or(own)),
+            kinds,
+        })
     }
 
     /// What is submitted to the core for a part of a request.
     fn incoming(
-        &self, order: &Order, name: Rc<str>, model: Known, prompt_tokens: u64, message: Message,
+        &self,
+        order: &Order,
+        name: Rc<str>,
+        model: Known,
+        prompt_tokens: u64,
+        message: Message,
     ) -> IncomingRequest {
         IncomingRequest {
             request_id: name,
@@ -351,7 +425,10 @@
     }
 
     async fn chat(
-        &self, order: Order, body: Bytes, mut claim: Claim,
+        &self,
+        order: Order,
+        body: Bytes,
+        mut claim: Claim,
     ) -> Result<Response<AnswerBody>, Failure> {
         let chat = Chat::decode(&body, &self.setup.limits.bounds())?;
         let model = self.model(&chat.model, Endpoint::Chat)?;
@@ -363,18 +440,28 @@
         }
         let name = order.name.name.clone();
         let mut message = message(CHAT, &order.query, sent);
-        message.headers.extend(order.idempotency_key.clone().map(|key| (IDEMPOTENCY_KEY, key)));
+        message.headers.extend(
+            order
+                .idempotency_key
+                .clone()
+                .map(|key| (IDEMPOTENCY_KEY, key)),
+        );
         let mut incoming = self.incoming(&order, name.clone(), model, chat.prompt_tokens, message);
         incoming.max_tokens = chat.max_tokens.unwrap_or(0);
-        incoming.session = incoming.session.or(chat.user.as_ref().map(|user| order.own_session(user)));
+        incoming.session = incoming
+            .session
+            .or(chat.user.as_ref().map(|user| order.own_session(user)));
         let (answer, gone) = self.handle.submit(incoming).answer().await;
         let (media_type, parts) = served(answer, order.due)?;
         // Nothing further is sent for it: the body is let go.
         claim.shrink_to(STREAM_HELD);
         let events = media_type.starts_with(EVENTS);
         if chat.stream && events {
-            let mut response = Response::new(AnswerBody::other(EventStream::new(parts, gone, claim)));
-            response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(EVENTS));
+            let mut response =
+                Response::new(AnswerBody::other(EventStream::new(parts, gone, claim)));
+            response
+                .headers_mut()
+                .insert(CONTENT_TYPE, HeaderValue::from_static(EVENTS));
             return Ok(response);
         }
         if chat.stream {
@@ -392,7 +479,11 @@
 
     /// The answer that a stream's events make together.
     async fn folded(
-        &self, mut parts: Parts, mut claim: Claim, name: &str, model: &str,
+        &self,
+        mut parts: Parts,
+        mut claim: Claim,
+        name: &str,
+        model: &str,
     ) -> Result<(Bytes, Claim), Failure> {
         let mut fold = Fold::default();
         while let Some(part) = poll_fn(|cx| parts.poll_next(cx)).await {
@@ -428,20 +519,34 @@
 
     /// Serves a batch slice by slice. Finished slices are kept; one that fails is asked for again as the engine
     /// decides. The batch has one answer.
-    async fn batch(&self, order: Order, batch: Batch, claim: Claim) -> Result<Response<AnswerBody>, Failure> {
+    async fn batch(
+        &self,
+        order: Order,
+        batch: Batch,
+        claim: Claim,
+    ) -> Result<Response<AnswerBody>, Failure> {
         let model = self.model(&batch.model, order.endpoint)?;
         let mut hasher = DefaultHasher::new();
         order.tenant.hash(&mut hasher);
-        let effect = self.settings.classes.get(model.class.0).map(|c| c.effect).unwrap_or_default();
+        let effect = self
+            .settings
+            .classes
+            .get(model.class.0)
+            .map(|c| c.effect)
+            .unwrap_or_default();
         let opening = Opening {
-            flow: Flow { class: u32::try_from(model.class.0).unwrap_or(u32::MAX), tenant: hasher.finish() },
+            flow: Flow {
+                class: u32::try_from(model.class.0).unwrap_or(u32::MAX),
+                tenant: hasher.finish(),
+            },
             tokens: batch.tokens.clone(),
             common: batch.common_tokens,
             first: self.setup.served(order.endpoint).slice_tokens,
             due: 0,
             repeats: effect == Effect::Safe,
         };
-        let refused = |pause: i64| Failure::Refused(Duration::from_micros(u64::try_from(pause).unwrap_or(0)));
+        let refused =
+            |pause: i64| Failure::Refused(Duration::from_micros(u64::try_from(pause).unwrap_or(0)));
         let opened = self.queue.open(order.due, opening);
         let mut ticket = opened.map_err(|refusal| refused(refusal.come_back))?;
         let mut parts: Vec<(Range<usize>, Part)> = Vec::new();
@@ -468,7 +573,9 @@
                 }
                 Sliced::Taken => return Err(Failure::Taken),
                 // A router that leaves waits for nothing: its clients ask another one.
-                Sliced::Failed(SliceFailure::NoRoom(pause)) if *self.phase.borrow() >= Phase::Leaving => {
+                Sliced::Failed(SliceFailure::NoRoom(pause))
+                    if *self.phase.borrow() >= Phase::Leaving =>
+                {
                     ticket.failed(SliceFailure::Refused(pause));
                 }
                 Sliced::Failed(failure) => ticket.failed(failure),
@@ -496,7 +603,11 @@
         let failed = Sliced::Failed(SliceFailure::Failed);
         // Each slice, and each repeat of one, is a request of its own to the servers.
         let base = &order.name.name;
-        let name = if slice.number == 0 { base.clone() } else { format!("{base}.{}", slice.number).into() };
+        let name = if slice.number == 0 {
+            base.clone()
+        } else {
+            format!("{base}.{}", slice.number).into()
+        };
         let body = batch.encode(&slice.items, model.name);
         let pause = i64::try_from(ROOM_AGAIN.as_micros()).unwrap_or(0);
         let Some(sending) = self.account.claim(body.len()) else {
@@ -517,8 +628,12 @@
             Answer::DuplicateId => return failed,
         };
         drop(sending);
-        let Some(claim) = self.account.claim(0) else { return failed };
-        let Ok((whole, mut claim)) = self.whole(parts, claim).await else { return failed };
+        let Some(claim) = self.account.claim(0) else {
+            return failed;
+        };
+        let Ok((whole, mut claim)) = self.whole(parts, claim).await else {
+            return failed;
+        };
         match Part::decode(batch, slice.items.len(), &whole) {
             Ok(part) if claim.grow_to(part.held()) => {
                 claim.shrink_to(part.held());
@@ -540,7 +655,10 @@
             Failure::Api(error) if error.code == "tenants_unknown" => ROOM_AGAIN,
             _ => return None,
         };
-        let most = self.settings.max_retry_after.and_then(|us| u64::try_from(us).ok());
+        let most = self
+            .settings
+            .max_retry_after
+            .and_then(|us| u64::try_from(us).ok());
         let pause = most.map_or(pause, |us| pause.min(Duration::from_micros(us)));
         self.settings.retry_after.then_some(pause)
     }
@@ -548,7 +666,12 @@
 
 fn message(target: &str, query: &str, body: Bytes) -> Message {
     let media_type = "application/json".to_owned();
-    Message { target: format!("{target}{query}"), media_type, headers: HeaderMap::new(), body }
+    Message {
+        target: format!("{target}{query}"),
+        media_type,
+        headers: HeaderMap::new(),
+        body,
+    }
 }
 
 fn header<'a>(head: &'a Head, name: &'static str) -> Result<Option<&'a str>, Failure> {
@@ -569,7 +692,9 @@
 
 /// A part of a path with its escapes undone; one that cannot be is no model's name.
 fn unescaped(text: &str) -> String {
-    percent_encoding::percent_decode_str(text).decode_utf8_lossy().into_owned()
+    percent_encoding::percent_decode_str(text)
+        .decode_utf8_lossy()
+        .into_owned()
 }
 
 impl Front for Inference {
--- a/crates/router/src/front/inference/queue.rs
+++ b/crates/router/src/front/inference/queue.rs
@@ -5,7 +5,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cranetack_batch_scheduler::{BatchId, Engine, Failure, Micros, Opening, Order, Refusal, Settings, Verdict};
+use cranetack_batch_scheduler::{
+    BatchId, Engine, Failure, Micros, Opening, Order, Refusal, Settings, Verdict,
+};
 use tokio::sync::{mpsc, Notify};
 use tokio::time::Instant;
 
@@ -63,12 +65,20 @@
     /// Takes a batch whose client gives up at this instant, unless it has no hope.
     pub fn open(&self, due: Instant, opening: Opening) -> Result<Ticket, Refusal> {
         let due = self.0.at(due);
-        let opened = self.0.engine.borrow_mut().open(self.0.now(), Opening { due, ..opening });
+        let opened = self
+            .0
+            .engine
+            .borrow_mut()
+            .open(self.0.now(), Opening { due, ..opening });
         let id = opened?;
         let (tx, turns) = mpsc::unbounded_channel();
         self.0.tickets.borrow_mut().insert(id, tx);
         self.0.step(|_, _| ());
-        Ok(Ticket { shared: self.0.clone(), id, turns })
+        Ok(Ticket {
+            shared: self.0.clone(),
+            id,
+            turns,
+        })
     }
 }
 
@@ -116,7 +126,10 @@
     /// Waits for what comes next.
     pub async fn turn(&mut self) -> Turn {
         // The queue drops its half only with the ticket.
-        self.turns.recv().await.unwrap_or(Turn::Ended(Verdict::Failed))
+        self.turns
+            .recv()
+            .await
+            .unwrap_or(Turn::Ended(Verdict::Failed))
     }
 
     /// The slice that is out has been served.
@@ -126,7 +139,8 @@
 
     /// The slice that is out has failed.
     pub fn failed(&self, failure: Failure) {
-        self.shared.step(|engine, now| engine.failed(now, self.id, failure));
+        self.shared
+            .step(|engine, now| engine.failed(now, self.id, failure));
     }
 }
 
--- a/crates/router/src/front/inference/setup.rs
+++ b/crates/router/src/front/inference/setup.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cranetack_routing_policy::Stage;
 use cranetack_batch_scheduler::Settings;
-use cranetack_settings::Facts;
 use cranetack_inference_api::{Bounds, Catalogue, Endpoint, Model};
+use cranetack_routing_policy::Stage;
+use cranetack_settings::Facts;
 use serde::Deserialize;
 
 /// The file.
@@ -88,7 +88,11 @@
 impl Limits {
     /// What is looked for before a body is decoded.
     pub fn bounds(&self) -> Bounds {
-        Bounds { depth: self.depth, text: self.text_bytes, items: self.items }
+        Bounds {
+            depth: self.depth,
+            text: self.text_bytes,
+            items: self.items,
+        }
     }
 
     /// How long a request may take to arrive whole.
@@ -203,7 +207,10 @@
             }
         }
         if self.most_tokens < self.least_tokens {
-            return Err(format!("batches.most_tokens: must be at least least_tokens, {}", self.least_tokens));
+            return Err(format!(
+                "batches.most_tokens: must be at least least_tokens, {}",
+                self.least_tokens
+            ));
         }
         if !(0.0..=1.0).contains(&self.repeat_share) {
             return Err("batches.repeat_share: must be from 0 to 1".to_owned());
@@ -243,10 +250,18 @@
     let settings = facts.settings()?;
     let (mut bits, mut reads, mut writes) = (0, false, false);
     for name in names {
-        let kind = facts.kinds.iter().position(|k| k == name).filter(|kind| *kind < 64);
+        let kind = facts
+            .kinds
+            .iter()
+            .position(|k| k == name)
+            .filter(|kind| *kind < 64);
         let kind = kind.ok_or_else(|| format!("the settings have no kind {name:?}"))?;
         bits |= 1 << kind;
-        let stage = settings.kinds.get(kind).and_then(|k| k.stage).unwrap_or(Stage::Both);
+        let stage = settings
+            .kinds
+            .get(kind)
+            .and_then(|k| k.stage)
+            .unwrap_or(Stage::Both);
         reads |= stage != Stage::Write;
         writes |= stage != Stage::Read;
     }
@@ -269,10 +284,11 @@
 
     /// The models, by the numbers of their classes. The message names the key.
     pub fn catalogue(&self, facts: &Facts) -> Result<Catalogue, String> {
-        let class = |key: String, name: &String| match facts.classes.iter().position(|c| c.name == *name) {
-            Some(class) => Ok(class),
-            None => Err(format!("{key}: the settings have no class {name:?}")),
-        };
+        let class =
+            |key: String, name: &String| match facts.classes.iter().position(|c| c.name == *name) {
+                Some(class) => Ok(class),
+                None => Err(format!("{key}: the settings have no class {name:?}")),
+            };
         let mut models = Vec::new();
         for (at, named) in self.models.iter().enumerate() {
             let of = |endpoint: Endpoint| match endpoint {
@@ -283,10 +299,19 @@
             let mut classes = [None; 3];
             for (slot, endpoint) in classes.iter_mut().zip(Endpoint::ALL) {
                 let key = format!("models[{at}].{}", endpoint.name());
-                *slot = of(endpoint).as_ref().map(|name| class(key, name)).transpose()?;
+                *slot = of(endpoint)
+                    .as_ref()
+                    .map(|name| class(key, name))
+                    .transpose()?;
             }
-            let kinds = kinds(facts, &named.kinds).map_err(|e| format!("models[{at}].kinds: {e}"))?;
-            models.push(Model { name: named.name.clone(), aliases: named.aliases.clone(), classes, kinds });
+            let kinds =
+                kinds(facts, &named.kinds).map_err(|e| format!("models[{at}].kinds: {e}"))?;
+            models.push(Model {
+                name: named.name.clone(),
+                aliases: named.aliases.clone(),
+                classes,
+                kinds,
+            });
         }
         Catalogue::new(models)
     }
@@ -296,7 +321,10 @@
         for endpoint in Endpoint::ALL {
             let (key, served) = (endpoint.name(), self.served(endpoint));
             if !facts.classes.iter().any(|c| c.name == served.class) {
-                return Err(format!("{key}.class: the settings have no class {:?}", served.class));
+                return Err(format!(
+                    "{key}.class: the settings have no class {:?}",
+                    served.class
+                ));
             }
             if served.deadline_ms == 0 {
                 return Err(format!("{key}.deadline_ms: must be above 0"));
--- a/crates/router/src/front/inference/stream.rs
+++ b/crates/router/src/front/inference/stream.rs
@@ -33,7 +33,13 @@
 impl EventStream {
     /// The events of a server's answer.
     pub fn new(parts: Parts, gone: CancelGuard, claim: Claim) -> EventStream {
-        EventStream { parts, _gone: gone, _claim: claim, events: Events::default(), state: State::Passing }
+        EventStream {
+            parts,
+            _gone: gone,
+            _claim: claim,
+            events: Events::default(),
+            state: State::Passing,
+        }
     }
 
     fn next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
@@ -51,7 +57,9 @@
                 }
                 State::Over => return Poll::Ready(None),
             }
-            let Poll::Ready(part) = self.parts.poll_next(cx) else { return Poll::Pending };
+            let Poll::Ready(part) = self.parts.poll_next(cx) else {
+                return Poll::Pending;
+            };
             let passed = match part {
                 Some(Ok(data)) => self.events.push(&data).ok(),
                 // What follows the end of the answer is of no use to the client.
@@ -79,7 +87,8 @@
     type Error = Broken;
 
     fn poll_frame(
-        mut self: Pin<&mut Self>, cx: &mut Context<'_>,
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
         self.next(cx).map_ok(Frame::data)
     }
--- a/crates/router/src/front/mod.rs
+++ b/crates/router/src/front/mod.rs
@@ -57,7 +57,8 @@
     type Error = Broken;
 
     fn poll_frame(
-        mut self: Pin<&mut Self>, cx: &mut Context<'_>,
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
         Pin::new(&mut self.body).poll_frame(cx)
     }
@@ -103,7 +104,11 @@
 
     /// The parts of a server's answer.
     pub fn stream(parts: Parts, gone: CancelGuard) -> AnswerBody {
-        AnswerBody::Stream(Stream { parts, _gone: gone, broken: false })
+        AnswerBody::Stream(Stream {
+            parts,
+            _gone: gone,
+            broken: false,
+        })
     }
 }
 
@@ -128,7 +133,10 @@
     type Data = Bytes;
     type Error = Broken;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    fn poll_frame(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
         match self.get_mut() {
             AnswerBody::Text(text) => Pin::new(text).poll_frame(cx).map_err(|e| match e {}),
             AnswerBody::Stream(stream) => stream.poll_next(cx).map_ok(Frame::data),
@@ -206,25 +214,42 @@
     }
 
     fn call(&mut self, request: Request<Incoming>) -> Self::Future {
-        let Serving { front, phase, requests } = self.clone();
+        let Serving {
+            front,
+            phase,
+            requests,
+        } = self.clone();
         Box::pin(async move {
             let guard = requests.begin();
             let (due, ambiguous) = (guard.body_deadline(), requests.is_ambiguous());
             let waits = request.headers().contains_key(EXPECT);
-            let arriving = |body| Arriving { body, due, ambiguous, waits };
+            let arriving = |body| Arriving {
+                body,
+                due,
+                ambiguous,
+                waits,
+            };
             let mut response = front.answer(request.map(arriving)).await;
             // A client that is told now asks elsewhere next, and its connection needs no closing later.
             if *phase.borrow() >= Phase::Leaving || requests.is_last() {
-                response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+                response
+                    .headers_mut()
+                    .insert(CONNECTION, HeaderValue::from_static("close"));
             }
-            Ok(response.map(|body| Answering { body, _guard: guard }))
+            Ok(response.map(|body| Answering {
+                body,
+                _guard: guard,
+            }))
         })
     }
 }
 
 /// Listens, and serves each connection until `phase` says that the end has come and all is answered.
 pub async fn serve<F: Front>(
-    listener: TcpListener, front: F, most: usize, mut phase: watch::Receiver<Phase>,
+    listener: TcpListener,
+    front: F,
+    most: usize,
+    mut phase: watch::Receiver<Phase>,
 ) {
     let limiter = ConnectionLimiter::new(most, front.limits());
     let mut connections = tokio::task::JoinSet::new();
@@ -238,7 +263,11 @@
             while connections.try_join_next().is_some() {}
             let (stream, connection) = stream;
             let requests = connection.requests();
-            let service = Serving { front: front.clone(), phase: phase.clone(), requests };
+            let service = Serving {
+                front: front.clone(),
+                phase: phase.clone(),
+                requests,
+            };
             connections.spawn_local(serve_connection(stream, connection, service, phase.clone()));
         }
         drop(listener);
@@ -258,13 +287,21 @@
 
 /// The next connection, once there is a permit for it: the rest wait in the system's queue. A failure, such
 /// as descriptors running out, must not end the listening.
-async fn accept(listener: &TcpListener, limiter: &Rc<ConnectionLimiter>) -> (TcpStream, ClientConnection) {
+async fn accept(
+    listener: &TcpListener,
+    limiter: &Rc<ConnectionLimiter>,
+) -> (TcpStream, ClientConnection) {
     let permit = limiter.acquire().await;
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return (stream, limiter.register(permit)),
             // The one that waited has gone: the next may be there already.
-            Err(error) if matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {
+            Err(error)
+                if matches!(
+                    error.kind(),
+                    ErrorKind::ConnectionAborted | ErrorKind::Interrupted
+                ) =>
+            {
                 tracing::debug!(%error, "a connection was gone before it was accepted");
             }
             Err(error) => {
@@ -277,7 +314,10 @@
 
 /// Serves a connection to its end, and ends it.
 async fn serve_connection<F: Front>(
-    stream: TcpStream, connection: ClientConnection, service: Serving<F>, phase: watch::Receiver<Phase>,
+    stream: TcpStream,
+    connection: ClientConnection,
+    service: Serving<F>,
+    phase: watch::Receiver<Phase>,
 ) {
     let _ = stream.set_nodelay(true);
     let stream = Rc::new(RefCell::new(Socket::from(stream)));
@@ -286,7 +326,9 @@
 }
 
 async fn serve_requests<F: Front>(
-    stream: Rc<RefCell<Socket>>, connection: &ClientConnection, service: Serving<F>,
+    stream: Rc<RefCell<Socket>>,
+    connection: &ClientConnection,
+    service: Serving<F>,
     mut phase: watch::Receiver<Phase>,
 ) {
     let socket = stream.clone();
--- a/crates/router/src/front/platform.rs
+++ b/crates/router/src/front/platform.rs
@@ -33,7 +33,12 @@
     /// A front that hands its requests to `handle`.
     pub fn new(handle: Handle, facts: &Facts, readiness: Readiness) -> Platform {
         let classes = Rc::new(facts.classes.iter().map(|c| c.name.clone()).collect());
-        Platform { handle, classes, readiness, account: Account::new(usize::MAX) }
+        Platform {
+            handle,
+            classes,
+            readiness,
+            account: Account::new(usize::MAX),
+        }
     }
 
     async fn chat(&self, request: Request<Arriving>) -> Result<Response<AnswerBody>, Wrong> {
@@ -45,12 +50,18 @@
         Ok(match answer {
             Answer::Served { media_type, parts } => streamed(&media_type, parts, gone),
             Answer::Refused(pause) => {
-                let mut response = text(StatusCode::SERVICE_UNAVAILABLE, "refused: there is no room now\n");
+                let mut response = text(
+                    StatusCode::SERVICE_UNAVAILABLE,
+                    "refused: there is no room now\n",
+                );
                 retry_after(&mut response, pause);
                 response
             }
             Answer::Failed => text(StatusCode::BAD_GATEWAY, "failed: it may have run\n"),
-            Answer::DuplicateId => text(StatusCode::CONFLICT, "another request with this id is open\n"),
+            Answer::DuplicateId => text(
+                StatusCode::CONFLICT,
+                "another request with this id is open\n",
+            ),
         })
     }
 }
@@ -61,7 +72,10 @@
             (&Method::GET, UP) if self.readiness.is_ready() => text(StatusCode::OK, "ready\n"),
             (&Method::GET, UP) => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             (&Method::POST, CHAT) => self.chat(request).await.unwrap_or_else(Wrong::response),
-            (_, UP | CHAT) => text(StatusCode::METHOD_NOT_ALLOWED, "this method is not served here\n"),
+            (_, UP | CHAT) => text(
+                StatusCode::METHOD_NOT_ALLOWED,
+                "this method is not served here\n",
+            ),
             _ => text(StatusCode::NOT_FOUND, "there is nothing at this path\n"),
         }
     }
@@ -70,7 +84,10 @@
 fn text(status: StatusCode, text: impl Into<bytes::Bytes>) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::text(text));
     *response.status_mut() = status;
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; charset=utf-8"));
+    response.headers_mut().insert(
+        CONTENT_TYPE,
+        HeaderValue::from_static("text/plain; charset=utf-8"),
+    );
     response
 }
 
@@ -94,7 +111,9 @@
             _ => StatusCode::BAD_REQUEST,
         };
         let mut response = text(status, format!("{self}\n"));
-        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        response
+            .headers_mut()
+            .insert(CONNECTION, HeaderValue::from_static("close"));
         response
     }
 }
@@ -105,7 +124,9 @@
 }
 
 fn needed<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, Wrong> {
-    header(headers, name)?.filter(|v| !v.is_empty()).ok_or(Wrong::Missing(name))
+    header(headers, name)?
+        .filter(|v| !v.is_empty())
+        .ok_or(Wrong::Missing(name))
 }
 
 fn number<T: FromStr>(text: &str, name: &'static str) -> Result<T, Wrong> {
@@ -119,12 +140,23 @@
         return Err(Wrong::Unreadable("X-Request-Id"));
     }
     let class = needed(headers, "X-Class")?;
-    let class = classes.iter().position(|c| c == class).ok_or_else(|| Wrong::Class(class.to_owned()))?;
+    let class = classes
+        .iter()
+        .position(|c| c == class)
+        .ok_or_else(|| Wrong::Class(class.to_owned()))?;
     let patience: u32 = number(needed(headers, "X-Deadline-Ms")?, "X-Deadline-Ms")?;
-    let hint = header(headers, "X-Cost-Hint")?.map(|v| number::<u32>(v, "X-Cost-Hint")).transpose()?;
+    let hint = header(headers, "X-Cost-Hint")?
+        .map(|v| number::<u32>(v, "X-Cost-Hint"))
+        .transpose()?;
     let retry = header(headers, "X-Retry")?;
-    let target = head.uri.path_and_query().map_or(CHAT, |t| t.as_str()).to_owned();
-    let media_type = header(headers, "content-type")?.unwrap_or("application/json").to_owned();
+    let target = head
+        .uri
+        .path_and_query()
+        .map_or(CHAT, |t| t.as_str())
+        .to_owned();
+    let media_type = header(headers, "content-type")?
+        .unwrap_or("application/json")
+        .to_owned();
     let mut incoming = IncomingRequest {
         request_id: name.into(),
         class: ClassId(class),
@@ -138,10 +170,17 @@
         retry: retry.is_some(),
         came_back: retry == Some("again"),
         kinds: None,
-        message: Rc::new(Message { target, media_type, headers: end_to_end(headers), body }),
+        message: Rc::new(Message {
+            target,
+            media_type,
+            headers: end_to_end(headers),
+            body,
+        }),
     };
     for pair in header(headers, "X-Extras")?.unwrap_or("").split(',') {
-        let Some((key, value)) = pair.trim().split_once('=') else { continue };
+        let Some((key, value)) = pair.trim().split_once('=') else {
+            continue;
+        };
         match key {
             "prefix" => incoming.prefix = Some(value.to_owned()),
             "prompt_len" => incoming.prompt_tokens = number(value, "X-Extras")?,
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -95,12 +95,17 @@
 
 /// A runtime on which a router can run.
 pub fn runtime() -> Result<Runtime, StartError> {
-    tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(StartError::Runtime)
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(StartError::Runtime)
 }
 
 /// Runs a router on this thread until `signal` completes and all that it has taken is answered.
 pub fn run(
-    runtime: &Runtime, config: Config, extras: impl FnOnce() -> Extras,
+    runtime: &Runtime,
+    config: Config,
+    extras: impl FnOnce() -> Extras,
     signal: impl Future<Output = ()> + 'static,
 ) -> Result<(), StartError> {
     LocalSet::new().block_on(runtime, async {
@@ -111,7 +116,9 @@
 
 /// Calls again what failed, for a while: guards against a start that fails for the lack of a moment, as when descriptors
 /// are short or the process before it has not given its address up yet.
-async fn patiently<T, C: Future<Output = std::io::Result<T>>>(call: impl Fn() -> C) -> std::io::Result<T> {
+async fn patiently<T, C: Future<Output = std::io::Result<T>>>(
+    call: impl Fn() -> C,
+) -> std::io::Result<T> {
     let give_up = Instant::now() + START_PATIENCE;
     loop {
         match call().await {
@@ -138,20 +145,34 @@
 impl Router {
     /// Takes the addresses of the configuration, and of what else is set up.
     pub async fn bind(config: Config, extras: Extras) -> Result<Router, StartError> {
-        let failed = |key, address| move |source| StartError::Listen { key, address, source };
+        let failed = |key, address| {
+            move |source| StartError::Listen {
+                key,
+                address,
+                source,
+            }
+        };
         let listen = || TcpListener::bind(config.listen);
-        let listener = patiently(listen).await.map_err(failed("listen", config.listen))?;
+        let listener = patiently(listen)
+            .await
+            .map_err(failed("listen", config.listen))?;
         let second = match extras.inference {
             Some(setup) => {
                 let bound = patiently(|| TcpListener::bind(setup.listen)).await;
-                Some((bound.map_err(failed("inference listen", setup.listen))?, setup))
+                Some((
+                    bound.map_err(failed("inference listen", setup.listen))?,
+                    setup,
+                ))
             }
             None => None,
         };
         let control = match extras.control {
             Some(setup) => {
                 let bound = patiently(|| TcpListener::bind(setup.listen)).await;
-                Some((bound.map_err(failed("control listen", setup.listen))?, setup))
+                Some((
+                    bound.map_err(failed("control listen", setup.listen))?,
+                    setup,
+                ))
             }
             None => None,
         };
@@ -162,8 +183,18 @@
             }
             None => None,
         };
-        let discovery = extras.discovery.unwrap_or_else(|| watch::channel(config.discovery).1);
-        Ok(Router { config, listener, second, tenants: extras.tenants, control, discovery, peers })
+        let discovery = extras
+            .discovery
+            .unwrap_or_else(|| watch::channel(config.discovery).1);
+        Ok(Router {
+            config,
+            listener,
+            second,
+            tenants: extras.tenants,
+            control,
+            discovery,
+            peers,
+        })
     }
 
     /// Where clients of the platform connect.
@@ -173,17 +204,29 @@
 
     /// Where clients of the second front connect, if it is set up.
     pub fn inference_address(&self) -> Option<std::io::Result<SocketAddr>> {
-        self.second.as_ref().map(|(listener, _)| listener.local_addr())
+        self.second
+            .as_ref()
+            .map(|(listener, _)| listener.local_addr())
     }
 
     /// Where other proxies connect, if the control service is set up.
     pub fn control_address(&self) -> Option<std::io::Result<SocketAddr>> {
-        self.control.as_ref().map(|(listener, _)| listener.local_addr())
+        self.control
+            .as_ref()
+            .map(|(listener, _)| listener.local_addr())
     }
 
     /// Serves until `signal` completes and all that was taken is answered. Must run within a `LocalSet`.
     pub async fn serve(self, signal: impl Future<Output = ()> + 'static) {
-        let Router { config, listener, second, tenants, control, discovery, peers } = self;
+        let Router {
+            config,
+            listener,
+            second,
+            tenants,
+            control,
+            discovery,
+            peers,
+        } = self;
         let (handle, events) = Handle::new();
         if let Some(peers) = &peers {
             spawn_local(peers.clone().receive(handle.clone()));
@@ -198,7 +241,11 @@
             connection_limit: each,
             connect_timeout: allowed.connect_timeout().unwrap_or(CONNECT_TIMEOUT),
             idle_close: allowed.idle_close().unwrap_or(IDLE_CLOSE),
-            silence: if config.settings.resume { SILENCE_RESUMED } else { SILENCE },
+            silence: if config.settings.resume {
+                SILENCE_RESUMED
+            } else {
+                SILENCE
+            },
             report: config.facts.report.clone(),
         };
         let outbound = Upstream::new(handle.clone(), options, peers);
@@ -207,23 +254,33 @@
         let core = Core::new(config.settings, config.seed, Clock::system(), outbound);
         spawn_local(core.run(events));
         if let Some(known) = &config.known {
-            handle.send(CoreEvent::Members(ListForm::Stale, known.listed(&config.facts)));
+            handle.send(CoreEvent::Members(
+                ListForm::Stale,
+                known.listed(&config.facts),
+            ));
         }
         let (fresh_tx, fresh) = watch::channel(false);
         let late = fresh_tx.clone();
-        let ask_within = settings.ask_within.and_then(|us| u64::try_from(us).ok()).map(Duration::from_micros);
+        let ask_within = settings
+            .ask_within
+            .and_then(|us| u64::try_from(us).ok())
+            .map(Duration::from_micros);
         let pace = discovery::Pace::new(settings.balancers, ask_within, config.seed);
         let known = config.known.as_ref().map(|list| list.index);
         let (facts, told) = (config.facts.clone(), handle.clone());
-        spawn_local(discovery::watch(discovery, known, facts, told, fresh_tx, pace));
+        spawn_local(discovery::watch(
+            discovery, known, facts, told, fresh_tx, pace,
+        ));
         spawn_local(async move {
             tokio::time::sleep(FRESH_WAIT).await;
             late.send_replace(true);
         });
         // Where streams cannot be moved, those that run are finished, however long that takes.
         if moves {
-            let (leaving, handle) =
-                (shutdown::reached(phase.clone(), shutdown::Phase::Leaving), handle.clone());
+            let (leaving, handle) = (
+                shutdown::reached(phase.clone(), shutdown::Phase::Leaving),
+                handle.clone(),
+            );
             spawn_local(async move {
                 leaving.await;
                 let now = Instant::now();
@@ -239,7 +296,12 @@
             tracing::info!(listen = %setup.listen, "serving other proxies through xDS");
             let (snapshots, shown) = watch::channel(Default::default());
             let leaving = shutdown::reached(phase.clone(), shutdown::Phase::Leaving);
-            spawn_local(control::survey(handle.clone(), setup, config.facts.clone(), snapshots));
+            spawn_local(control::survey(
+                handle.clone(),
+                setup,
+                config.facts.clone(),
+                snapshots,
+            ));
             spawn_local(async move {
                 if let Err(error) = cranetack_xds_server::serve(listener, shown, leaving).await {
                     tracing::error!(%error, "the control service ended");
@@ -250,17 +312,30 @@
             if let Some((listener, setup)) = second {
                 tracing::info!(listen = %setup.listen, "serving embeddings and rerank beside chat");
                 let (facts, phase) = (&config.facts, phase.clone());
-                let service =
-                    Inference::new(handle, setup, facts, &settings, tenants, config.seed, phase.clone());
+                let service = Inference::new(
+                    handle,
+                    setup,
+                    facts,
+                    &settings,
+                    tenants,
+                    config.seed,
+                    phase.clone(),
+                );
                 front::serve(listener, service, most, phase).await;
             }
         };
-        tokio::join!(front::serve(listener, platform, most, phase.clone()), second);
+        tokio::join!(
+            front::serve(listener, platform, most, phase.clone()),
+            second
+        );
         // Proxies subscribe for as long as they live; nothing that was taken depends on them.
         control.inspect(tokio::task::JoinHandle::abort);
         tracing::info!("all that was taken has been answered");
         tokio::time::sleep(LAST_EVENTS).await;
-        if timeout(LAST_RELEASES, releases.wait_for(|running| *running == 0)).await.is_err() {
+        if timeout(LAST_RELEASES, releases.wait_for(|running| *running == 0))
+            .await
+            .is_err()
+        {
             tracing::warn!("the router ends before all that was held has been let go");
         }
     }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -103,11 +103,18 @@
 /// Runs the suite; whether all passed.
 fn conform(asked: &Conform) -> Result<bool, Box<dyn std::error::Error>> {
     let text = match &asked.cases {
-        Some(path) => std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?,
+        Some(path) => {
+            std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?
+        }
         None => cranetack_conformance::CASES.to_owned(),
     };
     let mut cases = cranetack_conformance::cases(&text)?;
-    cases.retain(|c| asked.only.as_ref().is_none_or(|only| c.name.contains(only.as_str())));
+    cases.retain(|c| {
+        asked
+            .only
+            .as_ref()
+            .is_none_or(|only| c.name.contains(only.as_str()))
+    });
     let base = cranetack_conformance::Base::new(&asked.base, asked.key.clone())?;
     let (all, mut told) = (cases.len(), 0);
     let tell = |outcome: &cranetack_conformance::Outcome| {
@@ -115,16 +122,25 @@
         if asked.json {
             println!("{}", serde_json::to_string(outcome).unwrap_or_default());
         } else if !outcome.problems.is_empty() {
-            println!("FAILED {}\n    {}", outcome.name, outcome.problems.join("\n    "));
+            println!(
+                "FAILED {}\n    {}",
+                outcome.name,
+                outcome.problems.join("\n    ")
+            );
         }
         if told % 50 == 0 {
             eprintln!("{told} of {all} cases");
         }
     };
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let outcomes = runtime.block_on(cranetack_conformance::run(&base, &cases, tell));
     let failed = outcomes.iter().filter(|o| !o.problems.is_empty()).count();
-    println!("conformance: {} passed, {failed} failed", outcomes.len() - failed);
+    println!(
+        "conformance: {} passed, {failed} failed",
+        outcomes.len() - failed
+    );
     Ok(failed == 0)
 }
 
@@ -145,25 +161,49 @@
         Command::Serve(files) => {
             let filter = tracing_subscriber::EnvFilter::try_from_env("CRANETACK_LOG")
                 .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("info"));
-            tracing_subscriber::fmt().with_env_filter(filter).with_ansi(false).init();
+            tracing_subscriber::fmt()
+                .with_env_filter(filter)
+                .with_ansi(false)
+                .init();
             let runtime = cranetack_router::runtime()?;
-            let Signals { hangup, termination } = {
+            let Signals {
+                hangup,
+                termination,
+            } = {
                 let _guard = runtime.enter();
                 Signals::install()?
             };
-            let Loaded { config, inference, tenants, control } = files.load()?;
+            let Loaded {
+                config,
+                inference,
+                tenants,
+                control,
+            } = files.load()?;
             let first = config.discovery;
             let extras = || {
                 let tenants = tenants.map(tenants::Tenants::follow);
                 let discovery = Some(follow(files.config, first, hangup));
-                Extras { inference, tenants, control, discovery }
+                Extras {
+                    inference,
+                    tenants,
+                    control,
+                    discovery,
+                }
             };
             cranetack_router::run(&runtime, config, extras, termination.requested())?;
             Ok(true)
         }
         Command::CheckConfig(files) => {
-            let Loaded { config, inference, tenants, control } = files.load()?;
-            println!("{} would serve the platform on {}", config.name, config.listen);
+            let Loaded {
+                config,
+                inference,
+                tenants,
+                control,
+            } = files.load()?;
+            println!(
+                "{} would serve the platform on {}",
+                config.name, config.listen
+            );
             if let Some(setup) = inference {
                 println!("embeddings, rerank and chat on {}", setup.listen);
             }
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -21,7 +21,10 @@
     /// Listens where the configuration says.
     pub async fn bind(peering: Peering) -> std::io::Result<Peers> {
         let socket = Rc::new(UdpSocket::bind(peering.listen).await?);
-        Ok(Peers { socket, peering: Rc::new(peering) })
+        Ok(Peers {
+            socket,
+            peering: Rc::new(peering),
+        })
     }
 
     /// Passes on what arrives from routers of the tier, for as long as the program runs.
@@ -47,7 +50,10 @@
     /// Sends a message to one router, or to all. What cannot be sent at once is lost, as any may be.
     pub fn send(&self, to: Option<u32>, bytes: &[u8]) {
         if bytes.len() > MESSAGE_MOST {
-            tracing::warn!(length = bytes.len(), "a message to other routers is too long and was not sent");
+            tracing::warn!(
+                length = bytes.len(),
+                "a message to other routers is too long and was not sent"
+            );
             return;
         }
         let to = match to {
--- a/crates/router/src/shutdown.rs
+++ b/crates/router/src/shutdown.rs
@@ -74,7 +74,10 @@
             terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
         };
-        Ok(Signals { hangup: signal(SignalKind::hangup())?, termination })
+        Ok(Signals {
+            hangup: signal(SignalKind::hangup())?,
+            termination,
+        })
     }
 }
 
--- a/crates/router/src/socket.rs
+++ b/crates/router/src/socket.rs
@@ -26,7 +26,9 @@
     /// Whether the system holds something that was not read yet.
     pub fn has_received(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
-        SockRef::from(self).peek(&mut byte).is_ok_and(|length| length > 0)
+        SockRef::from(self)
+            .peek(&mut byte)
+            .is_ok_and(|length| length > 0)
     }
 }
 
@@ -42,7 +44,11 @@
 }
 
 impl AsyncRead for Socket {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         loop {
             ready!(self.0.poll_read_ready(cx))?;
             match self.0.try_read_buf(buf) {
@@ -54,7 +60,11 @@
 }
 
 impl AsyncWrite for Socket {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(cx))?;
             match self.0.try_write(buf) {
--- a/crates/router/src/tenants.rs
+++ b/crates/router/src/tenants.rs
@@ -123,7 +123,10 @@
         let digest: [u8; 32] = Sha256::digest(key.as_bytes()).into();
         match &*self.0.borrow() {
             None => Bearer::NotYet,
-            Some(table) => table.get(&digest).cloned().map_or(Bearer::Unknown, Bearer::Tenant),
+            Some(table) => table
+                .get(&digest)
+                .cloned()
+                .map_or(Bearer::Unknown, Bearer::Tenant),
         }
     }
 }
@@ -153,10 +156,14 @@
 async fn search(ldap: &mut Ldap, setup: &Setup) -> Result<Table, ReadError> {
     if let (Some(dn), Some(file)) = (&setup.bind_dn, &setup.password_file) {
         let password = std::fs::read_to_string(file)?;
-        ldap.simple_bind(dn, password.trim_end_matches(['\r', '\n'])).await?.success()?;
+        ldap.simple_bind(dn, password.trim_end_matches(['\r', '\n']))
+            .await?
+            .success()?;
     }
     let attributes = [setup.name_attribute.as_str(), setup.key_attribute.as_str()];
-    let found = ldap.search(&setup.base, Scope::Subtree, &setup.filter, attributes).await?;
+    let found = ldap
+        .search(&setup.base, Scope::Subtree, &setup.filter, attributes)
+        .await?;
     let mut table = Table::new();
     for entry in found.success()?.0 {
         let entry = SearchEntry::construct(entry);
@@ -167,7 +174,10 @@
         for key in values(&entry, &setup.key_attribute) {
             match digest(key) {
                 Some(digest) => drop(table.insert(digest, name.as_str().into())),
-                None => tracing::warn!(dn = entry.dn, "a key that is not a SHA-256 digest is left out"),
+                None => tracing::warn!(
+                    dn = entry.dn,
+                    "a key that is not a SHA-256 digest is left out"
+                ),
             }
         }
     }
@@ -176,7 +186,10 @@
 
 /// The values of an attribute, whose name the directory may write in its own way.
 fn values<'a>(entry: &'a SearchEntry, name: &'a str) -> impl Iterator<Item = &'a String> {
-    let same = entry.attrs.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name));
+    let same = entry
+        .attrs
+        .iter()
+        .filter(move |(n, _)| n.eq_ignore_ascii_case(name));
     same.flat_map(|(_, values)| values)
 }
 
--- a/crates/router/src/upstream/attempt.rs
+++ b/crates/router/src/upstream/attempt.rs
@@ -36,7 +36,8 @@
 impl Drop for Reporter {
     fn drop(&mut self) {
         self.running.borrow_mut().remove(&self.attempt);
-        self.handle.send(CoreEvent::AttemptEnded(self.attempt, self.ended));
+        self.handle
+            .send(CoreEvent::AttemptEnded(self.attempt, self.ended));
     }
 }
 
@@ -52,7 +53,11 @@
 /// How an attempt stands once its answer has a beginning or it has ended without one.
 enum Begun {
     Ended(Ended),
-    Streams { body: Incoming, first: Bytes, media_type: String },
+    Streams {
+        body: Incoming,
+        first: Bytes,
+        media_type: String,
+    },
 }
 
 impl Attempt {
@@ -67,16 +72,27 @@
         // Absent once the connection has been given back, with the answer's status known by then.
         let seen = slot.as_ref().map(PooledConnection::trace);
         report.ended = match begun {
-            Begun::Streams { body, first, media_type } => {
+            Begun::Streams {
+                body,
+                first,
+                media_type,
+            } => {
                 self.spec.message = Rc::default();
                 let ended = self.stream(body, first, media_type, &mut slot).await;
                 let whole = ended.outcome == Outcome::Good;
-                ended.because(if whole { EndReason::StreamEnded } else { EndReason::StreamBroken })
+                ended.because(if whole {
+                    EndReason::StreamEnded
+                } else {
+                    EndReason::StreamBroken
+                })
             }
             Begun::Ended(ended) => ended,
         };
         if let Some(seen) = slot.as_ref().map(PooledConnection::trace).or(seen) {
-            report.ended.wire = WireTrace { reason: report.ended.wire.reason, ..seen };
+            report.ended.wire = WireTrace {
+                reason: report.ended.wire.reason,
+                ..seen
+            };
         }
         // Whatever has not been given back is ended before the end is told: what is sent next must find
         // this attempt gone. And what was never written whole has never run.
@@ -94,12 +110,22 @@
     }
 
     async fn stream(
-        &mut self, mut body: Incoming, first: Bytes, media_type: String, slot: &mut Option<PooledConnection>,
+        &mut self,
+        mut body: Incoming,
+        first: Bytes,
+        media_type: String,
+        slot: &mut Option<PooledConnection>,
     ) -> Ended {
         let (sink, parts) = exchange::stream();
         let attempt = self.spec.attempt;
-        self.shared.handle.send(CoreEvent::Established { attempt, media_type, parts });
-        let progress = slot.as_ref().map(|connection| connection.progress().clone());
+        self.shared.handle.send(CoreEvent::Established {
+            attempt,
+            media_type,
+            parts,
+        });
+        let progress = slot
+            .as_ref()
+            .map(|connection| connection.progress().clone());
         let pumped = tokio::select! {
             pumped = pump(&mut body, first, sink, self.shared.options.silence, progress.as_deref()) => pumped,
             Ok(()) = &mut self.broken_off => Err(Outcome::Cancelled),
@@ -118,7 +144,11 @@
 
 /// Passes a stream on, unchanged and as it comes, to its end.
 async fn pump(
-    body: &mut Incoming, first: Bytes, sink: Sink, silence: Duration, progress: Option<&WireProgress>,
+    body: &mut Incoming,
+    first: Bytes,
+    sink: Sink,
+    silence: Duration,
+    progress: Option<&WireProgress>,
 ) -> Result<Tail, Outcome> {
     let mut tail = Tail::default();
     let mut data = Some(first);
@@ -126,7 +156,9 @@
         if let Some(data) = data.take() {
             tail.push(&data);
             let pushed = timeout(UNREAD, sink.push(data)).await;
-            pushed.map_err(|_| Outcome::Cancelled)?.map_err(|_| Outcome::Cancelled)?;
+            pushed
+                .map_err(|_| Outcome::Cancelled)?
+                .map_err(|_| Outcome::Cancelled)?;
         }
         tokio::select! {
             frame = timeout(silence, body.frame()) => match frame {
@@ -150,7 +182,10 @@
 /// Sends the request and waits for the beginning of its answer, or its end. The connection stays in `slot`
 /// unless it has been given back.
 async fn begin(
-    shared: &Shared, spec: &AttemptSpec, written: &watch::Sender<bool>, slot: &mut Option<PooledConnection>,
+    shared: &Shared,
+    spec: &AttemptSpec,
+    written: &watch::Sender<bool>,
+    slot: &mut Option<PooledConnection>,
 ) -> Begun {
     let none = |reason| Begun::Ended(ended(Outcome::NoConn, reason));
     let reset = |reason| Begun::Ended(ended(Outcome::Reset, reason));
@@ -174,7 +209,10 @@
             return none(EndReason::NotWanted);
         }
         let connection = slot.insert(connection);
-        let left = spec.expire.saturating_duration_since(Instant::now()).as_millis();
+        let left = spec
+            .expire
+            .saturating_duration_since(Instant::now())
+            .as_millis();
         let request = Request::builder()
             .method(Method::POST)
             .uri(spec.message.target.as_str())
@@ -209,7 +247,9 @@
             Err(_) => return reset(EndReason::Broken),
         }
     };
-    let progress = slot.as_ref().map(|connection| connection.progress().clone());
+    let progress = slot
+        .as_ref()
+        .map(|connection| connection.progress().clone());
     tokio::select! {
         begun = answered(shared, spec, answer, slot) => begun,
         () = stalled(progress.as_deref()) => reset(EndReason::Stalled),
@@ -225,17 +265,31 @@
 }
 
 async fn answered(
-    shared: &Shared, spec: &AttemptSpec, answer: Response<Incoming>, slot: &mut Option<PooledConnection>,
+    shared: &Shared,
+    spec: &AttemptSpec,
+    answer: Response<Incoming>,
+    slot: &mut Option<PooledConnection>,
 ) -> Begun {
     let (head, mut body) = answer.into_parts();
     let load = reply::load_of(&head.headers, &shared.options.report);
-    let expected = if spec.reads { Expected::State } else { Expected::Answer };
+    let expected = if spec.reads {
+        Expected::State
+    } else {
+        Expected::Answer
+    };
     let reply = Reply::decode(expected, head.status, &head.headers);
     if reply == Reply::Stream {
-        let media_type = head.headers.get("content-type").and_then(|v| v.to_str().ok());
+        let media_type = head
+            .headers
+            .get("content-type")
+            .and_then(|v| v.to_str().ok());
         let media_type = media_type.unwrap_or(EVENTS).to_owned();
         return match opening(&mut body, media_type.starts_with(EVENTS)).await {
-            Some(first) => Begun::Streams { body, first, media_type },
+            Some(first) => Begun::Streams {
+                body,
+                first,
+                media_type,
+            },
             None => Begun::Ended(ended(Outcome::Reset, EndReason::Broken)),
         };
     }
@@ -249,8 +303,18 @@
     }
     wire.reason = EndReason::Answered(head.status.as_u16());
     Begun::Ended(match reply {
-        Reply::Ended(outcome, info) => Ended { outcome, info, load, wire },
-        _ => Ended { outcome: Outcome::HalfDone, info: reply::kept_tokens(&text), load, wire },
+        Reply::Ended(outcome, info) => Ended {
+            outcome,
+            info,
+            load,
+            wire,
+        },
+        _ => Ended {
+            outcome: Outcome::HalfDone,
+            info: reply::kept_tokens(&text),
+            load,
+            wire,
+        },
     })
 }
 
@@ -259,7 +323,9 @@
 async fn opening(body: &mut Incoming, events: bool) -> Option<Bytes> {
     let mut held = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let Ok(data) = frame.ok()?.into_data() else { continue };
+        let Ok(data) = frame.ok()?.into_data() else {
+            continue;
+        };
         held.extend_from_slice(&data);
         let whole = !events || ends_an_event(&held) || held.len() > BODY_MOST;
         if whole && !held.is_empty() {
@@ -272,5 +338,6 @@
 /// Whether a blank line is among these bytes, in any of the forms in which events may end.
 fn ends_an_event(bytes: &[u8]) -> bool {
     let ends: [&[u8]; 3] = [b"\n\n", b"\r\r", b"\r\n\r\n"];
-    ends.iter().any(|end| bytes.windows(end.len()).any(|part| part == *end))
+    ends.iter()
+        .any(|end| bytes.windows(end.len()).any(|part| part == *end))
 }
--- a/crates/router/src/upstream/calls.rs
+++ b/crates/router/src/upstream/calls.rs
@@ -37,13 +37,21 @@
 
 /// A call without a body.
 pub(super) fn call(method: Method, target: &str) -> Option<Request<Bytes>> {
-    Request::builder().method(method).uri(target).header("host", "worker").body(Bytes::new()).ok()
+    Request::builder()
+        .method(method)
+        .uri(target)
+        .header("host", "worker")
+        .body(Bytes::new())
+        .ok()
 }
 
 impl Shared {
     /// Makes a short call and gives its connection back. `Err` says whether the call may have been heard.
     async fn call(
-        &self, connection: PooledConnection, request: Request<Bytes>, until: Instant,
+        &self,
+        connection: PooledConnection,
+        request: Request<Bytes>,
+        until: Instant,
     ) -> Result<(StatusCode, Bytes), bool> {
         let mut connection = connection;
         let answer = timeout_at(until, async {
@@ -66,7 +74,11 @@
 
     pub(super) async fn load(&self, host: &Host) -> Result<(StatusCode, String), Outcome> {
         let until = Instant::now() + self.options.connect_timeout;
-        let connection = self.pool.acquire(host, until).await.map_err(|_| Outcome::NoConn)?;
+        let connection = self
+            .pool
+            .acquire(host, until)
+            .await
+            .map_err(|_| Outcome::NoConn)?;
         let request = call(Method::GET, "/metrics/load").ok_or(Outcome::Nop)?;
         match self.call(connection, request, until).await {
             Ok((status, body)) => Ok((status, String::from_utf8_lossy(&body).into_owned())),
@@ -77,7 +89,10 @@
 
     /// Asks for a place once the reading request's last byte is out; `None` if nothing was asked.
     pub(super) async fn request_reservation(
-        &self, mut written: watch::Receiver<bool>, request_id: &str, writer: &Host,
+        &self,
+        mut written: watch::Receiver<bool>,
+        request_id: &str,
+        writer: &Host,
     ) -> Option<Place> {
         let until = Instant::now() + self.options.connect_timeout;
         // The reading attempt's end drops the sender: then there is no read to hold a place for.
@@ -89,7 +104,10 @@
             return None;
         }
         let request = call(Method::POST, &format!("/bootstrap/rooms/{request_id}"))?;
-        match self.call(connection, request, Instant::now() + PLACE_WAIT).await {
+        match self
+            .call(connection, request, Instant::now() + PLACE_WAIT)
+            .await
+        {
             Ok((StatusCode::OK, _)) => Some(Place::Held),
             Ok((StatusCode::CONFLICT, _)) => Some(Place::Refused),
             Ok((StatusCode::NOT_FOUND, _)) | Err(false) => None,
@@ -108,7 +126,10 @@
                 break;
             }
             calls.spawn_local(self.clone().release_through(request_id.clone(), host));
-            if timeout(RELEASE_STAGGER, any_succeeds(&mut calls)).await.is_ok() {
+            if timeout(RELEASE_STAGGER, any_succeeds(&mut calls))
+                .await
+                .is_ok()
+            {
                 return;
             }
         }
@@ -121,7 +142,9 @@
         let Some(request) = call(Method::DELETE, &format!("/bootstrap/rooms/{request_id}")) else {
             return false;
         };
-        let Ok(connection) = self.pool.acquire(&host, until).await else { return false };
+        let Ok(connection) = self.pool.acquire(&host, until).await else {
+            return false;
+        };
         let released = self.call(connection, request, until).await.is_ok();
         tracing::debug!(id = %request_id, at = host.name, released, "a release has ended");
         released
--- a/crates/router/src/upstream/dial.rs
+++ b/crates/router/src/upstream/dial.rs
@@ -33,13 +33,16 @@
             | ErrorKind::OutOfMemory
             | ErrorKind::Interrupted
             | ErrorKind::WouldBlock
-    ) || error.raw_os_error().is_some_and(|code| out_of_descriptors.contains(&code))
+    ) || error
+        .raw_os_error()
+        .is_some_and(|code| out_of_descriptors.contains(&code))
 }
 
 /// Connects by `until`. What fails here is tried again until then: guards against failures of a moment that set one
 /// server after the other aside, and use up the attempts of a request.
 pub async fn dial<T, C: Future<Output = io::Result<T>>>(
-    until: Instant, connect: impl Fn() -> C,
+    until: Instant,
+    connect: impl Fn() -> C,
 ) -> Result<T, ConnectError> {
     let mut failed_here = false;
     loop {
--- a/crates/router/src/upstream/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -72,8 +72,17 @@
 impl Upstream {
     /// A client side that reports to this handle. Must be called within a `LocalSet`.
     pub fn new(handle: Handle, options: Options, peers: Option<Peers>) -> Upstream {
-        let pool = ConnectionPool::new(options.connection_limit, options.connect_timeout, options.idle_close);
-        let shared = Rc::new(Shared { handle, releases: watch::Sender::new(0), pool, options });
+        let pool = ConnectionPool::new(
+            options.connection_limit,
+            options.connect_timeout,
+            options.idle_close,
+        );
+        let shared = Rc::new(Shared {
+            handle,
+            releases: watch::Sender::new(0),
+            pool,
+            options,
+        });
         let weak = Rc::downgrade(&shared);
         tokio::task::spawn_local(async move {
             while let Some(shared) = weak.upgrade() {
@@ -82,7 +91,11 @@
                 tokio::time::sleep(EXPIRY_INTERVAL).await;
             }
         });
-        Upstream { shared, running: Running::default(), peers }
+        Upstream {
+            shared,
+            running: Running::default(),
+            peers,
+        }
     }
 }
 
@@ -98,7 +111,11 @@
         let (cancel, cancelled) = oneshot::channel();
         let (break_off, broken_off) = oneshot::channel();
         let (written_tx, written) = watch::channel(false);
-        let control = Control { cancel: Some(cancel), break_off: Some(break_off), written };
+        let control = Control {
+            cancel: Some(cancel),
+            break_off: Some(break_off),
+            written,
+        };
         let report = Reporter {
             attempt: spec.attempt,
             handle: self.shared.handle.clone(),
@@ -106,25 +123,49 @@
             ended: Outcome::Reset.into(),
         };
         self.running.borrow_mut().insert(spec.attempt, control);
-        let attempt =
-            Attempt { shared: self.shared.clone(), spec, written: written_tx, cancelled, broken_off };
+        let attempt = Attempt {
+            shared: self.shared.clone(),
+            spec,
+            written: written_tx,
+            cancelled,
+            broken_off,
+        };
         tokio::task::spawn_local(attempt.run(report));
     }
 
     fn cancel(&mut self, attempt: AttemptId, streaming: bool) {
         if let Some(control) = self.running.borrow_mut().get_mut(&attempt) {
-            let word = if streaming { &mut control.break_off } else { &mut control.cancel };
+            let word = if streaming {
+                &mut control.break_off
+            } else {
+                &mut control.cancel
+            };
             word.take().map(|w| w.send(()));
         }
     }
 
     fn reserve(&mut self, reading: AttemptId, request_id: Rc<str>, writer: Rc<Host>) {
-        let Some(written) = self.running.borrow().get(&reading).map(|c| c.written.clone()) else { return };
+        let Some(written) = self
+            .running
+            .borrow()
+            .get(&reading)
+            .map(|c| c.written.clone())
+        else {
+            return;
+        };
         let shared = self.shared.clone();
         tokio::task::spawn_local(async move {
-            if let Some(place) = shared.request_reservation(written, &request_id, &writer).await {
+            if let Some(place) = shared
+                .request_reservation(written, &request_id, &writer)
+                .await
+            {
                 let host = writer.id;
-                shared.handle.send(CoreEvent::ReservationAnswered { reading, request_id, host, place });
+                shared.handle.send(CoreEvent::ReservationAnswered {
+                    reading,
+                    request_id,
+                    host,
+                    place,
+                });
             }
         });
     }
@@ -143,11 +184,18 @@
         tokio::task::spawn_local(async move {
             let began = Instant::now();
             let (outcome, load) = match shared.load(&host).await {
-                Ok((StatusCode::OK, text)) => (Outcome::Good, reply::load(&text, &shared.options.report)),
+                Ok((StatusCode::OK, text)) => {
+                    (Outcome::Good, reply::load(&text, &shared.options.report))
+                }
                 Ok(_) => (Outcome::Full, None),
                 Err(outcome) => (outcome, None),
             };
-            shared.handle.send(CoreEvent::Probed { host: host.id, outcome, spent: began.elapsed(), load });
+            shared.handle.send(CoreEvent::Probed {
+                host: host.id,
+                outcome,
+                spent: began.elapsed(),
+                load,
+            });
         });
     }
 
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -148,7 +148,11 @@
 
 impl ConnectionPool {
     /// At most `limit` connections; a kept one is closed after a part of the span for which servers keep it.
-    pub fn new(limit: usize, connect_timeout: Duration, server_idle_timeout: Duration) -> ConnectionPool {
+    pub fn new(
+        limit: usize,
+        connect_timeout: Duration,
+        server_idle_timeout: Duration,
+    ) -> ConnectionPool {
         ConnectionPool {
             idle: RefCell::default(),
             next_number: Cell::default(),
@@ -159,7 +163,11 @@
     }
 
     /// A connection to the server that is ready for a request, by this instant: a kept one if there is one.
-    pub async fn acquire(&self, server: &Host, until: Instant) -> Result<PooledConnection, ConnectError> {
+    pub async fn acquire(
+        &self,
+        server: &Host,
+        until: Instant,
+    ) -> Result<PooledConnection, ConnectError> {
         match self.acquire_idle(server) {
             Some(connection) => Ok(connection),
             None => self.connect(server, until).await,
@@ -173,7 +181,10 @@
         let kept = idle.get_mut(&server.id)?;
         kept.retain(|idle| idle.connection.address == server.address());
         while let Some(rested) = kept.iter().rposition(|idle| idle.since.elapsed() >= REST) {
-            let IdleConnection { mut connection, since } = kept.remove(rested);
+            let IdleConnection {
+                mut connection,
+                since,
+            } = kept.remove(rested);
             let usable = since.elapsed() < self.idle_timeout && connection.sender.is_ready();
             if usable && connection.is_quiet() {
                 connection.idle = Some(since.elapsed());
@@ -185,20 +196,30 @@
     }
 
     /// A new connection to the server, by this instant.
-    pub async fn connect(&self, server: &Host, until: Instant) -> Result<PooledConnection, ConnectError> {
+    pub async fn connect(
+        &self,
+        server: &Host,
+        until: Instant,
+    ) -> Result<PooledConnection, ConnectError> {
         let until = until.min(Instant::now() + self.connect_timeout);
         if self.permits.available_permits() == 0 {
             self.evict_longest_idle();
         }
         let permit = self.permits.clone().acquire_owned();
-        let permit = timeout_at(until, permit).await.ok().and_then(Result::ok).ok_or(ConnectError::Local)?;
+        let permit = timeout_at(until, permit)
+            .await
+            .ok()
+            .and_then(Result::ok)
+            .ok_or(ConnectError::Local)?;
         let address = server.address();
         let stream = dial(until, || TcpStream::connect(address)).await?;
         let _ = stream.set_nodelay(true);
         let stream = Rc::new(RefCell::new(Socket::from(stream)));
         let progress = Rc::new(WireProgress::default());
         let io = TokioIo::new(ObservedStream::new(stream.clone(), progress.clone()));
-        let handshake = http1::Builder::new().max_buf_size(BUFFER_LIMIT).handshake(io);
+        let handshake = http1::Builder::new()
+            .max_buf_size(BUFFER_LIMIT)
+            .handshake(io);
         let (sender, connection) = handshake.await.map_err(|_| ConnectError::Server)?;
         // How it ended shows at the request that it carried.
         let driver = tokio::task::spawn_local(async move { drop(connection.await) });
@@ -229,7 +250,10 @@
             if kept.len() == IDLE_LIMIT {
                 kept.remove(0);
             }
-            kept.push(IdleConnection { connection, since: Instant::now() });
+            kept.push(IdleConnection {
+                connection,
+                since: Instant::now(),
+            });
         }
     }
 
@@ -253,7 +277,10 @@
     /// Gives up the connection that has been idle for longest.
     fn evict_longest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.values_mut().filter(|kept| !kept.is_empty()).min_by_key(|kept| kept[0].since);
+        let oldest = idle
+            .values_mut()
+            .filter(|kept| !kept.is_empty())
+            .min_by_key(|kept| kept[0].since);
         oldest.map(|kept| kept.remove(0));
     }
 
--- a/crates/router/src/upstream/pool/tests.rs
+++ b/crates/router/src/upstream/pool/tests.rs
@@ -28,7 +28,10 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let server = Host::new("a", listener.local_addr().unwrap());
     let pool = ConnectionPool::new(9, Duration::from_secs(1), Duration::from_secs(60));
-    let connection = pool.connect(&server, Instant::now() + Duration::from_secs(9)).await.unwrap();
+    let connection = pool
+        .connect(&server, Instant::now() + Duration::from_secs(9))
+        .await
+        .unwrap();
     let (accepted, _) = listener.accept().unwrap();
     pool.release(connection).await;
     (pool, server, accepted)
--- a/crates/router/src/upstream/progress.rs
+++ b/crates/router/src/upstream/progress.rs
@@ -52,7 +52,11 @@
     #[default]
     Nothing,
     /// Part of the head: so many bytes of the blank line that ends it came last, and the body's length.
-    Head { ending: usize, body: usize, begun: bool },
+    Head {
+        ending: usize,
+        body: usize,
+        begun: bool,
+    },
     /// All of the head; so many bytes of the body are to come.
     Body(usize),
     /// The last byte.
@@ -62,7 +66,11 @@
 impl WireProgress {
     /// A request with a body of this length begins.
     pub fn begin_request(&self, body: usize) {
-        self.written.set(Written::Head { ending: 0, body, begun: false });
+        self.written.set(Written::Head {
+            ending: 0,
+            body,
+            begun: false,
+        });
         self.bytes.set((0, 0));
     }
 
@@ -78,7 +86,9 @@
         let mut written = self.written.get();
         let mut rest = bytes;
         while let Written::Head { ending, body, .. } = written {
-            let Some((byte, more)) = rest.split_first() else { break };
+            let Some((byte, more)) = rest.split_first() else {
+                break;
+            };
             rest = more;
             let ending = match (*byte, ending) {
                 (byte, matched) if byte == HEAD_END[matched] => matched + 1,
@@ -87,12 +97,20 @@
             };
             written = match ending {
                 4 => Written::Body(body),
-                _ => Written::Head { ending, body, begun: true },
+                _ => Written::Head {
+                    ending,
+                    body,
+                    begun: true,
+                },
             };
         }
         if let Written::Body(left) = written {
             let left = left.saturating_sub(rest.len());
-            written = if left == 0 { Written::All } else { Written::Body(left) };
+            written = if left == 0 {
+                Written::All
+            } else {
+                Written::Body(left)
+            };
         }
         self.written.set(written);
         if written == Written::All {
@@ -127,7 +145,11 @@
     pub async fn stalled(&self, waiting_since: Instant) {
         loop {
             let now = Instant::now();
-            match self.partial_since.get().map(|since| since.max(waiting_since) + STALL_TIMEOUT) {
+            match self
+                .partial_since
+                .get()
+                .map(|since| since.max(waiting_since) + STALL_TIMEOUT)
+            {
                 Some(due) if now >= due => return,
                 Some(due) => sleep_until(due).await,
                 None => sleep_until(now + STALL_TIMEOUT).await,
@@ -152,7 +174,10 @@
 
     /// Whether nothing of the request has been written.
     pub fn nothing_written(&self) -> bool {
-        matches!(self.written.get(), Written::Nothing | Written::Head { begun: false, .. })
+        matches!(
+            self.written.get(),
+            Written::Nothing | Written::Head { begun: false, .. }
+        )
     }
 
     /// Waits until the request's last byte has been written.
@@ -181,7 +206,11 @@
 }
 
 impl AsyncRead for ObservedStream {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let read = ready!(Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, buf));
         Poll::Ready(read.and_then(|()| self.progress.on_read(&buf.filled()[before..])))
@@ -189,7 +218,11 @@
 }
 
 impl AsyncWrite for ObservedStream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut *self.stream.borrow_mut()).poll_write(cx, buf);
         if let Poll::Ready(Ok(length)) = &written {
             self.progress.on_written(&buf[..*length]);
--- a/crates/router/src/upstream/reply.rs
+++ b/crates/router/src/upstream/reply.rs
@@ -45,7 +45,9 @@
             (Expected::Answer, StatusCode::OK) => Reply::Stream,
             (Expected::State, StatusCode::ACCEPTED) => Reply::Read,
             (_, StatusCode::GONE) if not_run => Reply::Ended(Outcome::Full, 1),
-            (_, status) if not_run && TURNED_AWAY.contains(&status) => Reply::Ended(Outcome::Full, 0),
+            (_, status) if not_run && TURNED_AWAY.contains(&status) => {
+                Reply::Ended(Outcome::Full, 0)
+            }
             _ => Reply::Ended(Outcome::Bad, 0),
         }
     }
@@ -62,7 +64,10 @@
 
 /// The load report among the headers of an answer.
 pub fn load_of(headers: &HeaderMap, columns: &Report) -> Option<Load> {
-    headers.get(LOAD).and_then(|v| v.to_str().ok()).and_then(|text| load(text, columns))
+    headers
+        .get(LOAD)
+        .and_then(|v| v.to_str().ok())
+        .and_then(|text| load(text, columns))
 }
 
 /// A load report: `TEXT name=figure, name=figure`. Guards against one that cannot be read, which would take the
@@ -72,8 +77,13 @@
     let text = text.trim();
     let text = text.strip_prefix("TEXT").unwrap_or(text);
     for pair in text.split([',', ' ', '\n']) {
-        let Some((name, figure)) = pair.trim().split_once('=') else { continue };
-        let (name, figure) = (name.trim(), figure.trim().parse::<f64>().ok().filter(|f| f.is_finite()));
+        let Some((name, figure)) = pair.trim().split_once('=') else {
+            continue;
+        };
+        let (name, figure) = (
+            name.trim(),
+            figure.trim().parse::<f64>().ok().filter(|f| f.is_finite()),
+        );
         match name {
             "inflight" => load.inflight = figure,
             "queue" => load.queue = figure,
@@ -106,10 +116,23 @@
     pub fn ended(&self, columns: &Report) -> Ended {
         let text = String::from_utf8_lossy(&self.0);
         let after = |word: &str| text.rfind(word).map(|at| &text[at + word.len()..]);
-        let digits = |t: &str| t.trim_start().chars().take_while(char::is_ascii_digit).collect::<String>();
-        let kept = after("\"cached_tokens\":").and_then(|t| digits(t).parse().ok()).unwrap_or(0);
-        let load = after(": X-Load:").and_then(|t| t.lines().next()).and_then(|line| load(line, columns));
-        Ended { info: kept, load, ..Outcome::Good.into() }
+        let digits = |t: &str| {
+            t.trim_start()
+                .chars()
+                .take_while(char::is_ascii_digit)
+                .collect::<String>()
+        };
+        let kept = after("\"cached_tokens\":")
+            .and_then(|t| digits(t).parse().ok())
+            .unwrap_or(0);
+        let load = after(": X-Load:")
+            .and_then(|t| t.lines().next())
+            .and_then(|line| load(line, columns));
+        Ended {
+            info: kept,
+            load,
+            ..Outcome::Good.into()
+        }
     }
 }
 
