--- a/crates/routing-policy/src/interface.rs
+++ b/crates/routing-policy/src/interface.rs
@@ -238,7 +238,8 @@
 impl Ask {
     /// Whether it may go to a server of this kind.
     pub fn fits(&self, kind: KindId) -> bool {
-        self.kinds.is_none_or(|kinds| kind.0 < 64 && kinds >> kind.0 & 1 == 1)
+        self.kinds
+            .is_none_or(|kinds| kind.0 < 64 && kinds >> kind.0 & 1 == 1)
     }
 }
 
--- a/crates/routing-policy/src/policy.rs
+++ b/crates/routing-policy/src/policy.rs
@@ -133,7 +133,7 @@
     attempts: u32,
     out: Option<Out>,
     state: Option<(HostId, Micros)>, // where the read state waits, and since when nothing is done with it
-    look: Option<(HostId, Micros)>,  // the reader probed for it, and until when it waits for the report
+    look: Option<(HostId, Micros)>, // the reader probed for it, and until when it waits for the report
     place: Option<HostId>,
     places: u32,
     looks: u32,
@@ -184,7 +184,10 @@
         let mut policy = Policy {
             settings,
             now,
-            out: vec![Action::Sleep { at: now + TICK, key: KEY_TICK }],
+            out: vec![Action::Sleep {
+                at: now + TICK,
+                key: KEY_TICK,
+            }],
             rng: Pcg32::new(seed, 0xda3e_39cb_94b9_5bdb),
             hosts: BTreeMap::new(),
             requests: BTreeMap::new(),
@@ -195,8 +198,20 @@
             rates: [0.0; 3],
             began: now,
             starts: StartClock::default(),
-            pools: [0.0; 2].map(|late| (Limit { most: f64::MAX, cut_at: Micros::MIN }, late)),
-            pace: Pace { asked_at: now, room_at: now, ..Pace::default() },
+            pools: [0.0; 2].map(|late| {
+                (
+                    Limit {
+                        most: f64::MAX,
+                        cut_at: Micros::MIN,
+                    },
+                    late,
+                )
+            }),
+            pace: Pace {
+                asked_at: now,
+                room_at: now,
+                ..Pace::default()
+            },
             leaving: None,
             away: BTreeMap::new(),
         };
@@ -212,8 +227,19 @@
         match event {
             Event::Members { form, members } => self.on_members(form, members),
             Event::Ask(ask) => self.on_ask(ask),
-            Event::Established { id, attempt, host, .. } => self.on_established(id, attempt, host),
-            Event::Result { id, attempt, host, outcome, info, no_more, load, .. } => {
+            Event::Established {
+                id, attempt, host, ..
+            } => self.on_established(id, attempt, host),
+            Event::Result {
+                id,
+                attempt,
+                host,
+                outcome,
+                info,
+                no_more,
+                load,
+                ..
+            } => {
                 self.hear(host, load);
                 self.on_result(id, attempt, outcome, info, no_more);
             }
@@ -224,10 +250,17 @@
             Event::Timer(KEY_TICK) => self.on_tick(),
             Event::Timer(KEY_SUBSCRIBE) => self.subscribe(),
             Event::Timer(key) => self.on_timer(key),
-            Event::Probed { host, outcome, load, .. } => {
+            Event::Probed {
+                host,
+                outcome,
+                load,
+                ..
+            } => {
                 self.hear(host, load);
                 self.judge(host, None, outcome);
-                self.requests.values_mut().for_each(|r| r.look = r.look.filter(|(at, _)| *at != host));
+                self.requests
+                    .values_mut()
+                    .for_each(|r| r.look = r.look.filter(|(at, _)| *at != host));
                 self.advance_waiting();
             }
         }
@@ -240,29 +273,43 @@
 
     fn subscribe(&mut self) {
         self.out.push(Action::Subscribe(true));
-        let wake = |within: Micros| Action::Sleep { at: self.now + within.max(TICK), key: KEY_SUBSCRIBE };
+        let wake = |within: Micros| Action::Sleep {
+            at: self.now + within.max(TICK),
+            key: KEY_SUBSCRIBE,
+        };
         self.out.extend(self.settings.ask_within.map(wake));
     }
 
     fn on_members(&mut self, form: ListForm, members: Vec<Member>) {
         if form == ListForm::Broken && self.settings.membership_asked {
-            self.out.push(Action::Sleep { at: self.now + SUBSCRIBE_AGAIN, key: KEY_SUBSCRIBE });
+            self.out.push(Action::Sleep {
+                at: self.now + SUBSCRIBE_AGAIN,
+                key: KEY_SUBSCRIBE,
+            });
         }
         if matches!(form, ListForm::Whole | ListForm::Stale) {
-            self.hosts.values_mut().for_each(|h| (h.listed, h.member.readiness) = (false, Readiness::Gone));
+            self.hosts
+                .values_mut()
+                .for_each(|h| (h.listed, h.member.readiness) = (false, Readiness::Gone));
         }
         for member in &members {
-            let known =
-                self.hosts.get(&member.host).is_some_and(|h| h.member.last_start == member.last_start);
+            let known = self
+                .hosts
+                .get(&member.host)
+                .is_some_and(|h| h.member.last_start == member.last_start);
             let told = member.last_start.filter(|at| !known && *at > 0);
-            told.into_iter().for_each(|at| self.starts.observe(at, self.now));
+            told.into_iter()
+                .for_each(|at| self.starts.observe(at, self.now));
         }
         if matches!(form, ListForm::Whole | ListForm::Patch) {
             self.starts.confirm(self.now);
         }
         for member in members {
             let started = self.hosts.get(&member.host).map(|h| h.member.last_start);
-            let host = self.hosts.entry(member.host).or_insert_with(|| Host::new(member));
+            let host = self
+                .hosts
+                .entry(member.host)
+                .or_insert_with(|| Host::new(member));
             (host.member, host.listed) = (member, member.readiness == Readiness::Up);
             if started != Some(member.last_start) {
                 (host.kept, host.load, host.fails) = Default::default();
@@ -271,7 +318,8 @@
         }
         // Machines are replaced by others for as long as this lives: one that is gone is kept while in use.
         let in_use = |h: &Host| h.held[0] + h.held[1] + h.coming > 0.01;
-        self.hosts.retain(|_, h| h.member.readiness != Readiness::Gone || in_use(h));
+        self.hosts
+            .retain(|_, h| h.member.readiness != Readiness::Gone || in_use(h));
         self.advance_waiting();
     }
 
@@ -282,28 +330,48 @@
         if self.waiting.is_empty() {
             self.pace.room_at = self.now;
         }
-        self.requests.insert(ask.id, Request { ask, arrived: self.now, ..Request::default() });
+        self.requests.insert(
+            ask.id,
+            Request {
+                ask,
+                arrived: self.now,
+                ..Request::default()
+            },
+        );
         self.waiting.insert(ask.id);
-        self.pace.ask_span += ((self.now - self.pace.asked_at) as f64 - self.pace.ask_span) * WORK_STEP;
+        self.pace.ask_span +=
+            ((self.now - self.pace.asked_at) as f64 - self.pace.ask_span) * WORK_STEP;
         self.pace.asked_at = self.now;
         if self.openings.len() > KEPT_MOST {
             self.openings.clear();
         }
         for key in [Some(None), ask.prefix.map(Some)].into_iter().flatten() {
-            self.openings.entry(key).or_default().add(1.0, self.now, KEPT_FOR);
+            self.openings
+                .entry(key)
+                .or_default()
+                .add(1.0, self.now, KEPT_FOR);
         }
         self.pace.probes = (self.pace.probes + PROBES_AN_ASK).min(4.0 * PROBES_AN_ASK);
-        self.out.push(Action::Sleep { at: self.last_call(&ask), key: KEY_REQUEST + u64::from(ask.id.0) });
+        self.out.push(Action::Sleep {
+            at: self.last_call(&ask),
+            key: KEY_REQUEST + u64::from(ask.id.0),
+        });
         self.advance_waiting();
     }
 
     /// Probes the reader that a request would go to and waits for its report: it may have jammed unseen.
     fn look(&mut self, id: RequestId, reader: HostId) -> bool {
-        let old = self.hosts[&reader].load.is_none_or(|(at, _)| self.now >= at + LOOK_AGE);
+        let old = self.hosts[&reader]
+            .load
+            .is_none_or(|(at, _)| self.now >= at + LOOK_AGE);
         let looks = old && self.requests[&id].looks < LOOKS_MOST && self.probe(reader);
         if let Some(request) = self.requests.get_mut(&id).filter(|_| looks) {
-            (request.look, request.looks) = (Some((reader, self.now + LOOK_FOR)), request.looks + 1);
-            self.out.push(Action::Sleep { at: self.now + LOOK_FOR, key: KEY_REQUEST + u64::from(id.0) });
+            (request.look, request.looks) =
+                (Some((reader, self.now + LOOK_FOR)), request.looks + 1);
+            self.out.push(Action::Sleep {
+                at: self.now + LOOK_FOR,
+                key: KEY_REQUEST + u64::from(id.0),
+            });
         }
         looks
     }
@@ -311,7 +379,8 @@
     fn aim_span(&self, ask: &Ask) -> Micros {
         let class = self.class(ask);
         let per_1000 = class.and_then(|c| c.aim_per_1000).unwrap_or(0.0);
-        class.and_then(|c| c.aim).unwrap_or(AIM) + (per_1000 * ask.prompt_tokens as f64 / 1000.0) as Micros
+        class.and_then(|c| c.aim).unwrap_or(AIM)
+            + (per_1000 * ask.prompt_tokens as f64 / 1000.0) as Micros
     }
 
     fn last_call(&self, ask: &Ask) -> Micros {
@@ -321,15 +390,24 @@
     }
 
     fn on_established(&mut self, id: RequestId, attempt: u32, host: HostId) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let sent = request.out.as_mut().filter(|o| o.attempt == attempt && !o.established);
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let sent = request
+            .out
+            .as_mut()
+            .filter(|o| o.attempt == attempt && !o.established);
         let Some(sent) = sent else { return };
         sent.established = true;
         let sent = *sent;
         let lead = (self.now - request.first_sent.unwrap_or(self.now)) as f64 * LEAD_SAFETY;
         self.pace.lead += (lead - self.pace.lead) * WORK_STEP;
         (request.state, request.holds) = (None, false);
-        if let Some(h) = self.hosts.get_mut(&host).filter(|_| sent.stage == Stage::Both) {
+        if let Some(h) = self
+            .hosts
+            .get_mut(&host)
+            .filter(|_| sent.stage == Stage::Both)
+        {
             h.held[0] = (h.held[0] - sent.weight).max(0.0);
         }
         let class = request.ask.class;
@@ -338,9 +416,20 @@
         self.learn_limit(id, sent, false);
     }
 
-    fn on_result(&mut self, id: RequestId, attempt: u32, outcome: Outcome, info: u64, no_more: bool) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(sent) = request.out.filter(|o| o.attempt == attempt) else { return };
+    fn on_result(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        outcome: Outcome,
+        info: u64,
+        no_more: bool,
+    ) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(sent) = request.out.filter(|o| o.attempt == attempt) else {
+            return;
+        };
         let class = request.ask.class;
         // Only readers leave a state: from another server it proves nothing.
         let half_done = outcome == Outcome::HalfDone && sent.stage != Stage::Read;
@@ -354,7 +443,9 @@
             self.judge(sent.host, Some(class), outcome);
         }
         if matches!(outcome, Outcome::HalfDone | Outcome::Full | Outcome::Bad) {
-            self.hosts.entry(sent.host).and_modify(|h| h.answer(sent.sent));
+            self.hosts
+                .entry(sent.host)
+                .and_modify(|h| h.answer(sent.sent));
         }
         if outcome == Outcome::HalfDone || (outcome == Outcome::Full && !no_state) {
             self.learn_limit(id, sent, outcome == Outcome::Full);
@@ -362,7 +453,9 @@
         self.learn_work(id, sent, outcome, info);
         self.learn_kept(id, sent, outcome);
         let pin = self.pin();
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         match outcome {
             Outcome::HalfDone => request.state = Some((sent.host, self.now)),
             _ if sent.stage != Stage::Write || no_state => request.state = None,
@@ -381,29 +474,44 @@
             self.end(id);
         } else {
             self.waiting.insert(id);
-            self.out.extend(until.map(|at| Action::Sleep { at, key: KEY_REQUEST + u64::from(id.0) }));
+            self.out.extend(until.map(|at| Action::Sleep {
+                at,
+                key: KEY_REQUEST + u64::from(id.0),
+            }));
             self.advance(id);
         }
     }
 
     /// A writer without room for a place counts as full; another is asked while the prompt is read.
     fn on_earmarked(&mut self, id: RequestId, held: bool) {
-        let Some(request) = self.requests.get_mut(&id).filter(|_| !held) else { return };
+        let Some(request) = self.requests.get_mut(&id).filter(|_| !held) else {
+            return;
+        };
         let (place, out) = (request.place.take(), request.out);
-        place.and_then(|w| self.hosts.get_mut(&w)).into_iter().for_each(|w| w.refused_at = self.now);
-        let more = out.filter(|o| o.stage == Stage::Read && !request.ended && request.places < PLACES_MOST);
+        place
+            .and_then(|w| self.hosts.get_mut(&w))
+            .into_iter()
+            .for_each(|w| w.refused_at = self.now);
+        let more = out
+            .filter(|o| o.stage == Stage::Read && !request.ended && request.places < PLACES_MOST);
         if let Some(writer) = more.and_then(|o| self.choose_writer(id, o.host)) {
             self.earmark(id, writer);
         }
     }
 
     fn on_timer(&mut self, key: u64) {
-        let Some(id) = u32::try_from(key - KEY_REQUEST).ok().map(RequestId) else { return };
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(id) = u32::try_from(key - KEY_REQUEST).ok().map(RequestId) else {
+            return;
+        };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
         let held = |since: Micros| self.now >= since + self.pin();
         match (request.state, request.out) {
             (Some((_, since)), None) if held(since) => self.let_go(id),
-            (Some(_), Some(out)) if out.stage == Stage::Write && held(out.sent) => self.let_go_unfetched(id),
+            (Some(_), Some(out)) if out.stage == Stage::Write && held(out.sent) => {
+                self.let_go_unfetched(id)
+            }
             _ => {}
         }
         self.advance(id);
@@ -431,12 +539,21 @@
     }
 
     fn on_tick(&mut self) {
-        self.out.push(Action::Sleep { at: self.now + TICK, key: KEY_TICK });
-        [Stage::Read, Stage::Write, Stage::Both].into_iter().for_each(|stage| self.learn_rate(stage));
+        self.out.push(Action::Sleep {
+            at: self.now + TICK,
+            key: KEY_TICK,
+        });
+        [Stage::Read, Stage::Write, Stage::Both]
+            .into_iter()
+            .for_each(|stage| self.learn_rate(stage));
         self.watch();
         self.advance_waiting();
         self.on_leaving();
-        let longest = self.hosts.iter().filter(|(_, h)| h.listed).min_by_key(|(_, h)| h.probed_at);
+        let longest = self
+            .hosts
+            .iter()
+            .filter(|(_, h)| h.listed)
+            .min_by_key(|(_, h)| h.probed_at);
         if let Some((id, _)) = longest.filter(|(_, h)| self.now >= h.probed_at + PROBE_EVERY) {
             self.probe(*id);
         }
@@ -446,7 +563,9 @@
     fn probe(&mut self, id: HostId) -> bool {
         let told = self.settings.probing && self.settings.reporting == Reporting::OnProbe;
         let may = told && self.pace.probes >= 1.0;
-        let Some(host) = self.hosts.get_mut(&id).filter(|_| may) else { return false };
+        let Some(host) = self.hosts.get_mut(&id).filter(|_| may) else {
+            return false;
+        };
         (host.probed_at, host.mute) = (self.now, host.mute.min(self.now));
         self.pace.probes -= 1.0;
         self.out.push(Action::Touch(id));
@@ -457,17 +576,35 @@
     fn advance_waiting(&mut self) {
         let rank = |id: &RequestId| {
             let request = &self.requests[id];
-            let worth = self.class(&request.ask).and_then(|c| c.worth).unwrap_or(1.0);
+            let worth = self
+                .class(&request.ask)
+                .and_then(|c| c.worth)
+                .unwrap_or(1.0);
             let late = self.now + self.pace.lead as Micros
-                > request.ask.valid_until.min(request.arrived + self.aim_span(&request.ask));
-            let turn = if late { -i64::from(id.0) } else { i64::from(id.0) };
-            (request.state.is_none(), late, -(worth * 1000.0) as i64, turn, *id)
+                > request
+                    .ask
+                    .valid_until
+                    .min(request.arrived + self.aim_span(&request.ask));
+            let turn = if late {
+                -i64::from(id.0)
+            } else {
+                i64::from(id.0)
+            };
+            (
+                request.state.is_none(),
+                late,
+                -(worth * 1000.0) as i64,
+                turn,
+                *id,
+            )
         };
         let mut order: Vec<_> = self.waiting.iter().map(rank).collect();
         order.sort_unstable();
         let (mut blocked, mut ahead) = (BTreeSet::new(), 0);
         for (fresh, .., id) in order {
-            let Some(ask) = self.requests.get(&id).map(|r| r.ask) else { continue };
+            let Some(ask) = self.requests.get(&id).map(|r| r.ask) else {
+                continue;
+            };
             if !fresh || !blocked.contains(&ask.class) {
                 self.advance(id);
             }
@@ -490,19 +627,24 @@
     /// How long until room has opened here for so many.
     fn room_wait(&self, turns: usize) -> Micros {
         let since = (self.now - self.pace.room_at) as f64;
-        ((self.pace.room_span + (since - self.pace.room_span).max(0.0) * ROOM_STEP) * turns as f64) as Micros
+        ((self.pace.room_span + (since - self.pace.room_span).max(0.0) * ROOM_STEP) * turns as f64)
+            as Micros
     }
 
     fn advance(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
         let due = self.now >= self.last_call(&request.ask);
         let looking = request.look.is_some_and(|(_, until)| self.now < until); // its class waits with it
-        if request.ended || (looking && !due) || request.out.is_some_and(|o| o.established || !due) {
+        if request.ended || (looking && !due) || request.out.is_some_and(|o| o.established || !due)
+        {
             return;
         }
         // Without a state it takes a read and an answer, unless one server does both.
         let most = self.settings.max_attempts.unwrap_or(ATTEMPTS_MOST);
-        let whole = |h: &Host| h.listed && (self.settings.writers_read || self.stage(h) == Stage::Both);
+        let whole =
+            |h: &Host| h.listed && (self.settings.writers_read || self.stage(h) == Stage::Both);
         let last_read = request.state.is_none() && request.attempts + 1 == most;
         let spent = request.attempts >= most || (last_read && !self.hosts.values().any(whole));
         if due || spent || self.repeat_until(request, None).is_none() {
@@ -525,40 +667,76 @@
 
     fn send(&mut self, id: RequestId, to: HostId, stage: Stage, toward: Option<HostId>) -> bool {
         let until = |r: &Request| Some((r.ask, self.repeat_until(r, Some(self.hosts.get(&to)?))?));
-        let Some((ask, repeat_until)) = self.requests.get(&id).and_then(until) else { return false };
-        let weight = if stage == Stage::Write { 0.0 } else { self.read_weight(&ask, to) };
+        let Some((ask, repeat_until)) = self.requests.get(&id).and_then(until) else {
+            return false;
+        };
+        let weight = if stage == Stage::Write {
+            0.0
+        } else {
+            self.read_weight(&ask, to)
+        };
         let part = self.class_work(stage, ask.class, 1.0) / self.class_work(stage, ANY_CLASS, 1.0);
-        let Some(host) = self.hosts.get_mut(&to) else { return false };
+        let Some(host) = self.hosts.get_mut(&to) else {
+            return false;
+        };
         let run = PossibleRun::at(&host.member, self.now);
         host.cold_turn = [(self.now, part); 2];
         host.held[0] += weight;
         host.held[1] += f64::from(u8::from(stage != Stage::Read));
         let pin = self.pin();
-        let Some(request) = self.requests.get_mut(&id) else { return false };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return false;
+        };
         // Half of what is left, so that another server can be tried.
         let half_left = |since: Micros| self.now + (since + pin - self.now) / 2;
-        let up_by = request.state.map_or(repeat_until, |(_, since)| repeat_until.min(half_left(since)));
+        let up_by = request.state.map_or(repeat_until, |(_, since)| {
+            repeat_until.min(half_left(since))
+        });
         let (attempt, sent, established, overdue) = (request.attempts, self.now, false, None);
-        request.out = Some(Out { attempt, host: to, stage, sent, established, weight, toward, run, overdue });
+        request.out = Some(Out {
+            attempt,
+            host: to,
+            stage,
+            sent,
+            established,
+            weight,
+            toward,
+            run,
+            overdue,
+        });
         request.attempts += 1;
         request.first_sent.get_or_insert(self.now);
         (request.holds, request.let_go_unfetched) = (true, false);
         request.place = toward.or(request.place); // its lane's writer, also where no place can be asked for
-        toward.and_then(|w| self.hosts.get_mut(&w)).into_iter().for_each(|w| w.coming += 1.0);
+        toward
+            .and_then(|w| self.hosts.get_mut(&w))
+            .into_iter()
+            .for_each(|w| w.coming += 1.0);
         self.waiting.remove(&id);
         if stage == Stage::Write {
-            self.out.push(Action::Sleep { at: self.now + pin, key: KEY_REQUEST + u64::from(id.0) });
+            self.out.push(Action::Sleep {
+                at: self.now + pin,
+                key: KEY_REQUEST + u64::from(id.0),
+            });
         } else {
-            self.pace.room_span += ((self.now - self.pace.room_at) as f64 - self.pace.room_span) * ROOM_STEP;
+            self.pace.room_span +=
+                ((self.now - self.pace.room_at) as f64 - self.pace.room_span) * ROOM_STEP;
             self.pace.room_at = self.now;
         }
-        self.out.push(Action::Route { id, host: to, expire: ask.valid_until, up_by });
+        self.out.push(Action::Route {
+            id,
+            host: to,
+            expire: ask.valid_until,
+            up_by,
+        });
         true
     }
 
     fn earmark(&mut self, id: RequestId, writer: HostId) {
         let may = self.settings.earmarks && self.open(writer, false);
-        let Some(request) = self.requests.get_mut(&id).filter(|_| may) else { return };
+        let Some(request) = self.requests.get_mut(&id).filter(|_| may) else {
+            return;
+        };
         (request.place, request.places, request.holds) = (Some(writer), request.places + 1, true);
         self.out.push(Action::Earmark { id, host: writer });
     }
@@ -568,60 +746,108 @@
     fn open(&self, id: HostId, home: bool) -> bool {
         let turn = |h: &Host| h.cold_turn[usize::from(home)];
         let due = |h: &Host| self.now >= turn(h).0 + (self.cold_span(h) * turn(h).1) as Micros;
-        self.hosts.get(&id).is_some_and(|h| h.listed && (self.warmth(h) >= 1.0 || due(h)))
+        self.hosts
+            .get(&id)
+            .is_some_and(|h| h.listed && (self.warmth(h) >= 1.0 || due(h)))
     }
 
     /// Whether it is open, of a kind that the request may go to, not set aside, and in reach of a repeat.
     fn takes(&self, id: HostId, request: &Request, home: bool) -> bool {
         // One that was chosen before may have left the list since.
-        let Some(host) = self.hosts.get(&id) else { return false };
-        let aside = |key| host.fails.get(key).is_some_and(|(_, until)| self.now < *until);
+        let Some(host) = self.hosts.get(&id) else {
+            return false;
+        };
+        let aside = |key| {
+            host.fails
+                .get(key)
+                .is_some_and(|(_, until)| self.now < *until)
+        };
         let fits = request.ask.fits(host.member.kind);
         let may_repeat = self.repeat_until(request, Some(host)).is_some();
-        fits && may_repeat && self.open(id, home) && ![None, Some(request.ask.class)].iter().any(aside)
+        fits && may_repeat
+            && self.open(id, home)
+            && ![None, Some(request.ask.class)].iter().any(aside)
     }
 
     /// By when another attempt (at `to`, a reader too) must be written so that it cannot repeat an effect.
     fn repeat_until(&self, request: &Request, to: Option<&Host>) -> Option<Micros> {
-        let until = EffectRule::of(self.class(&request.ask)).repeat_until(request.ran, to.map(|h| &h.member));
+        let until = EffectRule::of(self.class(&request.ask))
+            .repeat_until(request.ran, to.map(|h| &h.member));
         until.filter(|until| self.now < *until)
     }
 
     /// The final answer of this dispatcher: a refusal where it is true that trying again is harmless.
     fn give_up(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get(&id) else { return };
-        let out_there = request.ran.is_some() || request.out.is_some_and(|o| o.stage != Stage::Read);
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let out_there =
+            request.ran.is_some() || request.out.is_some_and(|o| o.stage != Stage::Read);
         let harmless = EffectRule::of(self.class(&request.ask)).may_refuse(out_there);
-        let most = self.settings.max_retry_after.filter(|_| self.settings.retry_after).unwrap_or(0).max(0);
-        let pause = self.room_wait(self.waiting.len().max(1)).clamp(TICK.min(most), most);
-        self.out.push(if harmless { Action::Shed { id, pause } } else { Action::Lose(id) });
+        let most = self
+            .settings
+            .max_retry_after
+            .filter(|_| self.settings.retry_after)
+            .unwrap_or(0)
+            .max(0);
+        let pause = self
+            .room_wait(self.waiting.len().max(1))
+            .clamp(TICK.min(most), most);
+        self.out.push(if harmless {
+            Action::Shed { id, pause }
+        } else {
+            Action::Lose(id)
+        });
         self.end(id);
     }
 
     /// While the host leaves: tells the others and moves streams, the newest first, unless all that would
     /// tell us are away themselves. At the end all are moved, and what has no answer gets its final one.
     fn on_leaving(&mut self) {
-        let Some((from, by, words)) = self.leaving else { return };
+        let Some((from, by, words)) = self.leaving else {
+            return;
+        };
         let others = self.settings.balancers.unwrap_or(0).saturating_sub(1);
         let (told, me) = (others.min(LEAVES_TOLD), self.settings.me.unwrap_or(0));
         if self.settings.peers && words > 0 {
             self.leaving = Some((from, by, words - 1));
-            let to = |i| (u64::from(me) + 1 + u64::from(i * (others / told))) % (u64::from(others) + 1);
-            let tell = |i| Action::Publish { to: Some(to(i) as u32), bytes: vec![PEER_LEAVES] };
+            let to =
+                |i| (u64::from(me) + 1 + u64::from(i * (others / told))) % (u64::from(others) + 1);
+            let tell = |i| Action::Publish {
+                to: Some(to(i) as u32),
+                bytes: vec![PEER_LEAVES],
+            };
             self.out.extend((0..told).map(tell));
         }
-        let away = self.away.values().filter(|until| self.now < **until).count();
+        let away = self
+            .away
+            .values()
+            .filter(|until| self.now < **until)
+            .count();
         let end = self.now >= by;
         let may = self.settings.resume && (end || (self.now >= from && away < told as usize));
-        let mut left = if end { usize::MAX } else { MOVED_AT_ONCE * usize::from(may) };
-        let open = self.requests.iter().rev().filter(|(_, r)| !r.ended).map(|(id, r)| (*id, r.out));
+        let mut left = if end {
+            usize::MAX
+        } else {
+            MOVED_AT_ONCE * usize::from(may)
+        };
+        let open = self
+            .requests
+            .iter()
+            .rev()
+            .filter(|(_, r)| !r.ended)
+            .map(|(id, r)| (*id, r.out));
         for (id, out) in open.collect::<Vec<_>>() {
             if out.is_some_and(|o| o.established) {
-                self.out.extend((may && left > 0).then_some(Action::Bounce(id)));
+                self.out
+                    .extend((may && left > 0).then_some(Action::Bounce(id)));
                 left = left.saturating_sub(1);
             } else if end {
                 let out = out.filter(|_| self.settings.cancelling);
-                self.out.extend(out.map(|out| Action::Abort { id, attempt: out.attempt }));
+                self.out.extend(out.map(|out| Action::Abort {
+                    id,
+                    attempt: out.attempt,
+                }));
                 self.give_up(id);
             }
         }
@@ -638,12 +864,17 @@
     fn leave(&mut self, id: RequestId) {
         let out = self.requests.get(&id).and_then(|r| r.out);
         let out = out.filter(|o| !o.established && self.settings.cancelling);
-        self.out.extend(out.map(|out| Action::Abort { id, attempt: out.attempt }));
+        self.out.extend(out.map(|out| Action::Abort {
+            id,
+            attempt: out.attempt,
+        }));
         self.end(id);
     }
 
     fn end(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         request.ended = true;
         self.waiting.remove(&id);
         if request.out.is_none() {
@@ -655,15 +886,24 @@
     /// The part of its capacity that a server has at least, as the rules tell it.
     fn warmth(&self, host: &Host) -> f64 {
         let warm_up = self.settings.warm_up.unwrap_or(WARM_UP).max(1) as f64;
-        let start = self.settings.start_capacity.unwrap_or(START_CAPACITY).clamp(0.01, 1.0);
+        let start = self
+            .settings
+            .start_capacity
+            .unwrap_or(START_CAPACITY)
+            .clamp(0.01, 1.0);
         let started = host.member.last_start.filter(|at| *at > 0);
         let age = |at| self.starts.age(at, self.now) as f64;
-        started.map_or(1.0, |at| start + (1.0 - start) * age(at) / warm_up).min(1.0)
+        started
+            .map_or(1.0, |at| start + (1.0 - start) * age(at) / warm_up)
+            .min(1.0)
     }
 
     /// The span between our sends to a cold server, the first drawn. Guards against many pushing it over.
     fn cold_span(&self, host: &Host) -> f64 {
-        let (stage, multiple) = (self.stage(host), self.settings.fall_multiple.unwrap_or(FALL_MULTIPLE));
+        let (stage, multiple) = (
+            self.stage(host),
+            self.settings.fall_multiple.unwrap_or(FALL_MULTIPLE),
+        );
         let rate = multiple * self.warmth(host) * COLD_SHARE * self.rates[stage as usize];
         let most = self.settings.fall_window.unwrap_or(FALL_WINDOW) as f64 * self.balancers();
         (self.class_work(stage, ANY_CLASS, 1.0) / rate).min(most)
@@ -675,11 +915,17 @@
         let is_warm = |h: &&Host| h.listed && self.stage(h) == stage && self.warmth(h) >= 1.0;
         let warm = self.hosts.values().filter(is_warm).count().max(1) as f64;
         let seen = seen(self.now - self.began, CARRIED_FOR).max(CARRIED_LEAST);
-        self.rates[stage as usize] = self.carried[stage as usize].at(self.now, CARRIED_FOR) / seen / warm;
+        self.rates[stage as usize] =
+            self.carried[stage as usize].at(self.now, CARRIED_FOR) / seen / warm;
     }
 
     fn balancers(&self) -> f64 {
-        f64::from(self.settings.balancers.filter(|b| *b > 0).unwrap_or(BALANCERS))
+        f64::from(
+            self.settings
+                .balancers
+                .filter(|b| *b > 0)
+                .unwrap_or(BALANCERS),
+        )
     }
 
     fn class_work(&self, stage: Stage, class: ClassId, unknown: f64) -> f64 {
@@ -692,19 +938,38 @@
         let late = full || self.overdue(id, sent);
         let (ours, balancers) = (self.ours(), self.balancers());
         // What has not begun at a writer waits for a slot; at a mixed server it is being read.
-        let queued = |o: &&Out| late && sent.stage == Stage::Write && o.host == sent.host && !o.established;
-        let queue = self.requests.values().filter_map(|r| r.out.as_ref()).filter(queued).count() as f64;
+        let queued =
+            |o: &&Out| late && sent.stage == Stage::Write && o.host == sent.host && !o.established;
+        let queue = self
+            .requests
+            .values()
+            .filter_map(|r| r.out.as_ref())
+            .filter(queued)
+            .count() as f64;
         if sent.stage != Stage::Write && sent.overdue.is_none() {
             self.learn_spread(sent.host, late);
         }
         for (part, other) in [(0, Stage::Write), (1, Stage::Read)] {
-            let servers = self.hosts.values().filter(|h| h.listed && self.stage(h) != other).count() as f64;
-            let Some(host) = self.hosts.get_mut(&sent.host).filter(|_| sent.stage != other) else { continue };
+            let servers = self
+                .hosts
+                .values()
+                .filter(|h| h.listed && self.stage(h) != other)
+                .count() as f64;
+            let Some(host) = self
+                .hosts
+                .get_mut(&sent.host)
+                .filter(|_| sent.stage != other)
+            else {
+                continue;
+            };
             let held = [host.held[0] + sent.weight, (host.held[1] - queue).max(0.0)][part];
             host.limits[part].learn(self.now, sent.sent, held, late, LIMIT_MOST[part]);
             let (limit, share) = &mut self.pools[part];
-            *share +=
-                if sent.overdue.is_some() { 0.0 } else { (f64::from(u8::from(late)) - *share) * POOL_STEP };
+            *share += if sent.overdue.is_some() {
+                0.0
+            } else {
+                (f64::from(u8::from(late)) - *share) * POOL_STEP
+            };
             if sent.overdue.is_none() && (!late || *share > POOL_LATE) {
                 limit.learn(self.now, sent.sent, ours[part], late, f64::MAX);
                 limit.most = limit.most.max(POOL_LEAST[part] * servers / balancers);
@@ -715,7 +980,9 @@
     /// Homes go where fewer reads are late than in our zone or at one kind (see `home`): a zone may be given
     /// more than it bears, which none of many dispatchers sees in its few reads. Huge prompts can mislead it.
     fn learn_spread(&mut self, host: HostId, late: bool) {
-        let Some(host) = self.hosts.get(&host) else { return };
+        let Some(host) = self.hosts.get(&host) else {
+            return;
+        };
         let far = self.settings.zone != Some(host.member.zone);
         let own = [far, self.stage(host) != Stage::Read].map(usize::from);
         for (shares, own) in self.pace.late.iter_mut().zip(own) {
@@ -725,20 +992,36 @@
     }
 
     fn ours(&self) -> [f64; 2] {
-        self.hosts.values().fold([0.0; 2], |sum, h| [sum[0] + h.held[0], sum[1] + h.held[1] + h.coming])
+        self.hosts.values().fold([0.0; 2], |sum, h| {
+            [sum[0] + h.held[0], sum[1] + h.held[1] + h.coming]
+        })
     }
 
     /// Attempts that are overdue tell of a server's limit before they end: a silent server's falls too.
     fn watch(&mut self) {
         let waits = |r: &Request| r.out.filter(|o| !o.established && o.overdue != Some(true));
-        let out = self.requests.iter().filter_map(|(id, r)| Some((*id, waits(r)?)));
-        for (id, sent) in out.filter(|(id, sent)| self.overdue(*id, *sent)).collect::<Vec<_>>() {
+        let out = self
+            .requests
+            .iter()
+            .filter_map(|(id, r)| Some((*id, waits(r)?)));
+        for (id, sent) in out
+            .filter(|(id, sent)| self.overdue(*id, *sent))
+            .collect::<Vec<_>>()
+        {
             if sent.overdue.is_none() {
                 self.learn_limit(id, sent, true);
             }
             let lost = self.is_lost(id, sent);
-            self.out.extend(lost.then_some(Action::Abort { id, attempt: sent.attempt }));
-            self.requests.entry(id).and_modify(|r| r.out = Some(Out { overdue: Some(lost), ..sent }));
+            self.out.extend(lost.then_some(Action::Abort {
+                id,
+                attempt: sent.attempt,
+            }));
+            self.requests.entry(id).and_modify(|r| {
+                r.out = Some(Out {
+                    overdue: Some(lost),
+                    ..sent
+                })
+            });
         }
     }
 
@@ -746,7 +1029,10 @@
     /// nothing for long. Guards against silent connections. It could hurt where answers come out of turn.
     fn is_lost(&self, id: RequestId, sent: Out) -> bool {
         let (request, host) = (&self.requests[&id], self.hosts.get(&sent.host));
-        let effect = self.class(&request.ask).map(|c| c.effect).unwrap_or_default();
+        let effect = self
+            .class(&request.ask)
+            .map(|c| c.effect)
+            .unwrap_or_default();
         let repeats = sent.stage == Stage::Read || effect == Effect::Safe;
         let more = request.attempts + 1 < self.settings.max_attempts.unwrap_or(ATTEMPTS_MOST);
         let lost = |h: &Host| h.answered > sent.sent + PASSED_BY || self.now - MUTE_FOR > h.mute;
@@ -754,30 +1040,46 @@
     }
 
     fn overdue(&self, id: RequestId, sent: Out) -> bool {
-        let span = self.requests.get(&id).map_or(AIM, |r| self.aim_span(&r.ask));
+        let span = self
+            .requests
+            .get(&id)
+            .map_or(AIM, |r| self.aim_span(&r.ask));
         (self.now - sent.sent) as f64 > span as f64 * LATE[sent.stage as usize]
     }
 
     fn learn_work(&mut self, id: RequestId, sent: Out, outcome: Outcome, kept: u64) {
-        let Some(ask) = self.requests.get(&id).map(|r| r.ask) else { return };
+        let Some(ask) = self.requests.get(&id).map(|r| r.ask) else {
+            return;
+        };
         let work = match outcome {
             Outcome::HalfDone => ask.prompt_tokens.saturating_sub(kept) as f64 + 1.0,
             Outcome::Good => (self.now - sent.sent).max(1) as f64,
             _ => return,
         };
-        let stage = self.hosts.get(&sent.host).map_or(sent.stage, |h| self.stage(h));
+        let stage = self
+            .hosts
+            .get(&sent.host)
+            .map_or(sent.stage, |h| self.stage(h));
         for class in [ANY_CLASS, ask.class] {
             let mean = self.work.entry((stage, class)).or_insert(work);
             *mean += (work - *mean) * WORK_STEP;
         }
         let work = self.class_work(stage, ask.class, work);
-        if self.hosts.get(&sent.host).is_some_and(|h| self.warmth(h) >= 1.0) {
+        if self
+            .hosts
+            .get(&sent.host)
+            .is_some_and(|h| self.warmth(h) >= 1.0)
+        {
             self.carried[stage as usize].add(work, self.now, CARRIED_FOR);
         }
     }
 
     fn stage(&self, host: &Host) -> Stage {
-        self.settings.kinds.get(host.member.kind.0).and_then(|k| k.stage).unwrap_or(Stage::Both)
+        self.settings
+            .kinds
+            .get(host.member.kind.0)
+            .and_then(|k| k.stage)
+            .unwrap_or(Stage::Both)
     }
 
     fn hear(&mut self, id: HostId, load: Option<Load>) {
@@ -790,7 +1092,9 @@
     /// for all. The fewer our requests, the longer, else it would be over before the next one.
     fn judge(&mut self, id: HostId, class: Option<ClassId>, outcome: Outcome) {
         let turn = self.pace.ask_span as Micros * self.hosts.len() as Micros;
-        let Some(host) = self.hosts.get_mut(&id) else { return };
+        let Some(host) = self.hosts.get_mut(&id) else {
+            return;
+        };
         let (key, least) = match outcome {
             // One success is no recovery: a server that errs at once looks idle and draws all that waits.
             Outcome::Good | Outcome::HalfDone => {
@@ -811,21 +1115,35 @@
 
     /// What a reader has read it keeps: the opening for others, the whole prompt for the session's next.
     fn learn_kept(&mut self, id: RequestId, sent: Out, outcome: Outcome) {
-        let read = outcome == Outcome::HalfDone || (outcome == Outcome::Good && sent.stage == Stage::Both);
-        let Some(ask) = self.requests.get(&id).filter(|_| read).map(|r| r.ask) else { return };
-        let Some(host) = self.hosts.get_mut(&sent.host) else { return };
+        let read =
+            outcome == Outcome::HalfDone || (outcome == Outcome::Good && sent.stage == Stage::Both);
+        let Some(ask) = self.requests.get(&id).filter(|_| read).map(|r| r.ask) else {
+            return;
+        };
+        let Some(host) = self.hosts.get_mut(&sent.host) else {
+            return;
+        };
         if host.kept.len() >= KEPT_MOST {
             host.kept.clear();
         }
         let opening = ask.prefix.map(|p| ((false, p.0), ask.shared_tokens));
         let whole = ask.session.map(|s| ((true, s.0), ask.prompt_tokens));
-        host.kept.extend(opening.into_iter().chain(whole).map(|(key, n)| (key, (n, self.now))));
+        host.kept.extend(
+            opening
+                .into_iter()
+                .chain(whole)
+                .map(|(key, n)| (key, (n, self.now))),
+        );
     }
 
     fn uncount(&mut self, sent: Out) {
-        sent.toward.and_then(|w| self.hosts.get_mut(&w)).into_iter().for_each(|w| w.coming -= 1.0);
+        sent.toward
+            .and_then(|w| self.hosts.get_mut(&w))
+            .into_iter()
+            .for_each(|w| w.coming -= 1.0);
         if let Some(host) = self.hosts.get_mut(&sent.host) {
-            host.held[0] = (host.held[0] - if sent.established { 0.0 } else { sent.weight }).max(0.0);
+            host.held[0] =
+                (host.held[0] - if sent.established { 0.0 } else { sent.weight }).max(0.0);
             host.held[1] -= f64::from(u8::from(sent.stage != Stage::Read));
         }
     }
@@ -842,29 +1160,48 @@
         best_lane(&readers, &writers, 0)
     }
 
-    fn halves(&mut self, id: RequestId, home: Option<HostId>, fleet: &Fleet) -> (Vec<Half>, Vec<Half>) {
+    fn halves(
+        &mut self,
+        id: RequestId,
+        home: Option<HostId>,
+        fleet: &Fleet,
+    ) -> (Vec<Half>, Vec<Half>) {
         let (mut readers, mut writers) = (Vec::new(), Vec::new());
         let (salt, request) = (self.rng.next_u64(), &self.requests[&id]);
         let ask = &request.ask;
         for (id, host) in &self.hosts {
-            let room = host.held[0] < host.limits[0].most && host.held[1] + host.coming < host.limits[1].most;
+            let room = host.held[0] < host.limits[0].most
+                && host.held[1] + host.coming < host.limits[1].most;
             if !room || !self.takes(*id, request, home == Some(*id)) {
                 continue;
             }
             let (dice, stage) = (mix(salt ^ id.0) as u32, self.stage(host));
             // In skewed cells the rest pair across cells, else few partners fill up and others stand idle.
-            let unpaired =
-                stage != Stage::Both && uniform(salt ^ !id.0) >= fleet.paired(&host.member, stage as usize);
-            let group = if unpaired { (1, host.member.zone.0 as i64) } else { (0, host.member.cell.0) };
-            let reader = || Half { group, ..self.reader_half(ask, *id, home, dice, fleet) };
+            let unpaired = stage != Stage::Both
+                && uniform(salt ^ !id.0) >= fleet.paired(&host.member, stage as usize);
+            let group = if unpaired {
+                (1, host.member.zone.0 as i64)
+            } else {
+                (0, host.member.cell.0)
+            };
+            let reader = || Half {
+                group,
+                ..self.reader_half(ask, *id, home, dice, fleet)
+            };
             readers.extend((stage != Stage::Write).then(reader));
-            let writer = || Half { group, ..self.writer_half(*id, fleet, dice) };
+            let writer = || Half {
+                group,
+                ..self.writer_half(*id, fleet, dice)
+            };
             writers.extend((stage != Stage::Read).then(writer));
         }
         // No reader is left: writers that read for themselves take requests whole.
         if readers.is_empty() && self.settings.writers_read {
             writers.iter_mut().for_each(|w| w.whole = true);
-            let whole = |w: &Half| Half { whole: true, ..self.reader_half(ask, w.host, home, w.dice, fleet) };
+            let whole = |w: &Half| Half {
+                whole: true,
+                ..self.reader_half(ask, w.host, home, w.dice, fleet)
+            };
             readers = writers.iter().map(whole).collect();
         }
         (readers, writers)
@@ -878,24 +1215,51 @@
             return Some(place);
         }
         let fleet = self.fleet();
-        let half = Half { fresh: true, whole: false, ..self.half(reader, host, 0.0, 0.0, 0.0, 0) };
-        let hosts = self.hosts.iter().filter(|(_, h)| self.stage(h) != Stage::Read).map(|(id, _)| *id);
-        let of = |id| Half { whole: false, ..self.writer_half(id, &fleet, mix(salt ^ id.0) as u32) };
-        let writers: Vec<_> = hosts.filter(|id| self.takes(*id, request, false)).map(of).collect();
+        let half = Half {
+            fresh: true,
+            whole: false,
+            ..self.half(reader, host, 0.0, 0.0, 0.0, 0)
+        };
+        let hosts = self
+            .hosts
+            .iter()
+            .filter(|(_, h)| self.stage(h) != Stage::Read)
+            .map(|(id, _)| *id);
+        let of = |id| Half {
+            whole: false,
+            ..self.writer_half(id, &fleet, mix(salt ^ id.0) as u32)
+        };
+        let writers: Vec<_> = hosts
+            .filter(|id| self.takes(*id, request, false))
+            .map(of)
+            .collect();
         best_lane(&[half], &writers, 1).map(|(_, writer)| writer)
     }
 
     /// A read against the mean one, by uncached tokens. Guards against huge prompts that look light.
     fn read_weight(&self, ask: &Ask, reader: HostId) -> f64 {
         let uncached = ask.prompt_tokens as f64 * (1.0 - self.kept(ask, reader, None));
-        READ_BASE + (1.0 - READ_BASE) * uncached / self.class_work(Stage::Read, ANY_CLASS, uncached).max(1.0)
+        READ_BASE
+            + (1.0 - READ_BASE) * uncached
+                / self.class_work(Stage::Read, ANY_CLASS, uncached).max(1.0)
     }
 
     /// The reader's part of S, 0.4 C + 0.3 (1-Q), and of the bound, 2 Q: what the mean says sets none aside.
-    fn reader_half(&self, ask: &Ask, id: HostId, home: Option<HostId>, dice: u32, fleet: &Fleet) -> Half {
+    fn reader_half(
+        &self,
+        ask: &Ask,
+        id: HostId,
+        home: Option<HostId>,
+        dice: u32,
+        fleet: &Fleet,
+    ) -> Half {
         let host = &self.hosts[&id];
-        let (ours, mean) = (host.held[0] / QUEUE_MAX, fleet.means[2][self.stage(host) as usize]);
-        let [queue, bound] = [mean, Some(0.0)].map(|mean| self.told(host, 2, mean).unwrap_or(0.0).max(ours));
+        let (ours, mean) = (
+            host.held[0] / QUEUE_MAX,
+            fleet.means[2][self.stage(host) as usize],
+        );
+        let [queue, bound] =
+            [mean, Some(0.0)].map(|mean| self.told(host, 2, mean).unwrap_or(0.0).max(ours));
         let worth = WEIGHTS[0] * self.kept(ask, id, home) + WEIGHTS[2] * (1.0 - queue.min(1.0));
         self.half(id, host, worth, 2.0 * bound, host.held[0] * 1e6, dice)
     }
@@ -907,14 +1271,23 @@
         let told = |of: usize| self.told(host, of, fleet.means[of][self.stage(host) as usize]);
         let [memory, live] = [0, 1].map(|of| told(of).unwrap_or(ours));
         let worth = WEIGHTS[1] * (1.0 - memory) + WEIGHTS[3] * (1.0 - live);
-        let full = if self.now < host.refused_at + REFUSED_FOR { 1.0 } else { 0.0 };
+        let full = if self.now < host.refused_at + REFUSED_FOR {
+            1.0
+        } else {
+            0.0
+        };
         self.half(id, host, worth, memory / 100.0 + full, host.held[1], dice)
     }
 
     /// A reported figure. With age it says little of one server and fades to the mean.
     fn told(&self, host: &Host, of: usize, mean: Option<f64>) -> Option<f64> {
-        let fade = host.load.map_or(1.0, |(at, _)| ((self.now - at) as f64 / STALE_AFTER).min(1.0));
-        self.figures(host)[of].zip(mean).map(|(own, mean)| own + (mean - own) * fade).or(mean)
+        let fade = host.load.map_or(1.0, |(at, _)| {
+            ((self.now - at) as f64 / STALE_AFTER).min(1.0)
+        });
+        self.figures(host)[of]
+            .zip(mean)
+            .map(|(own, mean)| own + (mean - own) * fade)
+            .or(mean)
     }
 
     /// The shares of its memory, of its slots and of a full queue that a server reports.
@@ -922,26 +1295,50 @@
         let full = self.class_work(Stage::Read, ANY_CLASS, 1000.0) / 1000.0 * QUEUE_ALL;
         let sane = |v: Option<f64>, most| v.filter(|v| v.is_finite()).map(|v| v.clamp(0.0, most));
         let queue = |l: Load| sane(l.pending_k, f64::MAX).map(|p| p / full);
-        host.load.map_or([None; 3], |(_, l)| [sane(l.memory, 1.0), sane(l.util, 1.0), queue(l)])
+        host.load.map_or([None; 3], |(_, l)| {
+            [sane(l.memory, 1.0), sane(l.util, 1.0), queue(l)]
+        })
     }
 
     fn half(&self, id: HostId, host: &Host, worth: f64, load: f64, count: f64, dice: u32) -> Half {
-        let stale_after = STALE_AFTER.max(STALE_SPANS * self.pace.ask_span * self.hosts.len() as f64);
+        let stale_after =
+            STALE_AFTER.max(STALE_SPANS * self.pace.ask_span * self.hosts.len() as f64);
         let fresh = self.now - LOOK_FOR < host.mute
-            && host.load.is_none_or(|(at, _)| ((self.now - at) as f64) < stale_after);
+            && host
+                .load
+                .is_none_or(|(at, _)| ((self.now - at) as f64) < stale_after);
         let (cell, whole) = (host.member.cell.0, self.stage(host) == Stage::Both);
-        Half { host: id, whole, group: (0, cell), cell, worth, load, fewest: -count, fresh, dice }
+        Half {
+            host: id,
+            whole,
+            group: (0, cell),
+            cell,
+            worth,
+            load,
+            fewest: -count,
+            fresh,
+            dice,
+        }
     }
 
     /// The fleet at large, for one decision. The means stand in for figures that a server has not reported.
     fn fleet(&self) -> Fleet {
-        let mut fleet = Fleet { most_streams: 1.0, ..Fleet::default() };
+        let mut fleet = Fleet {
+            most_streams: 1.0,
+            ..Fleet::default()
+        };
         let mut sums = [[(0.0, 0.0); 3]; 3];
         for (id, host) in &self.hosts {
             fleet.most_streams = fleet.most_streams.max(host.held[1]);
             let (stage, member) = (self.stage(host) as usize, &host.member);
-            for (sum, figure) in sums.iter_mut().zip(self.figures(host)).filter(|_| host.listed) {
-                sum[stage] = figure.map_or(sum[stage], |value| (sum[stage].0 + value, sum[stage].1 + 1.0));
+            for (sum, figure) in sums
+                .iter_mut()
+                .zip(self.figures(host))
+                .filter(|_| host.listed)
+            {
+                sum[stage] = figure.map_or(sum[stage], |value| {
+                    (sum[stage].0 + value, sum[stage].1 + 1.0)
+                });
             }
             if stage < 2 && self.open(*id, false) {
                 for group in [(0, member.cell.0), (1, member.zone.0 as i64), (2, 0)] {
@@ -949,17 +1346,23 @@
                 }
             }
         }
-        fleet.means = sums.map(|s| s.map(|(sum, count): (f64, f64)| (count > 0.0).then(|| sum / count)));
+        fleet.means =
+            sums.map(|s| s.map(|(sum, count): (f64, f64)| (count > 0.0).then(|| sum / count)));
         fleet
     }
 
     /// C: the share of the prompt that the reader is known to keep, or taken to keep as the session's home.
     fn kept(&self, ask: &Ask, reader: HostId, home: Option<HostId>) -> f64 {
         let kept = &self.hosts[&reader].kept;
-        let tokens = |key| kept.get(&key).filter(|k| self.now < k.1 + KEPT_FOR).map_or(0, |k| k.0);
+        let tokens = |key| {
+            kept.get(&key)
+                .filter(|k| self.now < k.1 + KEPT_FOR)
+                .map_or(0, |k| k.0)
+        };
         let opening = ask.prefix.map_or(0, |p| tokens((false, p.0)));
         let session = ask.session.map_or(0, |s| tokens((true, s.0)));
-        let known = opening.max(session).min(ask.prompt_tokens) as f64 / ask.prompt_tokens.max(1) as f64;
+        let known =
+            opening.max(session).min(ask.prompt_tokens) as f64 / ask.prompt_tokens.max(1) as f64;
         known.max(if home == Some(reader) { HOME_KEPT } else { 0.0 })
     }
 
@@ -974,28 +1377,56 @@
             let of = self.hosts.values().filter(of).map(|h| self.warmth(h));
             of.clone().sum::<f64>() / of.count().max(1) as f64
         };
-        let (late, cold) = (late - elsewhere - SPREAD_MARGIN, 1.0 - warmth(false) / warmth(true));
+        let (late, cold) = (
+            late - elsewhere - SPREAD_MARGIN,
+            1.0 - warmth(false) / warmth(true),
+        );
         let away = uniform(!mix(session.0)) < cold.max(late * SPREAD_GAIN);
-        let known = |h: &Host| h.kept.get(&(true, session.0)).is_some_and(|k| self.now < k.1 + KEPT_FOR);
-        let [readers, writers] = fleet.groups.get(&(2, 0)).map_or([1.0; 2], |n| n.map(|n| n.max(1.0)));
+        let known = |h: &Host| {
+            h.kept
+                .get(&(true, session.0))
+                .is_some_and(|k| self.now < k.1 + KEPT_FOR)
+        };
+        let [readers, writers] = fleet
+            .groups
+            .get(&(2, 0))
+            .map_or([1.0; 2], |n| n.map(|n| n.max(1.0)));
         let draw = |(id, h): (&HostId, &Host)| {
             let whole = self.stage(h) != Stage::Read;
-            let weight =
-                if whole { HOME_WHOLE } else { writers / readers } * (1.0 - kinds[usize::from(whole)]);
+            let weight = if whole { HOME_WHOLE } else { writers / readers }
+                * (1.0 - kinds[usize::from(whole)]);
             let drawn = |key: u64| uniform(key ^ mix(id.0)).ln() / (weight * self.warmth(h));
-            (away || near(h), drawn(ask.prefix.map_or(0, |p| mix(p.0))), drawn(session.0), *id)
+            (
+                away || near(h),
+                drawn(ask.prefix.map_or(0, |p| mix(p.0))),
+                drawn(session.0),
+                *id,
+            )
         };
-        let open = self.hosts.iter().filter(|(id, h)| self.open(**id, true) && self.stage(h) != Stage::Write);
+        let open = self
+            .hosts
+            .iter()
+            .filter(|(id, h)| self.open(**id, true) && self.stage(h) != Stage::Write);
         if open.clone().any(|(_, h)| known(h)) {
             return None;
         }
         let mut drawn: Vec<_> = open.map(draw).collect();
         drawn.sort_by(|a, b| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)));
         let near = drawn.iter().filter(|d| d.0 == drawn[0].0).count();
-        let asked = |key| self.openings.get(&key).map_or(0.0, |o| o.at(self.now, KEPT_FOR) - 1.0); // others
-        let share = ask.prefix.map_or(1.0, |p| asked(Some(p)).max(0.0) / asked(None).max(SHARES_LEAST));
+        let asked = |key| {
+            self.openings
+                .get(&key)
+                .map_or(0.0, |o| o.at(self.now, KEPT_FOR) - 1.0)
+        }; // others
+        let share = ask.prefix.map_or(1.0, |p| {
+            asked(Some(p)).max(0.0) / asked(None).max(SHARES_LEAST)
+        });
         let homes = ((HOMES * share * near as f64).round() as usize).clamp(1, near.max(1));
-        drawn.iter().take(homes).max_by(|a, b| a.2.total_cmp(&b.2)).map(|home| home.3)
+        drawn
+            .iter()
+            .take(homes)
+            .max_by(|a, b| a.2.total_cmp(&b.2))
+            .map(|home| home.3)
     }
 }
 
@@ -1018,7 +1449,10 @@
             listed: false,
             held: [0.0; 2],
             coming: 0.0,
-            limits: LIMIT_MOST.map(|most| Limit { most, cut_at: Micros::MIN }),
+            limits: LIMIT_MOST.map(|most| Limit {
+                most,
+                cut_at: Micros::MIN,
+            }),
             load: None,
             kept: BTreeMap::new(),
             fails: BTreeMap::new(),
--- a/crates/routing-policy/src/policy/arithmetic.rs
+++ b/crates/routing-policy/src/policy/arithmetic.rs
@@ -39,6 +39,9 @@
 
     /// Adds to it at `now`, which only advances.
     pub fn add(&mut self, part: f64, now: Micros, over: Micros) {
-        *self = Fading { sum: self.at(now, over) + part, at: now };
+        *self = Fading {
+            sum: self.at(now, over) + part,
+            at: now,
+        };
     }
 }
--- a/crates/routing-policy/src/policy/effects.rs
+++ b/crates/routing-policy/src/policy/effects.rs
@@ -21,7 +21,11 @@
 impl PossibleRun {
     /// An attempt that was sent then to a server with this line of the list.
     pub fn at(member: &Member, sent: Micros) -> PossibleRun {
-        PossibleRun { zone: member.zone, cell: member.cell, sent }
+        PossibleRun {
+            zone: member.zone,
+            cell: member.cell,
+            sent,
+        }
     }
 }
 
@@ -52,7 +56,9 @@
     /// By when another attempt must be written so that it cannot repeat an effect; `None` if none may be. At `to`, a
     /// reader too, or anywhere if that is not given.
     pub fn repeat_until(&self, ran: Option<PossibleRun>, to: Option<&Member>) -> Option<Micros> {
-        let Some(ran) = ran else { return Some(Micros::MAX) };
+        let Some(ran) = ran else {
+            return Some(Micros::MAX);
+        };
         let scope = match self.effect {
             Effect::Safe => return Some(Micros::MAX),
             Effect::Unsafe => return None,
--- a/crates/routing-policy/src/policy/lanes.rs
+++ b/crates/routing-policy/src/policy/lanes.rs
@@ -22,7 +22,11 @@
 impl Fleet {
     /// The part of a cell's readers (0) or writers (1) that have partners there, against their zone.
     pub(super) fn paired(&self, member: &Member, stage: usize) -> f64 {
-        let share = |g: (u8, i64)| self.groups.get(&g).map_or(1.0, |n| n[1 - stage] / n[stage].max(1.0));
+        let share = |g: (u8, i64)| {
+            self.groups
+                .get(&g)
+                .map_or(1.0, |n| n[1 - stage] / n[stage].max(1.0))
+        };
         share((0, member.cell.0)) / share((1, member.zone.0 as i64)).max(1e-9)
     }
 }
@@ -53,8 +57,20 @@
     };
     let mut groups: BTreeMap<(u8, i64), [Vec<Half>; 2]> = BTreeMap::new();
     let usable = |h: &&Half| h.fresh || !fit;
-    let ranked = |h: &Half| if fit { *h } else { Half { worth: h.fewest, load: 0.0, ..*h } };
-    rs.iter().filter(usable).for_each(|r| groups.entry(key(r)).or_default()[0].push(ranked(r)));
+    let ranked = |h: &Half| {
+        if fit {
+            *h
+        } else {
+            Half {
+                worth: h.fewest,
+                load: 0.0,
+                ..*h
+            }
+        }
+    };
+    rs.iter()
+        .filter(usable)
+        .for_each(|r| groups.entry(key(r)).or_default()[0].push(ranked(r)));
     for w in ws.iter().filter(usable) {
         groups.entry(key(w)).or_default()[1].push(ranked(w));
         if level == 0 && w.group.0 == 1 {
@@ -65,15 +81,36 @@
     for [rs, ws] in groups.values_mut() {
         ws.sort_by(|a, b| a.load.total_cmp(&b.load));
         for i in 1..ws.len() {
-            let before = Half { load: ws[i].load, ..ws[i - 1] };
-            ws[i] = if rank(&before, &ws[i]).is_gt() { before } else { ws[i] };
+            let before = Half {
+                load: ws[i].load,
+                ..ws[i - 1]
+            };
+            ws[i] = if rank(&before, &ws[i]).is_gt() {
+                before
+            } else {
+                ws[i]
+            };
         }
-        let within = |r: &Half| ws.partition_point(|w| r.load + w.load <= TAU).checked_sub(1);
-        let lane =
-            |(r, w): (&Half, Half)| (Half { worth: r.worth + w.worth, dice: r.dice ^ w.dice, ..*r }, w.host);
+        let within = |r: &Half| {
+            ws.partition_point(|w| r.load + w.load <= TAU)
+                .checked_sub(1)
+        };
+        let lane = |(r, w): (&Half, Half)| {
+            (
+                Half {
+                    worth: r.worth + w.worth,
+                    dice: r.dice ^ w.dice,
+                    ..*r
+                },
+                w.host,
+            )
+        };
         lanes.extend(rs.iter().filter_map(|r| Some(lane((r, ws[within(r)?])))));
     }
-    lanes.iter().max_by(|a, b| rank(&a.0, &b.0)).map(|(reader, writer)| (reader.host, *writer))
+    lanes
+        .iter()
+        .max_by(|a, b| rank(&a.0, &b.0))
+        .map(|(reader, writer)| (reader.host, *writer))
 }
 
 fn rank(a: &Half, b: &Half) -> std::cmp::Ordering {
--- a/crates/routing-policy/src/policy/starts.rs
+++ b/crates/routing-policy/src/policy/starts.rs
@@ -25,7 +25,9 @@
     /// A start has been told that was not known. It is news if the list was heard a moment before without it; else it
     /// may be old, and says only that the own clock is behind where it lies in the future.
     pub fn observe(&mut self, started: Micros, now: Micros) {
-        let news = self.confirmed.is_some_and(|at| now <= at + CONFIRMED_WITHIN);
+        let news = self
+            .confirmed
+            .is_some_and(|at| now <= at + CONFIRMED_WITHIN);
         let age = now.saturating_sub(started);
         if news || age < self.ahead.unwrap_or(0) {
             self.ahead = Some(self.ahead.map_or(age, |ahead| ahead.min(age)));
@@ -34,6 +36,8 @@
 
     /// How long ago a start was.
     pub fn age(&self, started: Micros, now: Micros) -> Micros {
-        now.saturating_sub(started).saturating_sub(self.ahead.unwrap_or(0)).max(0)
+        now.saturating_sub(started)
+            .saturating_sub(self.ahead.unwrap_or(0))
+            .max(0)
     }
 }
