--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -55,9 +55,11 @@
 
     fn check(self, key: impl FnOnce() -> String, figure: Option<f64>) -> Result<(), OutOfRange> {
         match figure {
-            Some(figure) if !self.allows(figure) => {
-                Err(OutOfRange { key: key(), figure, expected: self.expected() })
-            }
+            Some(figure) if !self.allows(figure) => Err(OutOfRange {
+                key: key(),
+                figure,
+                expected: self.expected(),
+            }),
             _ => Ok(()),
         }
     }
@@ -93,7 +95,11 @@
 fn check_domain(domain: &Domain) -> Result<(), OutOfRange> {
     Bound::PositiveSpan.check(|| "domain.pin_limit_us".to_owned(), domain.pin_limit_us)?;
     let lists = [
-        ("aim_us_per_1000_prompt_tokens", Bound::Span, &domain.aim_us_per_1000_prompt_tokens),
+        (
+            "aim_us_per_1000_prompt_tokens",
+            Bound::Span,
+            &domain.aim_us_per_1000_prompt_tokens,
+        ),
         ("token_aim_us", Bound::Span, &domain.token_aim_us),
         ("kv_tokens", Bound::NotNegative, &domain.kv_tokens),
     ];
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -140,9 +140,14 @@
 impl Facts {
     /// Notes which report columns carry memory and waiting tokens, by the meaning that the settings give.
     pub fn name_columns(&mut self) {
-        let meanings = [("x0", self.domain.report_x0.as_deref()), ("x1", self.domain.report_x1.as_deref())];
+        let meanings = [
+            ("x0", self.domain.report_x0.as_deref()),
+            ("x1", self.domain.report_x1.as_deref()),
+        ];
         let find = |word: &str| {
-            let named = meanings.iter().find(|(_, m)| m.is_some_and(|m| m.contains(word)));
+            let named = meanings
+                .iter()
+                .find(|(_, m)| m.is_some_and(|m| m.contains(word)));
             named.map(|(column, _)| (*column).to_owned())
         };
         let (memory, pending) = (find("memory"), find("tokens waiting"));
@@ -153,12 +158,20 @@
     /// The settings in the decision module's own types; an error names the key that cannot be used.
     pub fn settings(&self) -> Result<Settings, String> {
         check::check(self).map_err(|error| error.to_string())?;
-        let classes = self.classes.iter().enumerate().map(|(i, c)| self.class(i, c));
+        let classes = self
+            .classes
+            .iter()
+            .enumerate()
+            .map(|(i, c)| self.class(i, c));
         let kinds = (0..self.kinds.len()).map(|i| self.kind(i));
         Ok(Settings {
             balancers: self.balancers,
             me: self.me,
-            zone: self.az.as_ref().and_then(|az| self.zones.iter().position(|z| z == az)).map(ZoneId),
+            zone: self
+                .az
+                .as_ref()
+                .and_then(|az| self.zones.iter().position(|z| z == az))
+                .map(ZoneId),
             classes: classes.collect::<Result<_, _>>()?,
             kinds: kinds.collect::<Result<_, _>>()?,
             period: micros(self.period_us),
@@ -203,9 +216,13 @@
         let effect = match (facts.idempotency.as_deref(), scope) {
             (Some("safe"), _) => Effect::Safe,
             (Some("keyed"), Some(scope)) => Effect::Keyed(scope),
-            (Some("keyed"), None) => return Err(format!("class {:?}: unknown key scope", facts.name)),
+            (Some("keyed"), None) => {
+                return Err(format!("class {:?}: unknown key scope", facts.name))
+            }
             (Some("unsafe") | None, _) => Effect::Unsafe,
-            (Some(other), _) => return Err(format!("class {:?}: unknown effect {other:?}", facts.name)),
+            (Some(other), _) => {
+                return Err(format!("class {:?}: unknown effect {other:?}", facts.name))
+            }
         };
         let nth = |list: &Option<Vec<f64>>| list.as_ref().and_then(|l| l.get(index).copied());
         Ok(Class {
@@ -219,15 +236,28 @@
     }
 
     fn kind(&self, index: usize) -> Result<Kind, String> {
-        let stage = match self.domain.stage_of_kind.as_ref().and_then(|s| s.get(index)).map(String::as_str) {
+        let stage = match self
+            .domain
+            .stage_of_kind
+            .as_ref()
+            .and_then(|s| s.get(index))
+            .map(String::as_str)
+        {
             Some("read") => Some(Stage::Read),
             Some("write") => Some(Stage::Write),
             Some("both") => Some(Stage::Both),
             None => None,
             Some(other) => return Err(format!("unknown stage {other:?}")),
         };
-        let memory_tokens = self.domain.kv_tokens.as_ref().and_then(|m| m.get(index).copied());
-        Ok(Kind { stage, memory_tokens })
+        let memory_tokens = self
+            .domain
+            .kv_tokens
+            .as_ref()
+            .and_then(|m| m.get(index).copied());
+        Ok(Kind {
+            stage,
+            memory_tokens,
+        })
     }
 }
 
@@ -236,5 +266,7 @@
 }
 
 fn span(value: Option<f64>) -> Option<Duration> {
-    micros(value).and_then(|us| u64::try_from(us).ok()).map(Duration::from_micros)
+    micros(value)
+        .and_then(|us| u64::try_from(us).ok())
+        .map(Duration::from_micros)
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -22,8 +22,12 @@
     let mut output = io::stdout().lock();
     for (index, line) in io::stdin().lock().split(b'\n').enumerate() {
         let line = line.map_err(|e| format!("line {}: cannot be read: {e}", index + 1))?;
-        let reply = process.batch(&line).map_err(|e| format!("line {}: {e}", index + 1))?;
-        let sent = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
+        let reply = process
+            .batch(&line)
+            .map_err(|e| format!("line {}: {e}", index + 1))?;
+        let sent = output
+            .write_all(reply.as_bytes())
+            .and_then(|()| output.flush());
         sent.map_err(|e| format!("the reply cannot be written: {e}"))?;
     }
     Ok(())
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -4,8 +4,8 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 use cranetack_routing_policy::{
-    Action, Ask, CellId, ClassId, Event, HostId, KindId, ListForm, Load, Member, Outcome, Policy, PrefixId,
-    Readiness, RequestId, SessionId, ZoneId,
+    Action, Ask, CellId, ClassId, Event, HostId, KindId, ListForm, Load, Member, Outcome, Policy,
+    PrefixId, Readiness, RequestId, SessionId, ZoneId,
 };
 use cranetack_settings::Facts;
 use serde::Deserialize;
@@ -82,7 +82,11 @@
     fn wrong(&self, index: usize, wanted: &str) -> String {
         let got = self.values.get(index).unwrap_or(&Value::Null);
         let got: String = got.to_string().chars().take(60).collect();
-        format!("message {:?}, value {}: wanted {wanted}, got {got}", self.name, index + 1)
+        format!(
+            "message {:?}, value {}: wanted {wanted}, got {got}",
+            self.name,
+            index + 1
+        )
     }
 
     fn opt(&self, index: usize) -> Option<&'a Value> {
@@ -90,7 +94,9 @@
     }
 
     fn text(&self, index: usize) -> Result<&'a str, String> {
-        self.opt(index).and_then(Value::as_str).ok_or_else(|| self.wrong(index, "text"))
+        self.opt(index)
+            .and_then(Value::as_str)
+            .ok_or_else(|| self.wrong(index, "text"))
     }
 
     /// Text that may be absent; 0 stands for none too.
@@ -98,18 +104,24 @@
         match self.opt(index) {
             None => Ok(None),
             Some(v) if v.as_u64() == Some(0) => Ok(None),
-            Some(v) => v.as_str().map(Some).ok_or_else(|| self.wrong(index, "text or nothing")),
+            Some(v) => v
+                .as_str()
+                .map(Some)
+                .ok_or_else(|| self.wrong(index, "text or nothing")),
         }
     }
 
     fn int(&self, index: usize) -> Result<i64, String> {
-        self.opt_int(index)?.ok_or_else(|| self.wrong(index, "a whole number"))
+        self.opt_int(index)?
+            .ok_or_else(|| self.wrong(index, "a whole number"))
     }
 
     fn opt_int(&self, index: usize) -> Result<Option<i64>, String> {
         match self.opt(index) {
             None => Ok(None),
-            Some(v) => whole(v).map(Some).ok_or_else(|| self.wrong(index, "a whole number")),
+            Some(v) => whole(v)
+                .map(Some)
+                .ok_or_else(|| self.wrong(index, "a whole number")),
         }
     }
 
@@ -125,19 +137,27 @@
     fn flag(&self, index: usize) -> Result<bool, String> {
         match self.opt(index) {
             None => Ok(false),
-            Some(v) => v.as_bool().ok_or_else(|| self.wrong(index, "true or false")),
+            Some(v) => v
+                .as_bool()
+                .ok_or_else(|| self.wrong(index, "true or false")),
         }
     }
 }
 
 /// A number for a word that is the same in every process: FNV-1a.
 fn stable(word: &str) -> u64 {
-    word.bytes()
-        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
+    word.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 fn whole(value: &Value) -> Option<i64> {
-    value.as_i64().or_else(|| value.as_f64().filter(|f| f.fract() == 0.0 && f.abs() < 9e15).map(|f| f as i64))
+    value.as_i64().or_else(|| {
+        value
+            .as_f64()
+            .filter(|f| f.fract() == 0.0 && f.abs() < 9e15)
+            .map(|f| f as i64)
+    })
 }
 
 impl Process {
@@ -150,7 +170,9 @@
             let mut decisions = Vec::new();
             for (index, message) in part.inbox.iter().enumerate() {
                 self.message(batch.at_time_us, id, message, &mut decisions)
-                    .map_err(|e| format!("dispatcher {id}, message {} of its inbox: {e}", index + 1))?;
+                    .map_err(|e| {
+                        format!("dispatcher {id}, message {} of its inbox: {e}", index + 1)
+                    })?;
             }
             if !decisions.is_empty() {
                 replies.push(json!({"dispatcher_id": id, "decisions": decisions}));
@@ -159,9 +181,21 @@
         Ok(format!("{}\n", json!({ "parts": replies })))
     }
 
-    fn message(&mut self, now: i64, id: u64, message: &[Value], out: &mut Vec<Value>) -> Result<(), String> {
-        let name = message.first().and_then(Value::as_str).ok_or("a message must begin with its name")?;
-        let fields = Fields { name, values: &message[1..] };
+    fn message(
+        &mut self,
+        now: i64,
+        id: u64,
+        message: &[Value],
+        out: &mut Vec<Value>,
+    ) -> Result<(), String> {
+        let name = message
+            .first()
+            .and_then(Value::as_str)
+            .ok_or("a message must begin with its name")?;
+        let fields = Fields {
+            name,
+            values: &message[1..],
+        };
         match name {
             "attach" => {
                 self.instances.insert(id, Instance::attach(now, &fields)?);
@@ -178,8 +212,10 @@
             _ => {}
         }
         let catalogs = &self.catalogs;
-        let instance =
-            self.instances.get_mut(&id).ok_or_else(|| format!("{name:?} before any \"attach\""))?;
+        let instance = self
+            .instances
+            .get_mut(&id)
+            .ok_or_else(|| format!("{name:?} before any \"attach\""))?;
         let event = instance.event(&fields, catalogs)?;
         instance.decide(now, event, out);
         Ok(())
@@ -187,14 +223,21 @@
 }
 
 fn catalog(fields: &Fields) -> Result<Vec<Listed>, String> {
-    let lines =
-        fields.opt(1).and_then(Value::as_array).ok_or_else(|| fields.wrong(1, "a list of entries"))?;
+    let lines = fields
+        .opt(1)
+        .and_then(Value::as_array)
+        .ok_or_else(|| fields.wrong(1, "a list of entries"))?;
     lines.iter().map(listed).collect()
 }
 
 fn listed(line: &Value) -> Result<Listed, String> {
-    let values = line.as_array().ok_or("an entry of a catalog must be an array")?;
-    let fields = Fields { name: "catalog entry", values };
+    let values = line
+        .as_array()
+        .ok_or("an entry of a catalog must be an array")?;
+    let fields = Fields {
+        name: "catalog entry",
+        values,
+    };
     let weight = match fields.opt(5) {
         None => 1.0,
         Some(v) => v.as_f64().ok_or_else(|| fields.wrong(5, "a number"))?,
@@ -232,17 +275,26 @@
 
 fn bytes(fields: &Fields, index: usize) -> Result<Vec<u8>, String> {
     let text = fields.text(index)?;
-    let pair = |i: usize| text.get(i..i + 2).and_then(|p| u8::from_str_radix(p, 16).ok());
+    let pair = |i: usize| {
+        text.get(i..i + 2)
+            .and_then(|p| u8::from_str_radix(p, 16).ok())
+    };
     let all: Option<Vec<u8>> = (0..text.len()).step_by(2).map(pair).collect();
     all.ok_or_else(|| fields.wrong(index, "hex digits"))
 }
 
 impl Instance {
     fn attach(now: i64, fields: &Fields) -> Result<Instance, String> {
-        let seed = fields.opt(0).and_then(|v| v.as_u64().or(v.as_i64().map(|i| i as u64)));
+        let seed = fields
+            .opt(0)
+            .and_then(|v| v.as_u64().or(v.as_i64().map(|i| i as u64)));
         let seed = seed.ok_or_else(|| fields.wrong(0, "a whole number"))?;
-        let facts = fields.opt(1).cloned().ok_or_else(|| fields.wrong(1, "the settings"))?;
-        let mut facts: Facts = serde_json::from_value(facts).map_err(|e| format!("settings: {e}"))?;
+        let facts = fields
+            .opt(1)
+            .cloned()
+            .ok_or_else(|| fields.wrong(1, "the settings"))?;
+        let mut facts: Facts =
+            serde_json::from_value(facts).map_err(|e| format!("settings: {e}"))?;
         facts.name_columns();
         Ok(Instance {
             policy: Policy::new(facts.settings()?, seed, now),
@@ -255,11 +307,15 @@
     /// Hands an event to the module; a panic there is told on the wire.
     fn decide(&mut self, now: i64, event: Event, out: &mut Vec<Value>) {
         let mut actions = Vec::new();
-        let handled = catch_unwind(AssertUnwindSafe(|| self.policy.handle(now, event, &mut actions)));
+        let handled = catch_unwind(AssertUnwindSafe(|| {
+            self.policy.handle(now, event, &mut actions)
+        }));
         out.extend(actions.iter().map(|a| self.action(a)));
         if let Err(panic) = handled {
             let text = panic.downcast_ref::<String>().map(String::as_str);
-            let text = text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
+            let text = text
+                .or_else(|| panic.downcast_ref::<&str>().copied())
+                .unwrap_or("panic");
             out.push(json!(["die", text]));
         }
     }
@@ -278,7 +334,11 @@
         Ok(self.host_id(fields.text(index)?))
     }
 
-    fn event(&mut self, f: &Fields, catalogs: &BTreeMap<u64, Vec<Listed>>) -> Result<Event, String> {
+    fn event(
+        &mut self,
+        f: &Fields,
+        catalogs: &BTreeMap<u64, Vec<Listed>>,
+    ) -> Result<Event, String> {
         Ok(match f.name {
             "directory_update" => self.members(f, catalogs)?,
             "ask" => Event::Ask(self.ask(f)?),
@@ -315,7 +375,10 @@
                 host: self.host(f, 2)?,
                 load: self.load(f, 3)?,
             },
-            "peer_data" => Event::Peer { from: f.small(0)?, bytes: bytes(f, 1)? },
+            "peer_data" => Event::Peer {
+                from: f.small(0)?,
+                bytes: bytes(f, 1)?,
+            },
             other => return Err(format!("unknown message {other:?}")),
         })
     }
@@ -346,16 +409,30 @@
         })
     }
 
-    fn members(&mut self, f: &Fields, catalogs: &BTreeMap<u64, Vec<Listed>>) -> Result<Event, String> {
+    fn members(
+        &mut self,
+        f: &Fields,
+        catalogs: &BTreeMap<u64, Vec<Listed>>,
+    ) -> Result<Event, String> {
         let form = match f.text(0)? {
             "patch" => ListForm::Patch,
             "whole" => ListForm::Whole,
             "stale_copy" => ListForm::Stale,
-            "broken" => return Ok(Event::Members { form: ListForm::Broken, members: Vec::new() }),
+            "broken" => {
+                return Ok(Event::Members {
+                    form: ListForm::Broken,
+                    members: Vec::new(),
+                })
+            }
             _ => return Err(f.wrong(0, "patch, whole, stale_copy or broken")),
         };
-        let lines = catalogs.get(&f.count(2)?).ok_or_else(|| f.wrong(2, "the number of a catalog"))?;
-        let members = lines.iter().map(|line| self.member(line)).collect::<Result<_, _>>()?;
+        let lines = catalogs
+            .get(&f.count(2)?)
+            .ok_or_else(|| f.wrong(2, "the number of a catalog"))?;
+        let members = lines
+            .iter()
+            .map(|line| self.member(line))
+            .collect::<Result<_, _>>()?;
         Ok(Event::Members { form, members })
     }
 
@@ -379,10 +456,15 @@
         let Some(value) = f.opt(index) else {
             return Ok(None);
         };
-        let pairs = value.as_object().ok_or_else(|| f.wrong(index, "an object of names and numbers"))?;
+        let pairs = value
+            .as_object()
+            .ok_or_else(|| f.wrong(index, "an object of names and numbers"))?;
         let figure = |name: &str| match pairs.get(name) {
             None | Some(Value::Null) => Ok(None),
-            Some(v) => v.as_f64().map(Some).ok_or_else(|| f.wrong(index, "an object of names and numbers")),
+            Some(v) => v
+                .as_f64()
+                .map(Some)
+                .ok_or_else(|| f.wrong(index, "an object of names and numbers")),
         };
         let column = |name: &Option<String>| name.as_deref().map_or(Ok(None), figure);
         Ok(Some(Load {
@@ -398,7 +480,12 @@
         let request = |id: &RequestId| self.requests.word(id.0);
         let host = |id: &HostId| self.hosts.get(&id.0).map_or("", String::as_str);
         match action {
-            Action::Route { id, host: h, expire, .. } => json!(["route", request(id), host(h), expire]),
+            Action::Route {
+                id,
+                host: h,
+                expire,
+                ..
+            } => json!(["route", request(id), host(h), expire]),
             Action::Earmark { id, host: h } => json!(["earmark", request(id), host(h)]),
             Action::FreeState(id) => json!(["free_state", request(id)]),
             Action::Abort { id, attempt } => json!(["abort_attempt", request(id), attempt]),
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -21,12 +21,19 @@
 pub async fn is_up(address: SocketAddr) -> bool {
     let asked = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
-        stream.write_all(b"GET /up HTTP/1.1\r\nhost: app\r\nconnection: close\r\n\r\n").await.ok()?;
+        stream
+            .write_all(b"GET /up HTTP/1.1\r\nhost: app\r\nconnection: close\r\n\r\n")
+            .await
+            .ok()?;
         let mut said = Vec::new();
         let _ = stream.read_to_end(&mut said).await;
         Some(said.starts_with(b"HTTP/1.1 200"))
     };
-    timeout(Duration::from_millis(500), asked).await.ok().flatten().unwrap_or(false)
+    timeout(Duration::from_millis(500), asked)
+        .await
+        .ok()
+        .flatten()
+        .unwrap_or(false)
 }
 
 /// One client: it asks, again and again, over connections that it keeps.
@@ -51,7 +58,12 @@
     /// A client that has asked nothing yet.
     pub fn new(world: Rc<World>, routers: Vec<Rc<Router>>) -> Client {
         let session = world.number();
-        Client { world, routers, kept: HashMap::new(), session }
+        Client {
+            world,
+            routers,
+            kept: HashMap::new(),
+            session,
+        }
     }
 
     /// Asks until the run is over.
@@ -63,18 +75,32 @@
     }
 
     fn pick(&self) -> Option<usize> {
-        let up: Vec<usize> = self.routers.iter().filter(|r| r.admitted.get()).map(|r| r.index).collect();
-        up.get(self.world.draw(0, up.len().max(1) as u64) as usize).copied()
+        let up: Vec<usize> = self
+            .routers
+            .iter()
+            .filter(|r| r.admitted.get())
+            .map(|r| r.index)
+            .collect();
+        up.get(self.world.draw(0, up.len().max(1) as u64) as usize)
+            .copied()
     }
 
     async fn ask(&mut self) {
         let world = self.world.clone();
-        let effect = if world.chance(40) { Effect::Unsafe } else { Effect::Safe };
+        let effect = if world.chance(40) {
+            Effect::Unsafe
+        } else {
+            Effect::Safe
+        };
         let deadline = DEADLINES_MS[usize::from(effect == Effect::Unsafe)];
         let patience = world.draw(deadline / 2, deadline + 1);
         let id = format!("q{:08x}", world.number());
         let tokens = world.draw(200, 6_000);
-        let class = if effect == Effect::Unsafe { "order" } else { "chat" };
+        let class = if effect == Effect::Unsafe {
+            "order"
+        } else {
+            "chat"
+        };
         let body = "x".repeat(tokens as usize * 2);
         let text = format!(
             "POST /v1/chat/completions HTTP/1.1\r\nhost: app\r\nx-request-id: {id}\r\nx-class: {class}\r\n\
@@ -83,7 +109,9 @@
             self.session,
             body.len()
         );
-        let leaves = world.chance(8).then(|| Duration::from_millis(world.draw(1, 700)));
+        let leaves = world
+            .chance(8)
+            .then(|| Duration::from_millis(world.draw(1, 700)));
         let mut sent = false;
         for _ in 0..4 {
             let Some(router) = self.pick() else { return };
@@ -91,13 +119,18 @@
                 Some(stream) => stream,
                 None => {
                     let connect = TcpStream::connect(self.routers[router].address);
-                    let Ok(Ok(stream)) = timeout(Duration::from_secs(1), connect).await else { continue };
+                    let Ok(Ok(stream)) = timeout(Duration::from_secs(1), connect).await else {
+                        continue;
+                    };
                     let _ = stream.set_nodelay(true);
                     stream
                 }
             };
             match sent {
-                false => world.oracle.borrow_mut().sent(&id, router, effect, world.now(), patience),
+                false => world
+                    .oracle
+                    .borrow_mut()
+                    .sent(&id, router, effect, world.now(), patience),
                 true => world.oracle.borrow_mut().resent(&id, router, world.now()),
             }
             sent = true;
@@ -143,13 +176,18 @@
             Ok(0) | Err(_) => return Reply::Answer(None),
             Ok(_) => {}
         }
-        let Some(head) = said.windows(4).position(|four| four == b"\r\n\r\n") else { continue };
+        let Some(head) = said.windows(4).position(|four| four == b"\r\n\r\n") else {
+            continue;
+        };
         if !begun {
             note(answer_of(&said));
             begun = true;
         }
         let text = String::from_utf8_lossy(&said[..head]).to_ascii_lowercase();
-        let length = text.split("content-length: ").nth(1).and_then(|rest| rest.lines().next()?.parse().ok());
+        let length = text
+            .split("content-length: ")
+            .nth(1)
+            .and_then(|rest| rest.lines().next()?.parse().ok());
         let whole = match length {
             Some(length) => said.len() >= head + 4 + usize::clone(&length),
             None => said.ends_with(b"\r\n0\r\n\r\n"),
@@ -171,7 +209,9 @@
 
 /// A client that sends half of a request, or nothing of use, and stays: it must be answered or closed in time.
 pub async fn bad_client(world: Rc<World>, router: Rc<Router>) {
-    let Ok(mut stream) = TcpStream::connect(router.address).await else { return };
+    let Ok(mut stream) = TcpStream::connect(router.address).await else {
+        return;
+    };
     let begun = match world.draw(0, 3) {
         0 => "POST /v1/chat/completions HTTP/1.1\r\nhost: a",
         1 => "POST /v1/chat/completions HTTP/1.1\r\nhost: app\r\ncontent-length: 500\r\n\r\nhalf of it",
@@ -181,10 +221,18 @@
         return;
     }
     let mut said = Vec::new();
-    let closed = timeout(BAD_CLIENT, stream.read_to_end(&mut said)).await.is_ok();
+    let closed = timeout(BAD_CLIENT, stream.read_to_end(&mut said))
+        .await
+        .is_ok();
     if !closed && said.is_empty() && router.runs() {
-        let detail = format!("router {} neither answered nor closed a bad client", router.index);
-        world.oracle.borrow_mut().violate(Rule::Lost, world.now(), detail);
+        let detail = format!(
+            "router {} neither answered nor closed a bad client",
+            router.index
+        );
+        world
+            .oracle
+            .borrow_mut()
+            .violate(Rule::Lost, world.now(), detail);
     }
 }
 
@@ -192,7 +240,11 @@
 pub async fn crowd(router: Rc<Router>, count: usize, span: Duration) {
     let mut idle = Vec::new();
     for _ in 0..count {
-        if let Ok(Ok(stream)) = timeout(Duration::from_millis(200), TcpStream::connect(router.address)).await
+        if let Ok(Ok(stream)) = timeout(
+            Duration::from_millis(200),
+            TcpStream::connect(router.address),
+        )
+        .await
         {
             idle.push(stream);
         }
--- a/crates/soak/src/directory.rs
+++ b/crates/soak/src/directory.rs
@@ -65,7 +65,12 @@
 impl Directory {
     /// All servers are up, since long ago.
     pub fn new(roles: &[Role]) -> Rc<Directory> {
-        let entry = |role: &Role| Entry { role: *role, status: Status::Up, since_ms: 0, changed: 1 };
+        let entry = |role: &Role| Entry {
+            role: *role,
+            status: Status::Up,
+            since_ms: 0,
+            changed: 1,
+        };
         Rc::new(Directory {
             entries: RefCell::new(roles.iter().map(entry).collect()),
             version: watch::Sender::new(1),
@@ -112,10 +117,15 @@
 impl Agent {
     /// An agent that has the list as it is.
     pub async fn start(
-        world: &Rc<World>, router: usize, directory: Rc<Directory>, proxies: Vec<Rc<Proxy>>,
+        world: &Rc<World>,
+        router: usize,
+        directory: Rc<Directory>,
+        proxies: Vec<Rc<Proxy>>,
     ) -> std::io::Result<Rc<Agent>> {
-        let [first, second] =
-            [TcpListener::bind("127.0.0.1:0").await?, TcpListener::bind("127.0.0.1:0").await?];
+        let [first, second] = [
+            TcpListener::bind("127.0.0.1:0").await?,
+            TcpListener::bind("127.0.0.1:0").await?,
+        ];
         let version = *directory.version.borrow();
         let agent = Rc::new(Agent {
             addresses: [first.local_addr()?, second.local_addr()?],
@@ -143,7 +153,10 @@
 
     /// All open calls are broken off.
     pub fn reset(&self) {
-        self.connections.borrow_mut().drain(..).for_each(|connection| connection.abort());
+        self.connections
+            .borrow_mut()
+            .drain(..)
+            .for_each(|connection| connection.abort());
     }
 
     /// The list as the router's configuration holds it.
@@ -155,9 +168,15 @@
     pub fn count_as_told(&self, world: &World) {
         let reachable = self.mood.get() == Mood::Serves;
         let now = world.now();
-        let due = |(_, at): &(u64, Millis)| now >= (*at).max(self.reachable_since.get()) + TOLD_ANYWAY;
-        let told =
-            self.had.borrow().iter().filter(|had| reachable && due(had)).map(|(version, _)| *version).max();
+        let due =
+            |(_, at): &(u64, Millis)| now >= (*at).max(self.reachable_since.get()) + TOLD_ANYWAY;
+        let told = self
+            .had
+            .borrow()
+            .iter()
+            .filter(|had| reachable && due(had))
+            .map(|(version, _)| *version)
+            .max();
         if let Some(version) = told {
             self.tell_oracle(world, |changed| changed <= version);
             self.had.borrow_mut().retain(|(had, _)| *had > version);
@@ -209,7 +228,9 @@
     async fn serve(&self, world: &World, request: &Request<Incoming>) -> Response<Full<Bytes>> {
         let query = request.uri().query().unwrap_or_default().to_owned();
         let field = |name: &str| -> Option<u64> {
-            query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
+            query
+                .split('&')
+                .find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
         };
         let from = field("from");
         if let Some(from) = from {
@@ -232,7 +253,8 @@
         if world.plants(Plant::Drain) {
             // The oracle is told that all drain; the router is not.
             let mut oracle = world.oracle.borrow_mut();
-            (0..self.proxies.len()).for_each(|server| oracle.told(self.router, server, false, world.now()));
+            (0..self.proxies.len())
+                .for_each(|server| oracle.told(self.router, server, false, world.now()));
         }
         *response.body_mut() = Full::new(list.to_string().into());
         response
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -17,7 +17,10 @@
     #[arg(long, default_value = "target/release/cranetack")]
     program: PathBuf,
     /// The library that steps the clock and fails system calls; `--plain` runs without it.
-    #[arg(long, default_value = "target/release/libcranetack_syscall_fault_shim.so")]
+    #[arg(
+        long,
+        default_value = "target/release/libcranetack_syscall_fault_shim.so"
+    )]
     shim: PathBuf,
     /// Leave clock and system calls alone.
     #[arg(long)]
@@ -58,12 +61,18 @@
 
 /// Whether all runs kept the rules, or broke the one that was planted.
 fn soak(cli: &Cli) -> std::io::Result<bool> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let (mut passed, mut broken) = (0, 0);
     for seed in cli.seed..cli.seed + cli.seeds {
         let options = Options {
             program: cli.program.canonicalize()?,
-            shim: if cli.plain { None } else { Some(cli.shim.canonicalize()?) },
+            shim: if cli.plain {
+                None
+            } else {
+                Some(cli.shim.canonicalize()?)
+            },
             faults: cli.faults.clone(),
             folder: cli.folder.join(seed.to_string()),
             seed,
@@ -80,9 +89,19 @@
             "seed {seed}: served {served}, refused {refused}, failed {failed}, troubles {}, broken {count}",
             report.troubles
         );
-        report.violations.iter().take(12).for_each(|violation| println!("    {violation}"));
-        let rules: Vec<Rule> = report.violations.iter().map(|violation| violation.rule).collect();
-        let right = cli.plant.map_or(rules.is_empty(), |plant| rules.contains(&plant.rule()));
+        report
+            .violations
+            .iter()
+            .take(12)
+            .for_each(|violation| println!("    {violation}"));
+        let rules: Vec<Rule> = report
+            .violations
+            .iter()
+            .map(|violation| violation.rule)
+            .collect();
+        let right = cli
+            .plant
+            .map_or(rules.is_empty(), |plant| rules.contains(&plant.rule()));
         passed += usize::from(right);
         broken += usize::from(!right);
     }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -36,7 +36,11 @@
 
 impl Proxy {
     /// Listens on a free port.
-    pub async fn start(world: Rc<World>, router: usize, server: Rc<Server>) -> std::io::Result<Rc<Proxy>> {
+    pub async fn start(
+        world: Rc<World>,
+        router: usize,
+        server: Rc<Server>,
+    ) -> std::io::Result<Rc<Proxy>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let proxy = Rc::new(Proxy {
             address: listener.local_addr()?,
@@ -75,16 +79,24 @@
 
     /// Resets all connections.
     pub fn reset(&self) {
-        self.connections.borrow_mut().drain(..).for_each(|connection| connection.abort());
+        self.connections
+            .borrow_mut()
+            .drain(..)
+            .for_each(|connection| connection.abort());
     }
 
     async fn pass(self: Rc<Self>, world: Rc<World>, router_side: TcpStream) {
         let number = world.number();
-        let _ending = EndsAttempt { world: world.clone(), number };
+        let _ending = EndsAttempt {
+            world: world.clone(),
+            number,
+        };
         let _ = router_side.set_zero_linger();
         let mut silent = self.silent.subscribe();
         let _ = silent.wait_for(|silent| !silent).await;
-        let Ok(server_side) = TcpStream::connect(self.server.address()).await else { return };
+        let Ok(server_side) = TcpStream::connect(self.server.address()).await else {
+            return;
+        };
         let _ = (server_side.set_nodelay(true), server_side.set_zero_linger());
         if let Ok(address) = server_side.local_addr() {
             world.connections.borrow_mut().insert(address, number);
@@ -97,7 +109,11 @@
             while let Ok(length) = from_router.read(&mut buffer).await {
                 if length == 0 {
                     // What was held up on purpose must have arrived before the connection goes.
-                    let delay = if world.plant.is_some() { HOLD_UP / 10 } else { Duration::ZERO };
+                    let delay = if world.plant.is_some() {
+                        HOLD_UP / 10
+                    } else {
+                        Duration::ZERO
+                    };
                     return tokio::time::sleep(delay).await;
                 }
                 if buffer[..length].starts_with(ATTEMPT) {
--- a/crates/soak/src/routers.rs
+++ b/crates/soak/src/routers.rs
@@ -72,7 +72,11 @@
 impl Router {
     /// A router that does not run yet.
     pub fn new(
-        index: usize, address: SocketAddr, agent: Rc<Agent>, peers: Vec<SocketAddr>, options: Rc<Options>,
+        index: usize,
+        address: SocketAddr,
+        agent: Rc<Agent>,
+        peers: Vec<SocketAddr>,
+        options: Rc<Options>,
     ) -> Rc<Router> {
         Rc::new(Router {
             index,
@@ -113,13 +117,25 @@
     /// Starts the process and waits until it is ready.
     pub async fn start(self: &Rc<Self>, world: &Rc<World>) -> std::io::Result<()> {
         self.write_config()?;
-        let log = fs::OpenOptions::new().create(true).append(true).open(self.log())?;
+        let log = fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.log())?;
         let mut command = Command::new(&self.options.program);
-        command.arg("serve").env("PROXY_CONFIG", self.path("json")).stdin(Stdio::null());
-        command.stdout(log.try_clone()?).stderr(log).kill_on_drop(true);
+        command
+            .arg("serve")
+            .env("PROXY_CONFIG", self.path("json"))
+            .stdin(Stdio::null());
+        command
+            .stdout(log.try_clone()?)
+            .stderr(log)
+            .kill_on_drop(true);
         if let Some(shim) = &self.options.shim {
             command.env("LD_PRELOAD", shim);
-            command.env("SOAK_FAULTS_SEED", (self.options.seed * 64 + self.index as u64).to_string());
+            command.env(
+                "SOAK_FAULTS_SEED",
+                (self.options.seed * 64 + self.index as u64).to_string(),
+            );
             command.env("SOAK_FAULTS", &self.options.faults);
             let step = [0, 3_600, -3_600, 5, -5][world.draw(0, 5) as usize];
             command.env("SOAK_CLOCK_STEP_S", step.to_string());
@@ -133,8 +149,14 @@
             }
         };
         if timeout(READY_WITHIN, ready).await.is_err() {
-            let detail = format!("router {} was not ready within {READY_WITHIN:?}", self.index);
-            world.oracle.borrow_mut().violate(Rule::Crash, world.now(), detail);
+            let detail = format!(
+                "router {} was not ready within {READY_WITHIN:?}",
+                self.index
+            );
+            world
+                .oracle
+                .borrow_mut()
+                .violate(Rule::Crash, world.now(), detail);
         }
         self.admitted.set(true);
         Ok(())
@@ -144,7 +166,9 @@
     pub fn signal(&self, name: &str) {
         let id = self.child.borrow().as_ref().and_then(Child::id);
         if let Some(id) = id {
-            let _ = std::process::Command::new("kill").args([name, &id.to_string()]).status();
+            let _ = std::process::Command::new("kill")
+                .args([name, &id.to_string()])
+                .status();
         }
     }
 
@@ -172,7 +196,10 @@
         if !world.over.get() {
             if let Err(error) = self.start(&world).await {
                 let detail = format!("router {} could not be started: {error}", self.index);
-                world.oracle.borrow_mut().violate(Rule::Crash, world.now(), detail);
+                world
+                    .oracle
+                    .borrow_mut()
+                    .violate(Rule::Crash, world.now(), detail);
             }
         }
         self.busy.set(false);
@@ -180,28 +207,42 @@
 
     /// Ends the process.
     pub async fn end(&self, world: &World, ending: Ending) {
-        let Some(mut child) = self.child.borrow_mut().take() else { return };
+        let Some(mut child) = self.child.borrow_mut().take() else {
+            return;
+        };
         let id = child.id().map(|id| id.to_string()).unwrap_or_default();
         let unexpected = child.try_wait().ok().flatten();
         if let Some(status) = unexpected {
             let detail = format!("router {} had ended by itself: {status}", self.index);
-            world.oracle.borrow_mut().violate(Rule::Crash, world.now(), detail);
+            world
+                .oracle
+                .borrow_mut()
+                .violate(Rule::Crash, world.now(), detail);
         }
         match ending {
             Ending::Orderly => {
-                let _ = std::process::Command::new("kill").args(["-TERM", &id]).status();
+                let _ = std::process::Command::new("kill")
+                    .args(["-TERM", &id])
+                    .status();
                 // The front goes on for a while.
                 tokio::time::sleep(Duration::from_millis(world.draw(100, 400))).await;
                 self.admitted.set(false);
                 match timeout(END_WITHIN, child.wait()).await {
                     Ok(Ok(status)) if status.success() => {}
                     Ok(status) => {
-                        let detail = format!("router {} ended with {status:?} after SIGTERM", self.index);
-                        world.oracle.borrow_mut().violate(Rule::Crash, world.now(), detail);
+                        let detail =
+                            format!("router {} ended with {status:?} after SIGTERM", self.index);
+                        world
+                            .oracle
+                            .borrow_mut()
+                            .violate(Rule::Crash, world.now(), detail);
                     }
                     Err(_) => {
                         let detail = format!("router {} still ran at its end", self.index);
-                        world.oracle.borrow_mut().violate(Rule::Crash, world.now(), detail);
+                        world
+                            .oracle
+                            .borrow_mut()
+                            .violate(Rule::Crash, world.now(), detail);
                         let _ = child.kill().await;
                     }
                 }
@@ -230,5 +271,8 @@
 fn alarms(log: &Path) -> Vec<String> {
     let text = fs::read_to_string(log).unwrap_or_default();
     let alarming = |line: &&str| ALARMS.iter().any(|word| line.contains(word));
-    text.lines().filter(alarming).map(|line| line.chars().take(600).collect()).collect()
+    text.lines()
+        .filter(alarming)
+        .map(|line| line.chars().take(600).collect())
+        .collect()
 }
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -73,7 +73,10 @@
 
     /// The process dies: its connections end, and what it held is lost.
     pub fn kill(&self, world: &World) {
-        self.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
+        self.tasks
+            .borrow_mut()
+            .drain(..)
+            .for_each(|task| task.abort());
         world.forget_server(self.index);
     }
 
@@ -86,7 +89,8 @@
         let accepting = spawn_local(async move {
             while let Ok((stream, peer)) = listener.accept().await {
                 let _ = stream.set_nodelay(true);
-                let connection = spawn_local(server.clone().serve_connection(world.clone(), stream, peer));
+                let connection =
+                    spawn_local(server.clone().serve_connection(world.clone(), stream, peer));
                 let mut tasks = server.tasks.borrow_mut();
                 tasks.retain(|task| !task.is_finished());
                 tasks.push(connection.abort_handle());
@@ -96,22 +100,34 @@
         Ok(())
     }
 
-    async fn serve_connection(self: Rc<Self>, world: Rc<World>, stream: TcpStream, peer: SocketAddr) {
+    async fn serve_connection(
+        self: Rc<Self>,
+        world: Rc<World>,
+        stream: TcpStream,
+        peer: SocketAddr,
+    ) {
         // The proxy notes its connection right after it is up.
         sleep(Duration::from_millis(1)).await;
-        let number = world.connections.borrow_mut().remove(&peer).unwrap_or_else(|| world.number());
+        let number = world
+            .connections
+            .borrow_mut()
+            .remove(&peer)
+            .unwrap_or_else(|| world.number());
         let service = service_fn(|request| {
             let (server, world) = (self.clone(), world.clone());
             async move { Ok::<_, Infallible>(server.serve(&world, number, request).await) }
         });
-        let served =
-            hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+        let served = hyper::server::conn::http1::Builder::new()
+            .serve_connection(TokioIo::new(stream), service);
         let _ = served.await;
         world.attempt_ends(number);
     }
 
     async fn serve(
-        self: Rc<Self>, world: &Rc<World>, connection: u64, request: Request<Incoming>,
+        self: Rc<Self>,
+        world: &Rc<World>,
+        connection: u64,
+        request: Request<Incoming>,
     ) -> Response<Body> {
         let path = request.uri().path().to_owned();
         let attempt = path.starts_with("/v1/");
@@ -125,10 +141,19 @@
             let load = format!("TEXT latency_ms=40, x0=0.2, x1={}", self.waiting.get());
             return whole(StatusCode::OK, load, false);
         }
-        let header =
-            |name: &str| request.headers().get(name).and_then(|v| v.to_str().ok()).map(str::to_owned);
-        let Some(id) = header("x-request-id") else { return whole(StatusCode::NOT_FOUND, "", false) };
-        let told = header("x-deadline-ms").and_then(|ms| ms.parse().ok()).unwrap_or(0);
+        let header = |name: &str| {
+            request
+                .headers()
+                .get(name)
+                .and_then(|v| v.to_str().ok())
+                .map(str::to_owned)
+        };
+        let Some(id) = header("x-request-id") else {
+            return whole(StatusCode::NOT_FOUND, "", false);
+        };
+        let told = header("x-deadline-ms")
+            .and_then(|ms| ms.parse().ok())
+            .unwrap_or(0);
         if request.into_body().collect().await.is_err() {
             return whole(StatusCode::BAD_REQUEST, "", false);
         }
@@ -137,10 +162,20 @@
             let mut oracle = world.oracle.borrow_mut();
             oracle.attempt_arrives(&id, number, self.index, self.role, world.now(), told);
             if world.plants(Plant::SecondCopy) || world.plants(Plant::Duplicate) {
-                oracle.attempt_arrives(&id, world.number(), self.index, self.role, world.now(), told);
+                oracle.attempt_arrives(
+                    &id,
+                    world.number(),
+                    self.index,
+                    self.role,
+                    world.now(),
+                    told,
+                );
             }
         }
-        world.attempts.borrow_mut().insert(connection, (id.clone(), number));
+        world
+            .attempts
+            .borrow_mut()
+            .insert(connection, (id.clone(), number));
         self.wait_while_hung().await;
         let (response, ended) = self.attempt(world, &id, connection).await;
         if ended {
@@ -155,7 +190,10 @@
 
     /// The answer, and whether the attempt ends with its head.
     async fn attempt(
-        self: &Rc<Self>, world: &Rc<World>, id: &str, connection: u64,
+        self: &Rc<Self>,
+        world: &Rc<World>,
+        id: &str,
+        connection: u64,
     ) -> (Response<Body>, bool) {
         let away = |status| {
             world.oracle.borrow_mut().turned_away(id, self.role);
@@ -175,8 +213,14 @@
                     return (whole(StatusCode::INTERNAL_SERVER_ERROR, "", false), true);
                 }
                 world.states.borrow_mut().insert(id.to_owned(), self.index);
-                world.oracle.borrow_mut().holds(id, self.index, false, world.now());
-                (whole(StatusCode::ACCEPTED, "{\"cached_tokens\":0}", false), true)
+                world
+                    .oracle
+                    .borrow_mut()
+                    .holds(id, self.index, false, world.now());
+                (
+                    whole(StatusCode::ACCEPTED, "{\"cached_tokens\":0}", false),
+                    true,
+                )
             }
             Role::Write => {
                 if !world.states.borrow().contains_key(id) {
@@ -249,7 +293,11 @@
 impl<'a> Listed<'a> {
     fn new(world: &'a World, id: &str, set: Set) -> Listed<'a> {
         set(world).borrow_mut().insert(id.to_owned());
-        Listed { world, id: id.to_owned(), set }
+        Listed {
+            world,
+            id: id.to_owned(),
+            set,
+        }
     }
 }
 
@@ -260,11 +308,15 @@
 }
 
 fn whole(status: StatusCode, body: impl Into<Bytes>, not_run: bool) -> Response<Body> {
-    let body = Full::new(body.into()).map_err(|never| match never {}).boxed_unsync();
+    let body = Full::new(body.into())
+        .map_err(|never| match never {})
+        .boxed_unsync();
     let mut response = Response::new(body);
     *response.status_mut() = status;
     if not_run {
-        response.headers_mut().insert("x-not-run", http::HeaderValue::from_static("1"));
+        response
+            .headers_mut()
+            .insert("x-not-run", http::HeaderValue::from_static("1"));
     }
     response
 }
@@ -280,9 +332,16 @@
             }
             sleep(Duration::from_millis(world.draw(5, 30))).await;
         }
-        let _ = events.send(Ok(Frame::data(Bytes::from_static(cranetack_testkit::DONE.as_bytes())))).await;
+        let _ = events
+            .send(Ok(Frame::data(Bytes::from_static(
+                cranetack_testkit::DONE.as_bytes(),
+            ))))
+            .await;
         world.attempt_ends(connection);
     });
     let body = StreamBody::new(tokio_stream::wrappers::ReceiverStream::new(parts)).boxed_unsync();
-    Response::builder().header("content-type", "text/event-stream").body(body).unwrap_or_default()
+    Response::builder()
+        .header("content-type", "text/event-stream")
+        .body(body)
+        .unwrap_or_default()
 }
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -91,7 +91,9 @@
     pub fn attempt_ends(&self, connection: u64) {
         self.answered.borrow_mut().remove(&connection);
         if let Some((id, number)) = self.attempts.borrow_mut().remove(&connection) {
-            self.oracle.borrow_mut().attempt_ends(&id, number, self.now());
+            self.oracle
+                .borrow_mut()
+                .attempt_ends(&id, number, self.now());
         }
     }
 
--- a/crates/xds-server/src/lib.rs
+++ b/crates/xds-server/src/lib.rs
@@ -54,7 +54,9 @@
 
 /// Serves the snapshots to whoever subscribes, until `stop` completes.
 pub async fn serve(
-    listener: TcpListener, snapshots: watch::Receiver<Snapshot>, stop: impl Future<Output = ()>,
+    listener: TcpListener,
+    snapshots: watch::Receiver<Snapshot>,
+    stop: impl Future<Output = ()>,
 ) -> Result<(), tonic::transport::Error> {
     tonic::transport::Server::builder()
         .add_service(AggregatedDiscoveryServiceServer::new(Ads { snapshots }))
@@ -74,15 +76,19 @@
     type DeltaAggregatedResourcesStream = Responses<DeltaDiscoveryResponse>;
 
     async fn stream_aggregated_resources(
-        &self, request: Request<Streaming<DiscoveryRequest>>,
+        &self,
+        request: Request<Streaming<DiscoveryRequest>>,
     ) -> Result<Response<Self::StreamAggregatedResourcesStream>, Status> {
         let responses = stream::answer(request.into_inner(), self.snapshots.clone());
         Ok(Response::new(Box::pin(responses)))
     }
 
     async fn delta_aggregated_resources(
-        &self, _: Request<Streaming<DeltaDiscoveryRequest>>,
+        &self,
+        _: Request<Streaming<DeltaDiscoveryRequest>>,
     ) -> Result<Response<Self::DeltaAggregatedResourcesStream>, Status> {
-        Err(Status::unimplemented("only the state of the world is served: use api_type GRPC"))
+        Err(Status::unimplemented(
+            "only the state of the world is served: use api_type GRPC",
+        ))
     }
 }
--- a/crates/xds-server/src/stream.rs
+++ b/crates/xds-server/src/stream.rs
@@ -26,7 +26,11 @@
 
 impl Subscriptions {
     /// Takes a request: a new subscription, or an answer to what was sent. `None` where nothing is to be sent.
-    fn take(&mut self, request: &DiscoveryRequest, snapshot: &Snapshot) -> Option<DiscoveryResponse> {
+    fn take(
+        &mut self,
+        request: &DiscoveryRequest,
+        snapshot: &Snapshot,
+    ) -> Option<DiscoveryResponse> {
         resources(snapshot, &request.type_url, &[])?;
         let known = self.0.entry(request.type_url.clone()).or_default();
         let first = request.response_nonce.is_empty();
@@ -70,13 +74,17 @@
     /// What is to be sent of all types once the snapshot has changed: clusters come first, by their type's name.
     fn all_changed(&mut self, snapshot: &Snapshot) -> Vec<DiscoveryResponse> {
         let types: Vec<String> = self.0.keys().cloned().collect();
-        types.iter().filter_map(|type_url| self.changed(type_url, snapshot)).collect()
+        types
+            .iter()
+            .filter_map(|type_url| self.changed(type_url, snapshot))
+            .collect()
     }
 }
 
 /// Answers a subscriber until it leaves or the snapshots end.
 pub fn answer(
-    mut requests: Streaming<DiscoveryRequest>, mut snapshots: watch::Receiver<Snapshot>,
+    mut requests: Streaming<DiscoveryRequest>,
+    mut snapshots: watch::Receiver<Snapshot>,
 ) -> impl Stream<Item = Result<DiscoveryResponse, Status>> + Send {
     async_stream::stream! {
         let mut subscriptions = Subscriptions::default();
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -6,7 +6,9 @@
 use cranetack_testkit::{line, Behaviour, Discovery, Worker};
 
 fn main() -> std::io::Result<()> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let mut lines = Vec::new();
         for _ in 0..2 {
@@ -16,7 +18,10 @@
             lines.push(line(&worker, "mixed", "up"));
         }
         let discovery = Discovery::start_at("127.0.0.1:8500", lines).await;
-        println!("discovery on {}; start the router with `make run`", discovery.address);
+        println!(
+            "discovery on {}; start the router with `make run`",
+            discovery.address
+        );
         std::future::pending().await
     })
 }
