--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -230,12 +230,12 @@
         facts.name_columns();
         // Discovery is always watched here, so the module never has to ask for the list.
         let settings = Settings {
-            membership_asked: false,
+            endpoints_are_polled: false,
             ..facts
                 .settings()
                 .map_err(|message| format!("settings: {message}"))?
         };
-        let peering = file.peer_listen.filter(|_| settings.peers);
+        let peering = file.peer_listen.filter(|_| settings.gossip);
         Ok(Config {
             name: file.name,
             listen: file.listen,
--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -4,13 +4,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cranetack_routing_policy::{Readiness, Standing};
+use cranetack_routing_policy::{EndpointState, EndpointStatus};
 use cranetack_settings::Facts;
 use cranetack_xds_server::{Health, Server, Snapshot};
 use serde::Deserialize;
 use tokio::sync::watch;
 
-use crate::core::{EndpointStatus, Handle};
+use crate::core::{EndpointReport, Handle};
 
 /// The operator's file.
 #[derive(Debug, Clone, Deserialize)]
@@ -61,7 +61,7 @@
             _ = every.tick() => {}
             () = snapshots.closed() => return,
         }
-        let Some(endpoint_status) = handle.endpoint_statuses().await else {
+        let Some(endpoint_status) = handle.endpoint_reports().await else {
             return;
         };
         let now = snapshot(&endpoint_status, &facts, setup.weight_steps);
@@ -74,35 +74,39 @@
 }
 
 /// A cluster for each kind of server, named as the settings name it.
-fn snapshot(endpoint_status: &[EndpointStatus], facts: &Facts, steps: u32) -> Snapshot {
+fn snapshot(endpoint_status: &[EndpointReport], facts: &Facts, steps: u32) -> Snapshot {
     let mut snapshot: Snapshot = facts
         .kinds
         .iter()
         .map(|kind| (kind.clone(), Vec::new()))
         .collect();
-    for EndpointStatus {
+    for EndpointReport {
         address,
-        member,
-        standing,
+        spec,
+        status,
     } in endpoint_status
     {
-        let Standing { takes, worth, .. } = standing;
-        let health = match (member.readiness, takes) {
-            (Readiness::Gone, _) => continue,
-            (Readiness::Draining, _) => Health::Draining,
-            (Readiness::Up, false) => Health::Unhealthy,
-            (Readiness::Up, true) => Health::Healthy,
+        let EndpointStatus {
+            accepts_work,
+            score,
+            ..
+        } = status;
+        let health = match (spec.state, accepts_work) {
+            (EndpointState::Removed, _) => continue,
+            (EndpointState::Draining, _) => Health::Draining,
+            (EndpointState::Active, false) => Health::Unhealthy,
+            (EndpointState::Active, true) => Health::Healthy,
         };
         let name = |names: &[String], at: usize| names.get(at).cloned().unwrap_or_default();
         let server = Server {
             address: *address,
-            zone: name(&facts.zones, member.zone.0),
-            cell: member.cell.0.to_string(),
+            zone: name(&facts.zones, spec.zone.0),
+            cell: spec.cell.0.to_string(),
             health,
-            weight: ((worth.clamp(0.0, 1.0) * f64::from(steps)).round() as u32).max(1),
+            weight: ((score.clamp(0.0, 1.0) * f64::from(steps)).round() as u32).max(1),
         };
         snapshot
-            .entry(name(&facts.kinds, member.kind.0))
+            .entry(name(&facts.kinds, spec.kind.0))
             .or_default()
             .push(server);
     }
--- a/crates/router/src/control/tests.rs
+++ b/crates/router/src/control/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `control`.
 
-use cranetack_routing_policy::{CellId, HostId, KindId, Member, ZoneId};
+use cranetack_routing_policy::{CellId, EndpointId, EndpointSpec, KindId, ZoneId};
 
 use super::*;
 
@@ -8,28 +8,32 @@
 fn the_modules_standing_becomes_health_and_weight() {
     let facts = serde_json::json!({"classes": [], "kinds": ["prefill", "decode"], "zones": ["a"]});
     let facts: Facts = serde_json::from_value(facts).unwrap();
-    let endpoint_status = |port: u16, readiness, takes, worth| {
-        let host = HostId(port.into());
-        let member = Member {
-            host,
-            last_start: None,
+    let endpoint_status = |port: u16, state, accepts_work, score| {
+        let endpoint = EndpointId(port.into());
+        let member = EndpointSpec {
+            id: endpoint,
+            started_at: None,
             kind: KindId(1),
-            readiness,
+            state,
             cell: CellId(3),
             weight: 1.0,
             zone: ZoneId(0),
         };
-        EndpointStatus {
+        EndpointReport {
             address: ([127, 0, 0, 1], port).into(),
-            member,
-            standing: Standing { host, takes, worth },
+            spec: member,
+            status: EndpointStatus {
+                endpoint,
+                accepts_work,
+                score,
+            },
         }
     };
     let all = [
-        endpoint_status(4, Readiness::Gone, false, 0.5),
-        endpoint_status(3, Readiness::Draining, false, 0.5),
-        endpoint_status(2, Readiness::Up, false, 0.0),
-        endpoint_status(1, Readiness::Up, true, 0.8),
+        endpoint_status(4, EndpointState::Removed, false, 0.5),
+        endpoint_status(3, EndpointState::Draining, false, 0.5),
+        endpoint_status(2, EndpointState::Active, false, 0.0),
+        endpoint_status(1, EndpointState::Active, true, 0.8),
     ];
     let shown = snapshot(&all, &facts, 10);
     assert!(shown["prefill"].is_empty());
--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -2,11 +2,11 @@
 //! events become the module's events, and its actions are carried out through [`Outbound`]. It knows no
 //! wire. It is the one place that ends a request.
 mod clock;
+mod endpoint;
 pub mod guard;
 mod handle;
 mod messages;
 pub mod recorder;
-mod server;
 
 use std::cell::Cell;
 use std::cmp::Reverse;
@@ -15,51 +15,52 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cranetack_routing_policy::effects::{EffectRule, PossibleRun};
+use cranetack_routing_policy::idempotency::{PossibleExecution, RetryRule};
 use cranetack_routing_policy::{
-    Action, Ask, Effect, Event, HostId, ListForm, Member, Micros, Outcome, Policy, PrefixId,
-    Readiness, RequestId, SessionId, Settings, Stage, Standing,
+    Action, EndpointId, EndpointSpec, EndpointState, EndpointStatus, EndpointUpdate, Event,
+    Idempotency, Micros, Outcome, Policy, PrefixId, RequestId, RequestSpec, Role, SessionId,
+    Settings, TimerKey,
 };
 use tokio::sync::mpsc;
 
-use crate::exchange::{Answer, Carrier, Parts};
+use crate::exchange::{BodyStream, FinalResponse, Responder};
 use clock::micros;
 pub use clock::Clock;
+use endpoint::stable_hash;
+pub use endpoint::{Endpoint, EndpointEntry, EndpointListUpdate};
 use guard::{Breach, EffectRecord};
 pub use handle::Handle;
 pub use messages::{
-    AttemptId, AttemptSpec, CoreEvent, EndReason, Ended, EndpointStatus, IncomingRequest, Outbound,
-    Place, WireTrace,
+    AttemptId, AttemptReport, AttemptSpec, CoreEvent, EndReason, EndpointReport, IncomingRequest,
+    Outbound, SlotReservation, UsedConnection, WireTrace, Written,
 };
 use recorder::{NotSent, Step, Trace};
-use server::stable;
-pub use server::{Host, Listed};
 
 struct Request {
     incoming: IncomingRequest,
     arrived: Micros,
     valid_until: Micros,
     /// Present until the final answer.
-    carrier: Option<Carrier>,
+    responder: Option<Responder>,
     /// The refusal that is given as soon as the attempt that is out has ended.
-    parting: Option<Answer>,
+    parting: Option<FinalResponse>,
     attempts: u32,
     in_flight: Option<InFlight>,
     /// The module has let go of what was held, and nothing has been sent since.
     released: bool,
     over: bool,
     /// Seen by the attempt that is out, which may not have been written yet.
-    wanted: Rc<Cell<bool>>,
+    is_live: Rc<Cell<bool>>,
     effects: EffectRecord,
     trace: Trace,
 }
 
 struct InFlight {
-    stage: Stage,
-    run: PossibleRun,
+    stage: Role,
+    run: PossibleExecution,
     number: u32,
     sent: Micros,
-    host: HostId,
+    endpoint: EndpointId,
     streaming: bool,
 }
 
@@ -70,10 +71,10 @@
     policy: Policy,
     clock: Clock,
     outbound: O,
-    hosts: HashMap<HostId, Rc<Host>>,
-    members: HashMap<HostId, Member>,
+    endpoints: HashMap<EndpointId, Rc<Endpoint>>,
+    members: HashMap<EndpointId, EndpointSpec>,
     requests: HashMap<RequestId, Request>,
-    timers: BinaryHeap<Reverse<(Micros, u64)>>,
+    timers: BinaryHeap<Reverse<(Micros, TimerKey)>>,
     /// Events that carrying out an action gave at once.
     due: VecDeque<Event>,
     turn: usize,
@@ -89,7 +90,7 @@
             seed,
             clock,
             outbound,
-            hosts: HashMap::new(),
+            endpoints: HashMap::new(),
             members: HashMap::new(),
             requests: HashMap::new(),
             timers: BinaryHeap::new(),
@@ -103,10 +104,7 @@
     pub async fn run(mut self, mut events: mpsc::UnboundedReceiver<CoreEvent>) {
         // The module's first timer is among the actions of its first event.
         self.guarded(|core| {
-            core.decide(Event::Members {
-                form: ListForm::Patch,
-                members: Vec::new(),
-            })
+            core.decide(Event::EndpointsUpdated(EndpointUpdate::Delta(Vec::new())));
         });
         loop {
             let wake = self.timers.peek().map_or(i64::MAX, |Reverse((at, _))| *at);
@@ -129,149 +127,174 @@
                 break;
             }
             self.timers.pop();
-            self.decide(Event::Timer(key));
+            self.decide(Event::TimerFired(key));
         }
     }
 
     /// Takes one event.
     pub fn handle(&mut self, event: CoreEvent) {
         match event {
-            CoreEvent::Submitted(id, incoming, carrier) => self.submitted(id, incoming, carrier),
-            CoreEvent::ClientGone(id) => self.client_gone(id),
-            CoreEvent::Established {
+            CoreEvent::RequestSubmitted {
+                id,
+                request,
+                responder,
+            } => self.submitted(id, request, responder),
+            CoreEvent::ClientDisconnected(id) => self.client_gone(id),
+            CoreEvent::StreamStarted {
                 attempt,
                 media_type,
-                parts,
+                body,
             } => {
-                self.established(attempt, media_type, parts);
+                self.established(attempt, media_type, body);
             }
-            CoreEvent::AttemptEnded(attempt, ended) => self.attempt_ended(attempt, ended),
-            CoreEvent::ReservationAnswered {
-                reading,
+            CoreEvent::AttemptEnded { attempt, report } => self.attempt_ended(attempt, report),
+            CoreEvent::SlotReservationAnswered {
+                prefill_attempt,
                 request_id,
-                host,
-                place,
+                endpoint,
+                reservation,
             } => {
-                self.reservation_answered(reading, request_id, host, place);
+                self.reservation_answered(prefill_attempt, request_id, endpoint, reservation);
             }
-            CoreEvent::Probed {
-                host,
+            CoreEvent::HealthChecked {
+                endpoint,
                 outcome,
-                spent,
+                elapsed,
                 load,
             } => {
-                if let Some(host) = self.hosts.get(&host) {
-                    tracing::debug!(to = host.name, ?outcome, ?spent, ?load, "a probe has ended");
+                if let Some(endpoint) = self.endpoints.get(&endpoint) {
+                    tracing::debug!(
+                        to = endpoint.name,
+                        ?outcome,
+                        ?elapsed,
+                        ?load,
+                        "a probe has ended"
+                    );
                 }
-                if matches!(outcome, Outcome::Good | Outcome::Full) {
-                    self.heard(host);
+                if matches!(outcome, Outcome::Completed | Outcome::Rejected(_)) {
+                    self.heard(endpoint);
                 }
-                self.decide(Event::Probed {
-                    host,
+                self.decide(Event::HealthChecked {
+                    endpoint,
                     outcome,
-                    spent: micros(spent),
+                    elapsed: micros(elapsed),
                     load,
                 });
             }
-            CoreEvent::Members(form, listed) => self.members(form, listed),
-            CoreEvent::MembersLeaving(names) => self.members_leaving(&names),
-            CoreEvent::Leaving(from, by) => {
-                let [from, by] = [from, by].map(|at| self.clock.at(at));
-                self.decide(Event::Leaving { from, by });
+            CoreEvent::EndpointsUpdated(update) => self.endpoints_updated(update),
+            CoreEvent::EndpointsDraining(names) => self.members_leaving(&names),
+            CoreEvent::ShutdownStarted {
+                migrate_from,
+                answer_by,
+            } => {
+                let migrate_from = self.clock.at(migrate_from);
+                let answer_by = self.clock.at(answer_by);
+                self.decide(Event::ShutdownStarted {
+                    migrate_from,
+                    answer_by,
+                });
             }
-            CoreEvent::StatusRequested(asker) => {
+            CoreEvent::EndpointReportsRequested(asker) => {
                 let _ = asker.send(self.endpoint_statuses());
             }
-            CoreEvent::Peer(from, bytes) => self.decide(Event::Peer { from, bytes }),
+            CoreEvent::GossipReceived { from, payload } => {
+                self.decide(Event::GossipReceived { from, payload })
+            }
         }
     }
 
-    fn endpoint_statuses(&mut self) -> Vec<EndpointStatus> {
-        let standings = self.policy.standings(self.clock.now());
-        let endpoint_status = |standing: Standing| {
-            let address = self.hosts.get(&standing.host)?.address();
-            Some(EndpointStatus {
+    fn endpoint_statuses(&mut self) -> Vec<EndpointReport> {
+        let standings = self.policy.endpoint_statuses(self.clock.now());
+        let endpoint_status = |status: EndpointStatus| {
+            let address = self.endpoints.get(&status.endpoint)?.address();
+            Some(EndpointReport {
                 address,
-                member: *self.members.get(&standing.host)?,
-                standing,
+                spec: *self.members.get(&status.endpoint)?,
+                status,
             })
         };
         standings.into_iter().filter_map(endpoint_status).collect()
     }
 
-    fn submitted(&mut self, id: RequestId, incoming: IncomingRequest, carrier: Carrier) {
+    fn submitted(&mut self, id: RequestId, incoming: IncomingRequest, responder: Responder) {
         // What servers hold is held by the id on the wire, so two requests must not share one.
         if self
             .requests
             .values()
             .any(|r| r.incoming.request_id == incoming.request_id)
         {
-            carrier.answer(Answer::DuplicateId);
+            responder.respond(FinalResponse::DuplicateId);
             return;
         }
         let now = self.clock.now();
-        let valid_until = now.saturating_add(micros(incoming.patience));
-        let ask = Ask {
+        let valid_until = now.saturating_add(micros(incoming.time_to_first_byte));
+        let ask = RequestSpec {
             id,
             class: incoming.class,
-            session: incoming.session.as_deref().map(|s| SessionId(stable(s))),
-            prefix: incoming.prefix.as_deref().map(|p| PrefixId(stable(p))),
-            valid_until,
-            hint: incoming.hint.map(micros),
+            session: incoming
+                .session
+                .as_deref()
+                .map(|s| SessionId(stable_hash(s))),
+            shared_prefix: incoming
+                .shared_prefix
+                .as_deref()
+                .map(|p| PrefixId(stable_hash(p))),
+            deadline: valid_until,
+            expected_duration: incoming.expected_duration.map(micros),
             prompt_tokens: incoming.prompt_tokens,
-            shared_tokens: incoming.shared_tokens,
+            shared_prefix_tokens: incoming.shared_prefix_tokens,
             max_tokens: incoming.max_tokens,
-            retry: incoming.retry,
-            came_back: incoming.came_back,
-            kinds: incoming.kinds,
+            is_retry: incoming.is_retry,
+            is_resumed: incoming.is_resumed,
+            allowed_kinds: incoming.allowed_kinds,
         };
         let request = Request {
             incoming,
             arrived: now,
             valid_until,
-            carrier: Some(carrier),
+            responder: Some(responder),
             parting: None,
             attempts: 0,
             in_flight: None,
             released: false,
             over: false,
-            wanted: Rc::new(Cell::new(true)),
+            is_live: Rc::new(Cell::new(true)),
             effects: EffectRecord::default(),
             trace: Trace::default(),
         };
         let IncomingRequest {
             request_id,
-            retry,
-            came_back,
+            is_retry,
+            is_resumed,
             session,
-            prefix,
+            shared_prefix,
             ..
         } = &request.incoming;
-        let Ask {
+        let RequestSpec {
             class,
             prompt_tokens,
-            shared_tokens,
-            valid_until,
+            shared_prefix_tokens,
+            deadline,
             ..
         } = ask;
-        let (class, patience) = (class.0, valid_until - now);
-        tracing::debug!(id = %request_id, class, prompt_tokens, shared_tokens, patience, retry, came_back, session, prefix,
+        let (class, time_to_first_byte) = (class.0, deadline - now);
+        tracing::debug!(id = %request_id, class, prompt_tokens, shared_prefix_tokens, time_to_first_byte, is_retry, is_resumed, session, shared_prefix,
             "a request has come");
         self.requests.insert(id, request);
-        self.note(id, Step::Taken { patience });
-        self.decide(Event::Ask(ask));
+        self.note(id, Step::Taken { time_to_first_byte });
+        self.decide(Event::RequestArrived(ask));
     }
 
     fn client_gone(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|r| !r.over) {
             self.note(id, Step::ClientGone);
             self.finish(id, None);
-            self.decide(Event::ClientGone(id));
+            self.decide(Event::ClientDisconnected(id));
         }
         self.forget(id);
     }
 
-    fn established(&mut self, attempt: AttemptId, media_type: String, parts: Parts) {
+    fn established(&mut self, attempt: AttemptId, media_type: String, body: BodyStream) {
         let now = self.clock.now();
         let id = attempt.request;
         let Some(request) = self
@@ -297,20 +320,20 @@
         );
         // Nothing further is sent for it: its body need not be held while the answer streams.
         request.incoming.message = Rc::default();
-        let (host, spent) = (out.host, now - out.sent);
-        tracing::debug!(id = %request.incoming.request_id, spent, "an answer has begun");
-        if let Some(carrier) = request.carrier.take() {
-            carrier.answer(Answer::Served { media_type, parts });
+        let (endpoint, elapsed) = (out.endpoint, now - out.sent);
+        tracing::debug!(id = %request.incoming.request_id, elapsed, "an answer has begun");
+        if let Some(responder) = request.responder.take() {
+            responder.respond(FinalResponse::Streaming { media_type, body });
         }
-        self.decide(Event::Established {
+        self.decide(Event::StreamStarted {
             id,
             attempt: attempt.number,
-            host,
-            spent,
+            endpoint,
+            elapsed,
         });
     }
 
-    fn attempt_ended(&mut self, attempt: AttemptId, ended: Ended) {
+    fn attempt_ended(&mut self, attempt: AttemptId, ended: AttemptReport) {
         let id = attempt.request;
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -318,9 +341,9 @@
         let Some(out) = request.in_flight.take_if(|o| o.number == attempt.number) else {
             return;
         };
-        let Ended {
+        let AttemptReport {
             outcome,
-            info,
+            cached_tokens,
             load,
             wire,
         } = ended;
@@ -330,7 +353,6 @@
             Step::Ended {
                 number,
                 outcome,
-                info,
                 wire,
             },
         );
@@ -340,26 +362,28 @@
         } else if let Some(refusal) = request.parting.take() {
             self.finish(id, Some(refusal));
         }
-        let no_more = self.requests.get(&id).is_none_or(|r| r.over);
+        let client_done = self.requests.get(&id).is_none_or(|r| r.over);
         if matches!(
             outcome,
-            Outcome::Good | Outcome::HalfDone | Outcome::Full | Outcome::Bad
+            Outcome::Completed
+                | Outcome::Prefilled { .. }
+                | Outcome::Rejected(_)
+                | Outcome::ServerError
         ) {
-            self.heard(out.host);
+            self.heard(out.endpoint);
         }
-        let (host, spent) = (out.host, self.clock.now() - out.sent);
-        if let (Some(request), Some(to)) = (self.requests.get(&id), self.hosts.get(&host)) {
+        let (endpoint, elapsed) = (out.endpoint, self.clock.now() - out.sent);
+        if let (Some(request), Some(to)) = (self.requests.get(&id), self.endpoints.get(&endpoint)) {
             let (id, to) = (&request.incoming.request_id, &to.name);
-            tracing::debug!(%id, number, to, ?outcome, info, spent, "an attempt has ended");
+            tracing::debug!(%id, number, to, ?outcome, cached_tokens, elapsed, "an attempt has ended");
         }
-        self.decide(Event::Result {
+        self.decide(Event::AttemptEnded {
             id,
             attempt: number,
-            host,
+            endpoint,
             outcome,
-            info,
-            no_more,
-            spent,
+            client_done,
+            elapsed,
             load,
         });
     }
@@ -372,103 +396,123 @@
         &mut self,
         reading: AttemptId,
         request_id: Rc<str>,
-        host: HostId,
-        place: Place,
+        endpoint: EndpointId,
+        place: SlotReservation,
     ) {
         let id = reading.request;
         self.note(id, Step::PlaceAnswered { place });
         let request = self.requests.get(&id);
-        let wanted = request.is_some_and(|r| !r.over && !r.released && !r.streaming());
-        tracing::debug!(id = %request_id, ?place, wanted, "a place was answered for");
-        if place != Place::Unsure {
-            self.heard(host);
+        let is_live = request.is_some_and(|r| !r.over && !r.released && !r.streaming());
+        tracing::debug!(id = %request_id, ?place, is_live, "a place was answered for");
+        if place != SlotReservation::Unknown {
+            self.heard(endpoint);
         }
         let unread = request
             .and_then(|r| r.in_flight.as_ref())
             .is_some_and(|o| o.number == reading.number);
-        if (!wanted && place != Place::Refused) || (place == Place::Unsure && unread) {
-            let hosts = self.reachable();
-            self.outbound.release(id, request_id, hosts);
-        } else if wanted && place != Place::Unsure && request.is_some_and(|r| r.in_flight.is_some())
+        if (!is_live && place != SlotReservation::Refused)
+            || (place == SlotReservation::Unknown && unread)
+        {
+            let endpoints = self.reachable();
+            self.outbound.release_state(id, request_id, endpoints);
+        } else if is_live
+            && place != SlotReservation::Unknown
+            && request.is_some_and(|r| r.in_flight.is_some())
         {
-            self.decide(Event::Earmarked {
+            self.decide(Event::SlotReservationAnswered {
                 id,
-                host,
-                held: place == Place::Held,
+                endpoint,
+                granted: place == SlotReservation::Granted,
             });
         }
     }
 
-    fn members(&mut self, form: ListForm, listed: Vec<Listed>) {
-        if matches!(form, ListForm::Whole | ListForm::Stale) {
-            self.hosts.values().for_each(|h| h.open.set(false));
-            self.members.clear();
+    fn endpoints_updated(&mut self, update: EndpointListUpdate) {
+        let update = match update {
+            EndpointListUpdate::Delta(entries) => {
+                EndpointUpdate::Delta(self.store_entries(&entries))
+            }
+            EndpointListUpdate::Snapshot(entries) => {
+                self.clear_entries();
+                EndpointUpdate::Snapshot(self.store_entries(&entries))
+            }
+            EndpointListUpdate::Restored(entries) => {
+                self.clear_entries();
+                EndpointUpdate::Restored(self.store_entries(&entries))
+            }
+        };
+        self.decide(Event::EndpointsUpdated(update));
+    }
+
+    fn clear_entries(&mut self) {
+        for endpoint in self.endpoints.values() {
+            endpoint.active.set(false);
         }
-        let members: Vec<Member> = listed.iter().map(|line| self.member(line)).collect();
-        // Machines are replaced by others for as long as the router runs: one that is gone is forgotten here.
+        self.members.clear();
+    }
+
+    fn store_entries(&mut self, entries: &[EndpointEntry]) -> Vec<EndpointSpec> {
+        let specs = entries.iter().map(|entry| self.member(entry)).collect();
+        // Machines are replaced by others for as long as the router runs: one that was removed is forgotten.
         self.members
-            .retain(|_, member| member.readiness != Readiness::Gone);
-        for (id, _) in self
-            .hosts
-            .extract_if(|id, _| !self.members.contains_key(id))
-        {
+            .retain(|_, spec| spec.state != EndpointState::Removed);
+        let removed = self
+            .endpoints
+            .extract_if(|id, _| !self.members.contains_key(id));
+        for (id, _) in removed {
             self.outbound.close_idle(id);
         }
-        self.decide(Event::Members { form, members });
+        specs
     }
 
     /// Closes servers of which no more is told than that they take nothing new.
     fn members_leaving(&mut self, names: &[String]) {
         let mut members = Vec::new();
         for name in names {
-            let id = HostId(stable(name));
-            let (Some(host), Some(member)) = (self.hosts.get(&id), self.members.get_mut(&id))
+            let id = EndpointId(stable_hash(name));
+            let (Some(endpoint), Some(member)) =
+                (self.endpoints.get(&id), self.members.get_mut(&id))
             else {
                 continue;
             };
-            host.open.set(false);
-            member.readiness = Readiness::Draining;
+            endpoint.active.set(false);
+            member.state = EndpointState::Draining;
             members.push(*member);
         }
-        self.decide(Event::Members {
-            form: ListForm::Patch,
-            members,
-        });
+        self.decide(Event::EndpointsUpdated(EndpointUpdate::Delta(members)));
     }
 
-    fn member(&mut self, line: &Listed) -> Member {
-        let id = HostId(stable(&line.name));
-        let host = self
-            .hosts
+    fn member(&mut self, line: &EndpointEntry) -> EndpointSpec {
+        let id = EndpointId(stable_hash(&line.name));
+        let endpoint = self
+            .endpoints
             .entry(id)
-            .or_insert_with(|| Rc::new(Host::new(&line.name, line.address)));
+            .or_insert_with(|| Rc::new(Endpoint::new(&line.name, line.address)));
         // What was kept to the machine or process before is of no use, and may never say so.
         if self
             .members
             .get(&id)
-            .is_some_and(|member| member.last_start != line.last_start)
+            .is_some_and(|member| member.started_at != line.started_at)
         {
             self.outbound.close_idle(id);
         }
-        host.address.set(line.address);
-        host.open.set(line.readiness == Readiness::Up);
-        let member = Member {
-            host: id,
-            last_start: line.last_start,
+        endpoint.address.set(line.address);
+        endpoint.active.set(line.state == EndpointState::Active);
+        let member = EndpointSpec {
+            id,
+            started_at: line.started_at,
             kind: line.kind,
-            readiness: line.readiness,
+            state: line.state,
             cell: line.cell,
             weight: line.weight,
             zone: line.zone,
         };
         tracing::debug!(name = line.name, kind = line.kind.0, zone = line.zone.0, cell = line.cell.0,
-            readiness = ?line.readiness, started = line.last_start, "a line of the list");
+            state = ?line.state, started = line.started_at, "a line of the list");
         let before = self.members.insert(id, member);
-        if before
-            .is_some_and(|m| (m.readiness, m.last_start) != (member.readiness, member.last_start))
-        {
+        if before.is_some_and(|m| (m.state, m.started_at) != (member.state, member.started_at)) {
             tracing::info!(name = line.name, kind = line.kind.0, address = %line.address,
-                readiness = ?line.readiness, started = line.last_start, "a server has changed");
+                state = ?line.state, started = line.started_at, "a server has changed");
         }
         member
     }
@@ -520,28 +564,25 @@
                     false,
                 );
             }
-            self.finish(id, Some(Answer::Failed));
+            self.finish(id, Some(FinalResponse::Failed));
             self.release(id);
             self.forget(id);
         }
         let members = self.members.values().copied().collect();
-        self.decide(Event::Members {
-            form: ListForm::Whole,
-            members,
-        });
+        self.decide(Event::EndpointsUpdated(EndpointUpdate::Snapshot(members)));
     }
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Route {
+            Action::Send {
                 id,
-                host,
-                expire,
-                up_by,
-            } => self.route(id, host, expire, up_by),
-            Action::Earmark { id, host } => self.earmark(id, host),
-            Action::FreeState(id) => self.release(id),
-            Action::Abort { id, attempt } => {
+                endpoint,
+                expires_at,
+                write_by,
+            } => self.route(id, endpoint, expires_at, write_by),
+            Action::ReserveSlot { id, endpoint } => self.earmark(id, endpoint),
+            Action::ReleaseState(id) => self.release(id),
+            Action::CancelAttempt { id, attempt } => {
                 self.note(id, Step::Cancelled { number: attempt });
                 self.outbound.cancel(
                     AttemptId {
@@ -551,12 +592,12 @@
                     false,
                 );
             }
-            Action::Shed { id, pause } => {
-                let pause = Duration::from_micros(u64::try_from(pause).unwrap_or(0));
-                self.refuse(id, Answer::Refused(pause));
+            Action::Reject { id, retry_after } => {
+                let pause = Duration::from_micros(u64::try_from(retry_after).unwrap_or(0));
+                self.refuse(id, FinalResponse::Rejected(pause));
             }
-            Action::Lose(id) => self.finish(id, Some(Answer::Failed)),
-            Action::Bounce(id) => {
+            Action::Fail(id) => self.finish(id, Some(FinalResponse::Failed)),
+            Action::Migrate(id) => {
                 let streaming = self
                     .requests
                     .get(&id)
@@ -572,26 +613,26 @@
                     );
                 }
             }
-            Action::Sleep { at, key } => self.timers.push(Reverse((at, key))),
-            Action::Touch(host) => {
-                if let Some(host) = self.hosts.get(&host) {
-                    self.outbound.probe(host.clone());
+            Action::SetTimer { at, key } => self.timers.push(Reverse((at, key))),
+            Action::HealthCheck(endpoint) => {
+                if let Some(endpoint) = self.endpoints.get(&endpoint) {
+                    self.outbound.health_check(endpoint.clone());
                 }
             }
-            Action::FreeLinks(host) => self.outbound.close_idle(host),
-            Action::Publish { to, bytes } => self.outbound.publish(to, bytes),
+            Action::CloseIdle(endpoint) => self.outbound.close_idle(endpoint),
+            Action::Gossip { to, payload } => self.outbound.gossip(to, payload),
             // The list is watched from the start to the end.
-            Action::Subscribe(_) | Action::Fetch => {}
+            Action::SubscribeEndpoints(_) | Action::FetchEndpoints => {}
             Action::Log(line) => tracing::info!("{line}"),
         }
     }
 
     /// Refuses a request, once the attempt that is out has been called off, which takes no wait. Guards against a
     /// refusal that overtakes its attempt: its client may ask again while the server still works for it.
-    fn refuse(&mut self, id: RequestId, refusal: Answer) {
+    fn refuse(&mut self, id: RequestId, refusal: FinalResponse) {
         if let Err(breach) = self.check_refusal(id) {
             self.note_breach(id, breach);
-            return self.finish(id, Some(Answer::Failed));
+            return self.finish(id, Some(FinalResponse::Failed));
         }
         let out = self
             .requests
@@ -602,7 +643,7 @@
             return self.finish(id, Some(refusal));
         };
         request.parting = Some(refusal);
-        request.wanted.set(false);
+        request.is_live.set(false);
         request
             .trace
             .note(self.clock.now(), Step::Cancelled { number });
@@ -615,7 +656,7 @@
         );
     }
 
-    fn route(&mut self, id: RequestId, host: HostId, expire: Micros, up_by: Micros) {
+    fn route(&mut self, id: RequestId, endpoint: EndpointId, expires_at: Micros, write_by: Micros) {
         let now = self.clock.now();
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -623,7 +664,11 @@
         let number = request.attempts;
         request.attempts += 1;
         let most = self.settings.max_attempts.unwrap_or(u32::MAX);
-        let target = match self.hosts.get(&host).zip(self.members.get(&host)) {
+        let target = match self
+            .endpoints
+            .get(&endpoint)
+            .zip(self.members.get(&endpoint))
+        {
             _ if request.over => Err(NotSent::Over),
             _ if request.in_flight.is_some() => Err(NotSent::OneIsOut),
             _ if number >= most => Err(NotSent::TooMany),
@@ -636,33 +681,33 @@
                 now,
                 Step::NotSent {
                     number,
-                    to: host,
+                    to: endpoint,
                     reason: *reason,
                 },
             );
         });
         let Ok((target, member)) = target else {
-            return self.not_sent(id, number, host);
+            return self.not_sent(id, number, endpoint);
         };
         tracing::debug!(id = %request.incoming.request_id, number, to = target.name, "an attempt is made");
         request.released = false;
         let class = self.settings.classes.get(request.incoming.class.0);
-        let effect = class.map(|c| c.effect).unwrap_or_default();
+        let effect = class.map(|c| c.idempotency).unwrap_or_default();
         let kind = self.settings.kinds.get(member.kind.0);
-        let stage = kind.and_then(|k| k.stage).unwrap_or(Stage::Both);
-        let reads = stage == Stage::Read;
+        let stage = kind.and_then(|k| k.role).unwrap_or(Role::Mixed);
+        let reads = stage == Role::Prefill;
         if let Err(breach) = request
             .effects
-            .check_send(EffectRule::of(class), member, now)
+            .check_send(RetryRule::of(class), member, now)
         {
             self.note_breach(id, breach);
-            return self.not_sent(id, number, host);
+            return self.not_sent(id, number, endpoint);
         }
-        let run = PossibleRun::at(member, now);
+        let run = PossibleExecution::at(member, now);
         request.in_flight = Some(InFlight {
             number,
             sent: now,
-            host,
+            endpoint,
             stage,
             run,
             streaming: false,
@@ -675,10 +720,10 @@
                 reads,
             },
         );
-        if effect != Effect::Safe && !reads && request.trace.tried_before(number) {
+        if effect != Idempotency::Idempotent && !reads && request.trace.tried_before(number) {
             tracing::info!(id = %request.incoming.request_id, trace = %request.trace, "a request is sent again");
         }
-        let [expire, up_by] = [expire, up_by].map(|at| {
+        let [expires_at, write_by] = [expires_at, write_by].map(|at| {
             if at == 0 {
                 request.valid_until
             } else {
@@ -691,28 +736,27 @@
                 number,
             },
             request_id: request.incoming.request_id.clone(),
-            host: target.clone(),
-            expire: self.clock.instant(expire),
-            up_by: self.clock.instant(up_by),
-            wanted: request.wanted.clone(),
-            reads,
-            non_idempotent: effect == Effect::Unsafe && !reads,
+            endpoint: target.clone(),
+            expires_at: self.clock.instant(expires_at),
+            write_by: self.clock.instant(write_by),
+            is_live: request.is_live.clone(),
+            prefill_only: reads,
+            non_idempotent: effect == Idempotency::NonIdempotent && !reads,
             message: request.incoming.message.clone(),
         });
     }
 
     /// The module hears of an attempt that was not made.
-    fn not_sent(&mut self, id: RequestId, attempt: u32, host: HostId) {
-        let no_more = self.requests.get(&id).is_none_or(|r| r.over);
-        let (outcome, info, spent, load) = (Outcome::Nop, 0, 0, None);
-        self.due.push_back(Event::Result {
+    fn not_sent(&mut self, id: RequestId, attempt: u32, endpoint: EndpointId) {
+        let client_done = self.requests.get(&id).is_none_or(|r| r.over);
+        let (outcome, elapsed, load) = (Outcome::NotSent, 0, None);
+        self.due.push_back(Event::AttemptEnded {
             id,
             attempt,
-            host,
+            endpoint,
             outcome,
-            info,
-            no_more,
-            spent,
+            client_done,
+            elapsed,
             load,
         });
     }
@@ -721,11 +765,11 @@
         let Some(request) = self.requests.get(&id).filter(|r| !r.over) else {
             return Ok(());
         };
-        let rule = EffectRule::of(self.settings.classes.get(request.incoming.class.0));
+        let rule = RetryRule::of(self.settings.classes.get(request.incoming.class.0));
         let out = request
             .in_flight
             .as_ref()
-            .is_some_and(|out| out.stage != Stage::Read);
+            .is_some_and(|out| out.stage != Role::Prefill);
         request.effects.check_refusal(rule, out)
     }
 
@@ -742,11 +786,11 @@
         self.breaches
     }
 
-    fn earmark(&mut self, id: RequestId, writer: HostId) {
+    fn earmark(&mut self, id: RequestId, writer: EndpointId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let (Some(out), Some(writer)) = (request.in_flight.as_ref(), self.hosts.get(&writer))
+        let (Some(out), Some(writer)) = (request.in_flight.as_ref(), self.endpoints.get(&writer))
         else {
             return;
         };
@@ -759,7 +803,7 @@
             at: writer.name.as_str().into(),
         };
         self.outbound
-            .reserve(reading, request.incoming.request_id.clone(), writer.clone());
+            .reserve_slot(reading, request.incoming.request_id.clone(), writer.clone());
         self.note(id, step);
     }
 
@@ -777,57 +821,57 @@
         request.released = true;
         request.trace.note(self.clock.now(), Step::Released);
         let request_id = request.incoming.request_id.clone();
-        let hosts = self.reachable();
-        self.outbound.release(id, request_id, hosts);
+        let endpoints = self.reachable();
+        self.outbound.release_state(id, request_id, endpoints);
     }
 
     /// The servers through which something may be let go: any of them can, so the likeliest to be reached come first,
     /// which are those that answered last. Guards against calls that are tried at one unreachable server after another.
-    fn reachable(&mut self) -> Vec<Rc<Host>> {
+    fn reachable(&mut self) -> Vec<Rc<Endpoint>> {
         let mut open: Vec<_> = self
-            .hosts
+            .endpoints
             .values()
-            .filter(|h| h.is_open())
+            .filter(|h| h.is_active())
             .cloned()
             .collect();
         open.sort_by_key(|h| h.id);
         self.turn = self.turn.wrapping_add(1);
         let turn = self.turn % open.len().max(1);
         open.rotate_left(turn);
-        open.sort_by_key(|h| Reverse(h.heard.get()));
+        open.sort_by_key(|h| Reverse(h.last_response.get()));
         open
     }
 
-    fn heard(&self, host: HostId) {
-        if let Some(host) = self.hosts.get(&host) {
-            host.heard.set(self.clock.now());
+    fn heard(&self, endpoint: EndpointId) {
+        if let Some(endpoint) = self.endpoints.get(&endpoint) {
+            endpoint.last_response.set(self.clock.now());
         }
     }
 
     /// Ends a request: the only place that does. `None` where its client has all of the answer or is gone.
-    fn finish(&mut self, id: RequestId, answer: Option<Answer>) {
+    fn finish(&mut self, id: RequestId, answer: Option<FinalResponse>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         request.over = true;
-        request.wanted.set(false);
+        request.is_live.set(false);
         let now = self.clock.now();
-        let refused = matches!(answer, Some(Answer::Refused(_)));
+        let refused = matches!(answer, Some(FinalResponse::Rejected(_)));
         request.trace.note(
             now,
             Step::Answered {
-                answer: answer.as_ref().map_or("none", Answer::name),
+                answer: answer.as_ref().map_or("none", FinalResponse::name),
             },
         );
-        let (id, spent) = (&request.incoming.request_id, now - request.arrived);
-        tracing::debug!(%id, ?answer, spent, "a request has ended");
+        let (id, elapsed) = (&request.incoming.request_id, now - request.arrived);
+        tracing::debug!(%id, ?answer, elapsed, "a request has ended");
         let class = self.settings.classes.get(request.incoming.class.0);
-        let effect = class.map(|c| c.effect).unwrap_or_default();
-        if refused && effect != Effect::Safe && request.trace.tried_before(u32::MAX) {
+        let effect = class.map(|c| c.idempotency).unwrap_or_default();
+        if refused && effect != Idempotency::Idempotent && request.trace.tried_before(u32::MAX) {
             tracing::info!(%id, trace = %request.trace, "a request is refused after an attempt");
         }
-        if let (Some(carrier), Some(answer)) = (request.carrier.take(), answer) {
-            carrier.answer(answer);
+        if let (Some(responder), Some(answer)) = (request.responder.take(), answer) {
+            responder.respond(answer);
         }
     }
 
@@ -851,8 +895,8 @@
 
 fn request_of(event: &Event) -> Option<RequestId> {
     match event {
-        Event::Ask(ask) => Some(ask.id),
-        Event::Result { id, .. } | Event::ClientGone(id) => Some(*id),
+        Event::RequestArrived(ask) => Some(ask.id),
+        Event::AttemptEnded { id, .. } | Event::ClientDisconnected(id) => Some(*id),
         _ => None,
     }
 }
--- a/crates/router/src/core/handle.rs
+++ b/crates/router/src/core/handle.rs
@@ -6,8 +6,8 @@
 use cranetack_routing_policy::RequestId;
 use tokio::sync::{mpsc, oneshot};
 
-use super::messages::{CoreEvent, EndpointStatus, IncomingRequest};
-use crate::exchange::{self, Caller};
+use super::messages::{CoreEvent, EndpointReport, IncomingRequest};
+use crate::exchange::{self, ResponseHandle};
 
 /// Through which the other parts tell the core what has happened. Cheap to clone.
 #[derive(Clone)]
@@ -35,19 +35,24 @@
     }
 
     /// Asks how the module stands towards the servers; `None` once the core has stopped.
-    pub async fn endpoint_statuses(&self) -> Option<Vec<EndpointStatus>> {
+    pub async fn endpoint_reports(&self) -> Option<Vec<EndpointReport>> {
         let (tx, rx) = oneshot::channel();
-        self.send(CoreEvent::StatusRequested(tx));
+        self.send(CoreEvent::EndpointReportsRequested(tx));
         rx.await.ok()
     }
 
     /// Hands a request in.
-    pub fn submit(&self, incoming: IncomingRequest) -> Caller {
+    pub fn submit(&self, request: IncomingRequest) -> ResponseHandle {
         let id = RequestId(self.next.get());
         self.next.set(id.0.wrapping_add(1));
         let handle = self.clone();
-        let (caller, carrier) = exchange::open(move || handle.send(CoreEvent::ClientGone(id)));
-        self.send(CoreEvent::Submitted(id, incoming, carrier));
-        caller
+        let (response, responder) =
+            exchange::channel(move || handle.send(CoreEvent::ClientDisconnected(id)));
+        self.send(CoreEvent::RequestSubmitted {
+            id,
+            request,
+            responder,
+        });
+        response
     }
 }
--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -1,4 +1,4 @@
-//! What the core and the other parts say to one another.
+//! The messages between the core and the other parts of the router.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -6,15 +6,15 @@
 use std::time::Duration;
 
 use cranetack_routing_policy::{
-    ClassId, HostId, ListForm, Load, Member, Outcome, RequestId, Standing,
+    ClassId, EndpointId, EndpointSpec, EndpointStatus, LoadReport, Outcome, RequestId,
 };
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::server::{Host, Listed};
-use crate::exchange::{Carrier, Message, Parts};
+use super::endpoint::{Endpoint, EndpointListUpdate};
+use crate::exchange::{BodyStream, Message, Responder};
 
-/// A request as a front has decoded it.
+/// A request as a frontend has decoded it.
 #[derive(Debug, Clone)]
 pub struct IncomingRequest {
     /// Its id on the wire.
@@ -23,37 +23,37 @@
     pub class: ClassId,
     /// Its session.
     pub session: Option<String>,
-    /// The opening that it shares with other sessions.
-    pub prefix: Option<String>,
-    /// How long the client waits for the first part of the answer.
-    pub patience: Duration,
-    /// Rough length of the answer as time.
-    pub hint: Option<Duration>,
-    /// Tokens in the prompt.
+    /// The prompt prefix that it shares with other sessions.
+    pub shared_prefix: Option<String>,
+    /// How long the client waits for the first byte of the response body.
+    pub time_to_first_byte: Duration,
+    /// The rough duration of the response.
+    pub expected_duration: Option<Duration>,
+    /// The number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of these that belong to the shared opening.
-    pub shared_tokens: u64,
-    /// Most tokens of the answer.
+    /// How many of these belong to the shared prefix.
+    pub shared_prefix_tokens: u64,
+    /// The most tokens of the response.
     pub max_tokens: u64,
-    /// The client is trying again.
-    pub retry: bool,
-    /// The client asks for the rest of a broken stream.
-    pub came_back: bool,
-    /// The kinds of server that it may go to, a bit for each; any where it does not say.
-    pub kinds: Option<u64>,
-    /// What servers are sent.
+    /// The client says that it is trying again.
+    pub is_retry: bool,
+    /// The client resumes a broken stream.
+    pub is_resumed: bool,
+    /// The kinds of endpoint that may serve it, a bit for each; absent for all kinds.
+    pub allowed_kinds: Option<u64>,
+    /// What endpoints are sent.
     pub message: Rc<Message>,
 }
 
-/// What came of a request for a place at a writer.
+/// The outcome of a slot reservation at a decode endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Place {
-    /// It is held.
-    Held,
-    /// It is not held.
+pub enum SlotReservation {
+    /// The slot is reserved.
+    Granted,
+    /// The slot is not reserved.
     Refused,
-    /// The writer may hold it, but did not say.
-    Unsure,
+    /// The endpoint did not say whether the slot is reserved.
+    Unknown,
 }
 
 /// Why an attempt ended, as seen at its connection.
@@ -65,79 +65,92 @@
     /// No connection came up in time.
     NoConnection,
     /// This machine had no connection to give.
-    NoConnectionHere,
-    /// The server takes nothing new, or the request wants no answer any more: nothing was written.
-    NotWanted,
-    /// The request could not be put into the wire's form.
-    Unwritable,
-    /// The server answered with this status.
-    Answered(u16),
-    /// The connection broke before an answer's head, in its body, or before its first event.
-    Broken,
-    /// An answer that had begun did not go on.
+    NoLocalConnection,
+    /// The endpoint takes no new requests, or the request needs no response any more: nothing was
+    /// written.
+    NotNeeded,
+    /// The request could not be encoded.
+    NotEncodable,
+    /// The endpoint responded with this status.
+    Responded(u16),
+    /// The connection broke before the response's head, in its body, or before its first event.
+    ConnectionBroken,
+    /// A response that had begun did not go on.
     Stalled,
-    /// It was called off.
+    /// It was cancelled.
     Cancelled,
     /// Its time was up.
     Expired,
     /// Its stream was passed on to the end.
-    StreamEnded,
+    StreamCompleted,
     /// Its stream broke, or was broken off.
     StreamBroken,
 }
 
+/// The connection that an attempt used.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct UsedConnection {
+    /// Its number.
+    pub number: u64,
+    /// Whether it was taken from the pool.
+    pub reused: bool,
+}
+
+/// What was written of a request.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+pub struct Written {
+    /// The number of bytes.
+    pub bytes: u64,
+    /// Whether the last byte is among them.
+    pub complete: bool,
+}
+
 /// What was seen on the wire of an attempt, for those who look for the cause of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct WireTrace {
-    /// The connection's number, if there was one, and whether it had been kept.
-    pub connection: Option<(u64, bool)>,
-    /// Bytes written of the request, and whether the last is among them.
-    pub written: (u64, bool),
-    /// Bytes that have come since the request began.
+    /// The connection, if there was one.
+    pub connection: Option<UsedConnection>,
+    /// What was written of the request.
+    pub written: Written,
+    /// The bytes that were read since the request began.
     pub read: u64,
-    /// Why it ended.
+    /// Why the attempt ended.
     pub reason: EndReason,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Ended {
-    /// How.
+pub struct AttemptReport {
+    /// The outcome that the policy is told.
     pub outcome: Outcome,
-    /// Prompt tokens found kept; or 1 where no state was there to fetch, a kept connection had been dropped, or this machine
-    /// had none to give.
-    pub info: u64,
-    /// The server's report, if one came along.
-    pub load: Option<Load>,
+    /// The prompt tokens that a served stream reports as cached; for the log.
+    pub cached_tokens: u64,
+    /// The endpoint's load report, if one came along.
+    pub load: Option<LoadReport>,
     /// What was seen on the wire.
     pub wire: WireTrace,
 }
 
-impl Ended {
-    /// The same with why it ended.
-    pub fn because(self, reason: EndReason) -> Ended {
-        Ended {
-            wire: WireTrace {
-                reason,
-                ..self.wire
-            },
-            ..self
-        }
+impl AttemptReport {
+    /// The same report with the reason of the end.
+    pub fn because(mut self, reason: EndReason) -> AttemptReport {
+        self.wire.reason = reason;
+        self
     }
 }
 
-impl From<Outcome> for Ended {
-    fn from(outcome: Outcome) -> Ended {
-        Ended {
+impl From<Outcome> for AttemptReport {
+    fn from(outcome: Outcome) -> AttemptReport {
+        AttemptReport {
             outcome,
-            info: 0,
+            cached_tokens: 0,
             load: None,
             wire: WireTrace::default(),
         }
     }
 }
 
-/// An attempt at a server: the request's number, and the attempt's.
+/// An attempt at serving a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct AttemptId {
     /// The request.
@@ -148,64 +161,87 @@
 
 /// What has happened outside the core.
 pub enum CoreEvent {
-    /// A request came in.
-    Submitted(RequestId, IncomingRequest, Carrier),
-    /// Its client has gone, or has been answered in full.
-    ClientGone(RequestId),
-    /// The first part of an attempt's answer is here.
-    Established {
+    /// A request has arrived.
+    RequestSubmitted {
+        /// Its number.
+        id: RequestId,
+        /// What it says.
+        request: IncomingRequest,
+        /// Where its final response goes.
+        responder: Responder,
+    },
+    /// The client has disconnected, or has its whole response.
+    ClientDisconnected(RequestId),
+    /// The response to an attempt has begun to stream.
+    StreamStarted {
         /// The attempt.
         attempt: AttemptId,
-        /// The media type of the answer.
+        /// The media type of the response.
         media_type: String,
-        /// The answer.
-        parts: Parts,
+        /// Its body.
+        body: BodyStream,
     },
     /// An attempt has ended, and its connection no longer carries it.
-    AttemptEnded(AttemptId, Ended),
-    /// A request for a place was answered, or may have been heard.
-    ReservationAnswered {
-        /// The attempt whose read the place was asked for.
-        reading: AttemptId,
-        /// Its id on the wire.
+    AttemptEnded {
+        /// The attempt.
+        attempt: AttemptId,
+        /// How it ended.
+        report: AttemptReport,
+    },
+    /// A slot reservation was answered, or may have been received.
+    SlotReservationAnswered {
+        /// The prefill attempt for which the slot was asked for.
+        prefill_attempt: AttemptId,
+        /// The request's id on the wire.
         request_id: Rc<str>,
-        /// The writer.
-        host: HostId,
-        /// What came of it.
-        place: Place,
+        /// The decode endpoint.
+        endpoint: EndpointId,
+        /// The outcome.
+        reservation: SlotReservation,
     },
-    /// A probe has ended.
-    Probed {
-        /// The server.
-        host: HostId,
-        /// How.
+    /// A health check has ended.
+    HealthChecked {
+        /// The endpoint.
+        endpoint: EndpointId,
+        /// How it ended.
         outcome: Outcome,
         /// How long it took.
-        spent: Duration,
-        /// The server's report.
-        load: Option<Load>,
+        elapsed: Duration,
+        /// The endpoint's load report.
+        load: Option<LoadReport>,
+    },
+    /// The endpoint list has changed.
+    EndpointsUpdated(EndpointListUpdate),
+    /// The endpoints of these names take no new requests; the rest of their entries could not be
+    /// read.
+    EndpointsDraining(Vec<String>),
+    /// Gossip from another router.
+    GossipReceived {
+        /// The other router's number.
+        from: u32,
+        /// The message.
+        payload: Vec<u8>,
     },
-    /// News of the list of servers.
-    Members(ListForm, Vec<Listed>),
-    /// Servers of these names take nothing new; no more of their lines can be read.
-    MembersLeaving(Vec<String>),
-    /// Another router's message.
-    Peer(u32, Vec<u8>),
-    /// The router ends: clients are sent elsewhere from one instant on, and all must be answered by another.
-    Leaving(Instant, Instant),
-    /// Somebody asks how the module stands towards the servers.
-    StatusRequested(oneshot::Sender<Vec<EndpointStatus>>),
+    /// The router shuts down.
+    ShutdownStarted {
+        /// From then on clients that ask again reach another router.
+        migrate_from: Instant,
+        /// All requests must have their final response by then.
+        answer_by: Instant,
+    },
+    /// A request for the policy's view of all endpoints.
+    EndpointReportsRequested(oneshot::Sender<Vec<EndpointReport>>),
 }
 
-/// A server, and how the module stands towards it.
+/// An endpoint, and the policy's view of it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct EndpointStatus {
-    /// Where it listens.
+pub struct EndpointReport {
+    /// The address at which it listens.
     pub address: SocketAddr,
-    /// Its line of the list.
-    pub member: Member,
-    /// How the module stands towards it.
-    pub standing: Standing,
+    /// Its entry of the list.
+    pub spec: EndpointSpec,
+    /// The policy's view of it.
+    pub status: EndpointStatus,
 }
 
 /// An attempt to be made.
@@ -215,36 +251,47 @@
     pub attempt: AttemptId,
     /// The request's id on the wire.
     pub request_id: Rc<str>,
-    /// The server.
-    pub host: Rc<Host>,
-    /// When to give it up, unless its answer has begun.
-    pub expire: Instant,
-    /// When to give it up, unless it has a connection.
-    pub up_by: Instant,
-    /// Whether the request still wants an answer.
-    pub wanted: Rc<Cell<bool>>,
-    /// The server reads the prompt and keeps the state; else it answers.
-    pub reads: bool,
-    /// It must not run twice, so it had better not go over a connection that may break under it.
+    /// The endpoint.
+    pub endpoint: Rc<Endpoint>,
+    /// When to abandon it, unless its response has begun.
+    pub expires_at: Instant,
+    /// When to abandon it, unless it has a connection.
+    pub write_by: Instant,
+    /// Whether the request still needs a response.
+    pub is_live: Rc<Cell<bool>>,
+    /// The endpoint processes the prompt and keeps the KV state; else it responds.
+    pub prefill_only: bool,
+    /// It must not be executed twice, so a connection that may break under it is best avoided.
     pub non_idempotent: bool,
     /// What to send.
     pub message: Rc<Message>,
 }
 
-/// What the core has done outside. None of these may wait: they start work and report as events.
+/// What the core has done outside. No method may wait: they start work and report as events.
 pub trait Outbound {
     /// Makes an attempt.
-    fn send(&mut self, order: AttemptSpec);
-    /// Cancels an attempt; one that streams only if `streaming`, which breaks its answer off.
+    fn send(&mut self, spec: AttemptSpec);
+    /// Cancels an attempt; one that streams only if `streaming`, which breaks its response off.
     fn cancel(&mut self, attempt: AttemptId, streaming: bool);
-    /// Asks a writer for a place, once the reading request is out.
-    fn reserve(&mut self, reading: AttemptId, request_id: Rc<str>, writer: Rc<Host>);
-    /// Lets go of all that is held for a request, through the first of these servers that can be reached.
-    fn release(&mut self, request: RequestId, request_id: Rc<str>, hosts: Vec<Rc<Host>>);
-    /// Probes a server.
-    fn probe(&mut self, host: Rc<Host>);
-    /// Closes idle connections to a server.
-    fn close_idle(&mut self, host: HostId);
-    /// Sends a message to one router or to all.
-    fn publish(&mut self, to: Option<u32>, bytes: Vec<u8>);
+    /// Asks a decode endpoint for a slot, once the prefill request has been written.
+    fn reserve_slot(
+        &mut self,
+        prefill_attempt: AttemptId,
+        request_id: Rc<str>,
+        decode: Rc<Endpoint>,
+    );
+    /// Releases all that is held for a request, through the first of these endpoints that can be
+    /// reached.
+    fn release_state(
+        &mut self,
+        request: RequestId,
+        request_id: Rc<str>,
+        endpoints: Vec<Rc<Endpoint>>,
+    );
+    /// Sends a health check to an endpoint.
+    fn health_check(&mut self, endpoint: Rc<Endpoint>);
+    /// Closes the idle connections to an endpoint.
+    fn close_idle(&mut self, endpoint: EndpointId);
+    /// Sends gossip to one router or to all.
+    fn gossip(&mut self, to: Option<u32>, payload: Vec<u8>);
 }
--- a/crates/router/src/core/recorder.rs
+++ b/crates/router/src/core/recorder.rs
@@ -4,9 +4,9 @@
 use std::fmt;
 use std::rc::Rc;
 
-use cranetack_routing_policy::{HostId, Micros, Outcome};
+use cranetack_routing_policy::{EndpointId, Micros, Outcome};
 
-use super::messages::{Place, WireTrace};
+use super::messages::{SlotReservation, WireTrace};
 
 /// Steps that are kept of one request: five attempts with a place and a release each are under half of it. What is
 /// beyond that is counted.
@@ -18,7 +18,7 @@
     /// It was taken, with this long to go.
     Taken {
         /// Time until its client stops waiting (us).
-        patience: Micros,
+        time_to_first_byte: Micros,
     },
     /// An attempt was begun.
     Sent {
@@ -34,7 +34,7 @@
         /// Its number.
         number: u32,
         /// The server.
-        to: HostId,
+        to: EndpointId,
         /// Why.
         reason: NotSent,
     },
@@ -44,8 +44,6 @@
         number: u32,
         /// How.
         outcome: Outcome,
-        /// What the module is told beside the outcome.
-        info: u64,
         /// What was seen on its connection.
         wire: WireTrace,
     },
@@ -62,7 +60,7 @@
     /// A writer has answered that.
     PlaceAnswered {
         /// What it said.
-        place: Place,
+        place: SlotReservation,
     },
     /// What is held for it is let go.
     Released,
@@ -80,7 +78,7 @@
     },
 }
 
-/// Why an attempt that the module wanted was not made.
+/// Why an attempt that the module is_live was not made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotSent {
     /// The request has its final answer.
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cranetack_routing_policy::{CellId, KindId, ListForm, Readiness, ZoneId};
+use cranetack_routing_policy::{CellId, EndpointState, KindId, ZoneId};
 use cranetack_settings::Facts;
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, Empty, Limited};
@@ -20,7 +20,7 @@
 use tokio::time::{timeout, Instant};
 
 use crate::backoff::Backoff;
-use crate::core::{CoreEvent, Handle, Listed};
+use crate::core::{CoreEvent, EndpointEntry, EndpointListUpdate, Handle};
 use crate::socket::Socket;
 
 /// How long an answer may take: a busy service serves or refuses what waits its turn within 2 s.
@@ -167,7 +167,7 @@
 
     /// The lines in the core's terms. A line with a zone or kind that the settings do not name is left out:
     /// one odd worker must not cost the others.
-    pub fn listed(&self, facts: &Facts) -> Vec<Listed> {
+    pub fn listed(&self, facts: &Facts) -> Vec<EndpointEntry> {
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
         let line = |e: &Endpoint| {
             let (zone, kind) = (place(&facts.zones, &e.zone), place(&facts.kinds, &e.kind));
@@ -179,19 +179,19 @@
                     "unknown zone or kind: left out"
                 );
             }
-            Some(Listed {
+            Some(EndpointEntry {
                 name: e.name.clone(),
                 address: e.address,
                 zone: ZoneId(zone?),
                 kind: KindId(kind?),
                 cell: CellId(e.group),
-                readiness: match e.status {
-                    Status::Up => Readiness::Up,
-                    Status::Draining => Readiness::Draining,
-                    Status::Removed => Readiness::Gone,
+                state: match e.status {
+                    Status::Up => EndpointState::Active,
+                    Status::Draining => EndpointState::Draining,
+                    Status::Removed => EndpointState::Removed,
                 },
                 weight: e.weight,
-                last_start: (e.since_ms > 0).then(|| e.since_ms.saturating_mul(1_000)),
+                started_at: (e.since_ms > 0).then(|| e.since_ms.saturating_mul(1_000)),
             })
         };
         self.endpoints.iter().filter_map(line).collect()
@@ -222,9 +222,9 @@
 impl Pace {
     /// For one of so many routers, if it is known how many, and the span in which a list must be asked for, if the
     /// settings tell. The routers' seeds must differ.
-    pub fn new(routers: Option<u32>, ask_within: Option<Duration>, seed: u64) -> Pace {
+    pub fn new(routers: Option<u32>, poll_interval: Option<Duration>, seed: u64) -> Pace {
         let span = APART.saturating_mul(routers.filter(|n| *n > 0).unwrap_or(ROUTERS));
-        let most = ask_within.unwrap_or(ASK_WITHIN).min(REFUSED_MOST);
+        let most = poll_interval.unwrap_or(ASK_WITHIN).min(REFUSED_MOST);
         // Drawn spans are half of their bound on average.
         let refused = Backoff::new((2 * span).min(most), (4 * span).min(most), seed);
         let unreached = Backoff::new(UNREACHED[0], UNREACHED[1], seed);
@@ -326,16 +326,16 @@
                 }
                 index = Some(list.index);
                 hold = pace.hold();
-                let form = if list.snapshot {
-                    ListForm::Whole
+                let update = if list.snapshot {
+                    EndpointListUpdate::Snapshot
                 } else {
-                    ListForm::Patch
+                    EndpointListUpdate::Delta
                 };
                 // Every answer concerns the core: that there are no news tells how recent the next ones are.
-                handle.send(CoreEvent::Members(form, list.listed(facts)));
+                handle.send(CoreEvent::EndpointsUpdated(update(list.listed(facts))));
                 let leaving = list.leaving(facts);
                 if !leaving.is_empty() {
-                    handle.send(CoreEvent::MembersLeaving(leaving));
+                    handle.send(CoreEvent::EndpointsDraining(leaving));
                 }
                 fresh.send_replace(true);
             },
@@ -393,11 +393,11 @@
     });
     let began = Instant::now();
     let answer = answer.await;
-    let (spent, status) = (
+    let (elapsed, status) = (
         began.elapsed(),
         answer.as_ref().map(|a| a.as_ref().map(|a| a.0)),
     );
-    tracing::debug!(index, ?spent, ?status, "a call of discovery has ended");
+    tracing::debug!(index, ?elapsed, ?status, "a call of discovery has ended");
     let (status, body) = answer
         .map_err(|_| Failure::Silent)?
         .ok_or(Failure::Unreached)?;
--- a/crates/router/src/discovery/tests.rs
+++ b/crates/router/src/discovery/tests.rs
@@ -232,7 +232,7 @@
     let mut pace = Pace::new(Some(routers), None, seed);
     let told = async {
         loop {
-            if let Some(CoreEvent::Members(..)) = events.recv().await {
+            if let Some(CoreEvent::EndpointsUpdated(..)) = events.recv().await {
                 break;
             }
         }
@@ -305,9 +305,9 @@
     let listed = list.listed(&facts);
     let read: Vec<_> = listed
         .iter()
-        .map(|l| (l.name.as_str(), l.address.port(), l.readiness))
+        .map(|l| (l.name.as_str(), l.address.port(), l.state))
         .collect();
-    let [up, draining] = [Readiness::Up, Readiness::Draining];
+    let [up, draining] = [EndpointState::Active, EndpointState::Draining];
     assert_eq!(
         read,
         [("good", 1, up), ("good", 4, draining), ("last", 5, up)]
@@ -372,8 +372,11 @@
     let mut heard = Vec::new();
     let hearing = async {
         while heard.len() < 2 {
-            if let Some(CoreEvent::Members(_, lines)) = events.recv().await {
-                heard.push(lines[0].readiness);
+            if let Some(CoreEvent::EndpointsUpdated(
+                EndpointListUpdate::Delta(lines) | EndpointListUpdate::Snapshot(lines),
+            )) = events.recv().await
+            {
+                heard.push(lines[0].state);
             }
         }
     };
@@ -387,7 +390,7 @@
             }
         })
         .await;
-    assert_eq!(heard, [Readiness::Draining, Readiness::Draining]);
+    assert_eq!(heard, [EndpointState::Draining, EndpointState::Draining]);
     assert_eq!(asked.borrow()[0], "/discovery/hosts?from=5&hold_ms=0");
     assert!(asked.borrow()[1].starts_with("/discovery/hosts?from=7&hold_ms="));
     assert_eq!(asked.borrow()[2], "/discovery/hosts");
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -1,6 +1,9 @@
-//! Where the server side and the client side meet. A front opens an exchange for a request and waits for its
-//! [`Answer`]; the core holds the other half and gives that answer. An answer that streams is a pair too: the
-//! upstream pushes parts into a [`Sink`], the front reads them from [`Parts`]. Neither side knows the other.
+//! Where the server side and the client side of the router meet.
+//!
+//! A frontend opens an exchange for a request and waits for its [`FinalResponse`]; the core holds
+//! the other half and gives that response. A response that streams is a pair too: the upstream
+//! pushes data into a [`BodySender`], the frontend reads it from a [`BodyStream`]. Neither side
+//! knows the other.
 
 use std::fmt;
 use std::task::{Context, Poll};
@@ -10,179 +13,183 @@
 use http::HeaderMap;
 use tokio::sync::{mpsc, oneshot};
 
-/// Parts that may wait between the two sides: a client that reads slowly slows its server.
-const PARTS_WAITING: usize = 32;
+/// Chunks that may wait between the two sides: a client that reads slowly slows its endpoint.
+const CHUNKS_IN_FLIGHT: usize = 32;
 
-/// What a server is to be sent, as it came in.
+/// What an endpoint is to be sent, as it arrived.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Message {
     /// The target of the request: its path and query.
     pub target: String,
     /// The media type of the body.
     pub media_type: String,
-    /// Further headers that are the server's to read, as the client sent them.
+    /// Further headers that are meant for the endpoint, as the client sent them.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
 }
 
-/// The one final answer to a request.
+/// The one final response to a request.
 #[derive(Debug)]
-pub enum Answer {
-    /// Served: the parts of one server's answer.
-    Served {
-        /// The media type that the server gave.
+pub enum FinalResponse {
+    /// Served: the response of one endpoint.
+    Streaming {
+        /// The media type that the endpoint gave.
         media_type: String,
-        /// What it says, as it comes.
-        parts: Parts,
+        /// The body, as it arrives.
+        body: BodyStream,
     },
-    /// Refused: trying again is harmless, best after this pause.
-    Refused(Duration),
-    /// Failed: it may have run.
+    /// Rejected: it is harmless to try again, best after this span.
+    Rejected(Duration),
+    /// Failed: the request may have been executed.
     Failed,
-    /// Not taken: another request with its id is open.
+    /// Not accepted: another request with its id is open.
     DuplicateId,
 }
 
-impl Answer {
+impl FinalResponse {
     /// A word for it, for the log.
     pub fn name(&self) -> &'static str {
         match self {
-            Answer::Served { .. } => "served",
-            Answer::Refused(_) => "refused",
-            Answer::Failed => "failed",
-            Answer::DuplicateId => "duplicate id",
+            FinalResponse::Streaming { .. } => "streaming",
+            FinalResponse::Rejected(_) => "rejected",
+            FinalResponse::Failed => "failed",
+            FinalResponse::DuplicateId => "duplicate id",
         }
     }
 }
 
-/// The answer broke off: what has come is not whole.
+/// A response body that broke off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the answer broke off")]
-pub struct Broken;
+#[error("the response body is incomplete")]
+pub struct IncompleteBody;
 
-enum Part {
+enum Chunk {
     Data(Bytes),
     End,
 }
 
-/// The front's half of an exchange. Dropping it before the answer has ended says that the client is gone.
-pub struct Caller {
-    answer: oneshot::Receiver<Answer>,
-    gone: CancelGuard,
+/// The frontend's half of an exchange. Dropping it before the response has ended means that the
+/// client has disconnected.
+pub struct ResponseHandle {
+    response: oneshot::Receiver<FinalResponse>,
+    disconnect: DisconnectGuard,
 }
 
 /// The core's half of an exchange.
-pub struct Carrier(oneshot::Sender<Answer>);
-
-/// Runs its action when dropped: the one place where a client's leaving is reported.
-pub struct CancelGuard(Option<Box<dyn FnOnce()>>);
-
-/// Opens an exchange; `gone` runs when the front's half ends.
-pub fn open(gone: impl FnOnce() + 'static) -> (Caller, Carrier) {
-    let (tx, answer) = oneshot::channel();
-    (
-        Caller {
-            answer,
-            gone: CancelGuard(Some(Box::new(gone))),
-        },
-        Carrier(tx),
-    )
+pub struct Responder(oneshot::Sender<FinalResponse>);
+
+/// Reports, when it is dropped, that the client has disconnected: the one place that does.
+pub struct DisconnectGuard(Option<Box<dyn FnOnce()>>);
+
+/// Opens an exchange; `on_disconnect` runs when the frontend's half ends.
+pub fn channel(on_disconnect: impl FnOnce() + 'static) -> (ResponseHandle, Responder) {
+    let (sender, response) = oneshot::channel();
+    let disconnect = DisconnectGuard(Some(Box::new(on_disconnect)));
+    let handle = ResponseHandle {
+        response,
+        disconnect,
+    };
+    (handle, Responder(sender))
 }
 
-impl Caller {
-    /// Waits for the answer. The guard must live as long as the client is being answered. A core that has
-    /// failed drops its half, which counts as a failure: the request may have run.
-    pub async fn answer(self) -> (Answer, CancelGuard) {
-        (self.answer.await.unwrap_or(Answer::Failed), self.gone)
+impl ResponseHandle {
+    /// Waits for the response. The guard must live as long as the client is being answered. A core
+    /// that has failed drops its half, which counts as a failure: the request may have been
+    /// executed.
+    pub async fn response(self) -> (FinalResponse, DisconnectGuard) {
+        let response = self.response.await.unwrap_or(FinalResponse::Failed);
+        (response, self.disconnect)
     }
 }
 
-impl Carrier {
-    /// Gives the final answer. Consumes the half, so there is no second one.
-    pub fn answer(self, answer: Answer) {
-        // A front that has left wants no answer; its guard has told the core.
-        let _ = self.0.send(answer);
+impl Responder {
+    /// Gives the final response. Consumes the half, so there is no second one.
+    pub fn respond(self, response: FinalResponse) {
+        // A frontend that has gone needs no response; its guard has told the core.
+        let _ = self.0.send(response);
     }
 }
 
-impl Drop for CancelGuard {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
-        if let Some(tell) = self.0.take() {
-            tell();
+        if let Some(on_disconnect) = self.0.take() {
+            on_disconnect();
         }
     }
 }
 
-impl fmt::Debug for CancelGuard {
+impl fmt::Debug for DisconnectGuard {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("CancelGuard")
+        f.write_str("DisconnectGuard")
     }
 }
 
-/// Where an upstream puts the parts of an answer.
-pub struct Sink(mpsc::Sender<Part>);
+/// Where an upstream puts the data of a response body.
+pub struct BodySender(mpsc::Sender<Chunk>);
 
-/// The parts of an answer, in order.
+/// The data of a response body, in order.
 #[derive(Debug)]
-pub struct Parts {
-    waiting: mpsc::Receiver<Part>,
+pub struct BodyStream {
+    chunks: mpsc::Receiver<Chunk>,
     ended: bool,
 }
 
-impl fmt::Debug for Part {
+impl fmt::Debug for Chunk {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Part::Data(data) => write!(f, "{} bytes", data.len()),
-            Part::End => f.write_str("end"),
+            Chunk::Data(data) => write!(f, "{} bytes", data.len()),
+            Chunk::End => f.write_str("end"),
         }
     }
 }
 
-/// Opens a stream of parts.
-pub fn stream() -> (Sink, Parts) {
-    let (tx, waiting) = mpsc::channel(PARTS_WAITING);
-    (
-        Sink(tx),
-        Parts {
-            waiting,
-            ended: false,
-        },
-    )
+/// Opens a response body.
+pub fn body_channel() -> (BodySender, BodyStream) {
+    let (sender, chunks) = mpsc::channel(CHUNKS_IN_FLIGHT);
+    let stream = BodyStream {
+        chunks,
+        ended: false,
+    };
+    (BodySender(sender), stream)
 }
 
-impl Sink {
-    /// Passes a part on; an error says that nobody reads any more.
-    pub async fn push(&self, data: Bytes) -> Result<(), Broken> {
-        self.0.send(Part::Data(data)).await.map_err(|_| Broken)
+impl BodySender {
+    /// Passes data on; an error means that nobody reads any more.
+    pub async fn send(&self, data: Bytes) -> Result<(), IncompleteBody> {
+        let chunk = Chunk::Data(data);
+        self.0.send(chunk).await.map_err(|_| IncompleteBody)
     }
 
-    /// Says that the answer is whole. A sink dropped without this leaves a broken one.
-    pub async fn end(self) -> Result<(), Broken> {
-        self.0.send(Part::End).await.map_err(|_| Broken)
+    /// Marks the body as complete. A sender that is dropped without this leaves an incomplete one.
+    pub async fn finish(self) -> Result<(), IncompleteBody> {
+        self.0.send(Chunk::End).await.map_err(|_| IncompleteBody)
     }
 
     /// Waits until nobody reads any more.
-    pub async fn unread(&self) {
+    pub async fn closed(&self) {
         self.0.closed().await;
     }
 }
 
-impl Parts {
-    /// The next part, `None` at the end of a whole answer, an error where it broke off.
-    pub fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
+impl BodyStream {
+    /// The next chunk, `None` at the end of a complete body, an error where it broke off.
+    pub fn poll_next(
+        &mut self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, IncompleteBody>>> {
         if self.ended {
             return Poll::Ready(None);
         }
-        self.waiting.poll_recv(cx).map(|part| match part {
-            Some(Part::Data(data)) => Some(Ok(data)),
-            Some(Part::End) => {
+        self.chunks.poll_recv(cx).map(|chunk| match chunk {
+            Some(Chunk::Data(data)) => Some(Ok(data)),
+            Some(Chunk::End) => {
                 self.ended = true;
                 None
             }
             None => {
                 self.ended = true;
-                Some(Err(Broken))
+                Some(Err(IncompleteBody))
             }
         })
     }
--- a/crates/router/src/front/inference/held.rs
+++ b/crates/router/src/front/inference/held.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http_body::{Body, Frame, SizeHint};
 
-use crate::exchange::Broken;
+use crate::exchange::IncompleteBody;
 use crate::front::account::Claim;
 
 /// Bytes that are given at once.
@@ -28,12 +28,12 @@
 
 impl Body for Held {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = IncompleteBody;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteBody>>> {
         if self.left.is_empty() {
             return Poll::Ready(None);
         }
--- a/crates/router/src/front/inference/mod.rs
+++ b/crates/router/src/front/inference/mod.rs
@@ -21,7 +21,7 @@
 use cranetack_inference_api::{
     join, ApiError, Batch, Catalogue, Chat, Endpoint, Fold, Form, Kind, Part, Resolved,
 };
-use cranetack_routing_policy::{ClassId, Effect, Settings};
+use cranetack_routing_policy::{ClassId, Idempotency, Settings};
 use cranetack_settings::Facts;
 use http::header::{HeaderName, ALLOW, CONNECTION, CONTENT_TYPE};
 use http::request::Parts as Head;
@@ -32,7 +32,7 @@
 use super::account::{Account, Claim};
 use super::{is_word, retry_after, streamed, AnswerBody, Arriving, BodyError, ClientLimits, Front};
 use crate::core::{Handle, IncomingRequest};
-use crate::exchange::{Answer, Broken, Message, Parts};
+use crate::exchange::{BodyStream, FinalResponse, IncompleteBody, Message};
 use crate::shutdown::Phase;
 use crate::tenants::{Bearer, Tenants};
 use held::Held;
@@ -310,7 +310,7 @@
     }
 
     fn order(&self, name: Rc<str>, head: &Head, endpoint: Endpoint) -> Result<Order, Failure> {
-        let patience = match header(head, "X-Deadline-Ms")?.map(str::parse::<u32>) {
+        let time_to_first_byte = match header(head, "X-Deadline-Ms")?.map(str::parse::<u32>) {
             None => Duration::from_millis(self.setup.served(endpoint).deadline_ms.into()),
             Some(Ok(ms)) => Duration::from_millis(ms.into()).min(PATIENCE_MOST),
             Some(Err(_)) => {
@@ -335,7 +335,7 @@
                 .query()
                 .map_or(String::new(), |query| format!("?{query}")),
             idempotency_key: head.headers.get(IDEMPOTENCY_KEY).cloned(),
-            due: Instant::now() + patience,
+            due: Instant::now() + time_to_first_byte,
         })
     }
 
@@ -411,15 +411,15 @@
             request_id: name,
             class: model.class,
             session: order.session.as_ref().map(|s| order.own_session(s)),
-            prefix: None,
-            patience: order.due.saturating_duration_since(Instant::now()),
-            hint: None,
+            shared_prefix: None,
+            time_to_first_byte: order.due.saturating_duration_since(Instant::now()),
+            expected_duration: None,
             prompt_tokens,
-            shared_tokens: 0,
+            shared_prefix_tokens: 0,
             max_tokens: 0,
-            retry: false,
-            came_back: false,
-            kinds: model.kinds,
+            is_retry: false,
+            is_resumed: false,
+            allowed_kinds: model.kinds,
             message: Rc::new(message),
         }
     }
@@ -451,7 +451,7 @@
         incoming.session = incoming
             .session
             .or(chat.user.as_ref().map(|user| order.own_session(user)));
-        let (answer, gone) = self.handle.submit(incoming).answer().await;
+        let (answer, gone) = self.handle.submit(incoming).response().await;
         let (media_type, parts) = served(answer, order.due)?;
         // Nothing further is sent for it: the body is let go.
         claim.shrink_to(STREAM_HELD);
@@ -480,7 +480,7 @@
     /// The answer that a stream's events make together.
     async fn folded(
         &self,
-        mut parts: Parts,
+        mut parts: BodyStream,
         mut claim: Claim,
         name: &str,
         model: &str,
@@ -490,7 +490,7 @@
             match part {
                 Ok(part) => fold.push(&part).map_err(|_| Failure::Failed)?,
                 // All may have come before it broke off: the fold knows.
-                Err(Broken) => break,
+                Err(IncompleteBody) => break,
             }
             if fold.held() > self.setup.limits.body_bytes || !claim.grow_to(fold.held()) {
                 return Err(Failure::Failed);
@@ -504,10 +504,14 @@
     }
 
     /// All parts of an answer.
-    async fn whole(&self, mut parts: Parts, mut claim: Claim) -> Result<(Bytes, Claim), Failure> {
+    async fn whole(
+        &self,
+        mut parts: BodyStream,
+        mut claim: Claim,
+    ) -> Result<(Bytes, Claim), Failure> {
         let mut whole = BytesMut::new();
         while let Some(part) = poll_fn(|cx| parts.poll_next(cx)).await {
-            let part = part.map_err(|Broken| Failure::Failed)?;
+            let part = part.map_err(|IncompleteBody| Failure::Failed)?;
             let length = whole.len() + part.len();
             if length > self.setup.limits.body_bytes || !claim.grow_to(length) {
                 return Err(Failure::Failed);
@@ -532,7 +536,7 @@
             .settings
             .classes
             .get(model.class.0)
-            .map(|c| c.effect)
+            .map(|c| c.idempotency)
             .unwrap_or_default();
         let opening = Opening {
             flow: Flow {
@@ -543,7 +547,7 @@
             common: batch.common_tokens,
             first: self.setup.served(order.endpoint).slice_tokens,
             due: 0,
-            repeats: effect == Effect::Safe,
+            repeats: effect == Idempotency::Idempotent,
         };
         let refused =
             |pause: i64| Failure::Refused(Duration::from_micros(u64::try_from(pause).unwrap_or(0)));
@@ -616,16 +620,16 @@
         let message = message(batch.form.target(), &order.query, body);
         // The guard ends with the slice: a client that leaves takes back the attempt that is out.
         let incoming = self.incoming(order, name, model, slice.tokens, message);
-        let (answer, _gone) = self.handle.submit(incoming).answer().await;
+        let (answer, _gone) = self.handle.submit(incoming).response().await;
         let parts = match answer {
-            Answer::Served { parts, .. } => parts,
-            Answer::Refused(pause) => {
+            FinalResponse::Streaming { body, .. } => body,
+            FinalResponse::Rejected(pause) => {
                 let pause = i64::try_from(pause.as_micros()).unwrap_or(i64::MAX);
                 return Sliced::Failed(SliceFailure::Refused(pause));
             }
-            Answer::Failed => return failed,
-            Answer::DuplicateId if slice.number == 0 => return Sliced::Taken,
-            Answer::DuplicateId => return failed,
+            FinalResponse::Failed => return failed,
+            FinalResponse::DuplicateId if slice.number == 0 => return Sliced::Taken,
+            FinalResponse::DuplicateId => return failed,
         };
         drop(sending);
         let Some(claim) = self.account.claim(0) else {
@@ -680,13 +684,15 @@
 }
 
 /// The answer of a server, or why there is none.
-fn served(answer: Answer, due: Instant) -> Result<(String, Parts), Failure> {
+fn served(answer: FinalResponse, due: Instant) -> Result<(String, BodyStream), Failure> {
     match answer {
-        Answer::Served { media_type, parts } => Ok((media_type, parts)),
-        Answer::Refused(_) | Answer::Failed if Instant::now() >= due => Err(Failure::Deadline),
-        Answer::Refused(pause) => Err(Failure::Refused(pause)),
-        Answer::Failed => Err(Failure::Failed),
-        Answer::DuplicateId => Err(Failure::Taken),
+        FinalResponse::Streaming { media_type, body } => Ok((media_type, body)),
+        FinalResponse::Rejected(_) | FinalResponse::Failed if Instant::now() >= due => {
+            Err(Failure::Deadline)
+        }
+        FinalResponse::Rejected(pause) => Err(Failure::Refused(pause)),
+        FinalResponse::Failed => Err(Failure::Failed),
+        FinalResponse::DuplicateId => Err(Failure::Taken),
     }
 }
 
--- a/crates/router/src/front/inference/setup.rs
+++ b/crates/router/src/front/inference/setup.rs
@@ -5,7 +5,7 @@
 
 use cranetack_batch_scheduler::Settings;
 use cranetack_inference_api::{Bounds, Catalogue, Endpoint, Model};
-use cranetack_routing_policy::Stage;
+use cranetack_routing_policy::Role;
 use cranetack_settings::Facts;
 use serde::Deserialize;
 
@@ -260,12 +260,12 @@
         let stage = settings
             .kinds
             .get(kind)
-            .and_then(|k| k.stage)
-            .unwrap_or(Stage::Both);
-        reads |= stage != Stage::Write;
-        writes |= stage != Stage::Read;
+            .and_then(|k| k.role)
+            .unwrap_or(Role::Mixed);
+        reads |= stage != Role::Decode;
+        writes |= stage != Role::Prefill;
     }
-    match (reads || (writes && settings.writers_read), writes) {
+    match (reads || (writes && settings.decode_can_prefill), writes) {
         (true, true) => Ok(Some(bits)),
         (false, _) => Err("none of them reads prompts".to_owned()),
         (_, false) => Err("none of them writes answers".to_owned()),
--- a/crates/router/src/front/inference/stream.rs
+++ b/crates/router/src/front/inference/stream.rs
@@ -7,7 +7,7 @@
 use cranetack_inference_api::{ApiError, Events};
 use http_body::{Body, Frame};
 
-use crate::exchange::{Broken, CancelGuard, Parts};
+use crate::exchange::{BodyStream, DisconnectGuard, IncompleteBody};
 use crate::front::account::Claim;
 
 enum State {
@@ -21,9 +21,9 @@
 
 /// The body of a stream's answer.
 pub struct EventStream {
-    parts: Parts,
+    parts: BodyStream,
     /// Tells when the client is done.
-    _gone: CancelGuard,
+    _gone: DisconnectGuard,
     /// What its parts count for.
     _claim: Claim,
     events: Events,
@@ -32,7 +32,7 @@
 
 impl EventStream {
     /// The events of a server's answer.
-    pub fn new(parts: Parts, gone: CancelGuard, claim: Claim) -> EventStream {
+    pub fn new(parts: BodyStream, gone: DisconnectGuard, claim: Claim) -> EventStream {
         EventStream {
             parts,
             _gone: gone,
@@ -42,7 +42,7 @@
         }
     }
 
-    fn next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
+    fn next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, IncompleteBody>>> {
         loop {
             match self.state {
                 State::Passing => {}
@@ -53,7 +53,7 @@
                 }
                 State::Breaking => {
                     self.state = State::Over;
-                    return Poll::Ready(Some(Err(Broken)));
+                    return Poll::Ready(Some(Err(IncompleteBody)));
                 }
                 State::Over => return Poll::Ready(None),
             }
@@ -63,11 +63,11 @@
             let passed = match part {
                 Some(Ok(data)) => self.events.push(&data).ok(),
                 // What follows the end of the answer is of no use to the client.
-                Some(Err(Broken)) | None if self.events.is_done() => {
+                Some(Err(IncompleteBody)) | None if self.events.is_done() => {
                     self.state = State::Over;
                     continue;
                 }
-                Some(Err(Broken)) | None => None,
+                Some(Err(IncompleteBody)) | None => None,
             };
             match passed {
                 Some(Some(whole)) => return Poll::Ready(Some(Ok(whole))),
@@ -84,12 +84,12 @@
 
 impl Body for EventStream {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = IncompleteBody;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteBody>>> {
         self.next(cx).map_ok(Frame::data)
     }
 }
--- a/crates/router/src/front/mod.rs
+++ b/crates/router/src/front/mod.rs
@@ -31,7 +31,7 @@
 use tokio::sync::watch;
 use tower::Service;
 
-use crate::exchange::{Broken, CancelGuard, Parts};
+use crate::exchange::{BodyStream, DisconnectGuard, IncompleteBody};
 use crate::shutdown::Phase;
 use crate::socket::Socket;
 pub use body::{Arriving, BodyError};
@@ -54,12 +54,12 @@
 
 impl Body for Answering {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = IncompleteBody;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteBody>>> {
         Pin::new(&mut self.body).poll_frame(cx)
     }
 
@@ -79,14 +79,14 @@
     /// A server's answer.
     Stream(Stream),
     /// A front's own way of passing an answer on.
-    Other(Pin<Box<dyn Body<Data = Bytes, Error = Broken>>>),
+    Other(Pin<Box<dyn Body<Data = Bytes, Error = IncompleteBody>>>),
 }
 
 /// A server's answer on its way to a client.
 pub struct Stream {
-    parts: Parts,
+    parts: BodyStream,
     /// Tells when the client is done.
-    _gone: CancelGuard,
+    _gone: DisconnectGuard,
     /// It has broken off, and what came before has had its turn to be written.
     broken: bool,
 }
@@ -98,12 +98,12 @@
     }
 
     /// A front's own.
-    pub fn other(body: impl Body<Data = Bytes, Error = Broken> + 'static) -> AnswerBody {
+    pub fn other(body: impl Body<Data = Bytes, Error = IncompleteBody> + 'static) -> AnswerBody {
         AnswerBody::Other(Box::pin(body))
     }
 
     /// The parts of a server's answer.
-    pub fn stream(parts: Parts, gone: CancelGuard) -> AnswerBody {
+    pub fn stream(parts: BodyStream, gone: DisconnectGuard) -> AnswerBody {
         AnswerBody::Stream(Stream {
             parts,
             _gone: gone,
@@ -115,12 +115,12 @@
 impl Stream {
     /// An error makes hyper close the connection without the last chunk, and without what it has not written
     /// yet. So the error waits for one turn: guards against a client that gets nothing where events have come.
-    fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
+    fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, IncompleteBody>>> {
         if self.broken {
-            return Poll::Ready(Some(Err(Broken)));
+            return Poll::Ready(Some(Err(IncompleteBody)));
         }
         let next = self.parts.poll_next(cx);
-        if let Poll::Ready(Some(Err(Broken))) = next {
+        if let Poll::Ready(Some(Err(IncompleteBody))) = next {
             self.broken = true;
             cx.waker().wake_by_ref();
             return Poll::Pending;
@@ -131,12 +131,12 @@
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = IncompleteBody;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteBody>>> {
         match self.get_mut() {
             AnswerBody::Text(text) => Pin::new(text).poll_frame(cx).map_err(|e| match e {}),
             AnswerBody::Stream(stream) => stream.poll_next(cx).map_ok(Frame::data),
@@ -168,7 +168,7 @@
 }
 
 /// The answer to a client that gets what a server says.
-fn streamed(media_type: &str, parts: Parts, gone: CancelGuard) -> Response<AnswerBody> {
+fn streamed(media_type: &str, parts: BodyStream, gone: DisconnectGuard) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::stream(parts, gone));
     if let Ok(media_type) = HeaderValue::from_str(media_type) {
         response.headers_mut().insert(CONTENT_TYPE, media_type);
--- a/crates/router/src/front/platform.rs
+++ b/crates/router/src/front/platform.rs
@@ -15,7 +15,7 @@
 use super::headers::end_to_end;
 use super::{is_word, retry_after, streamed, AnswerBody, Arriving, BodyError, Front, Readiness};
 use crate::core::{Handle, IncomingRequest};
-use crate::exchange::{Answer, Message};
+use crate::exchange::{FinalResponse, Message};
 
 const CHAT: &str = "/v1/chat/completions";
 const UP: &str = "/up";
@@ -46,10 +46,10 @@
         // The number of connections bounds what bodies hold here.
         let (body, _claim) = body.whole(None, BODY_LIMIT, &self.account).await?;
         let caller = self.handle.submit(decode(&head, body, &self.classes)?);
-        let (answer, gone) = caller.answer().await;
+        let (answer, gone) = caller.response().await;
         Ok(match answer {
-            Answer::Served { media_type, parts } => streamed(&media_type, parts, gone),
-            Answer::Refused(pause) => {
+            FinalResponse::Streaming { media_type, body } => streamed(&media_type, body, gone),
+            FinalResponse::Rejected(pause) => {
                 let mut response = text(
                     StatusCode::SERVICE_UNAVAILABLE,
                     "refused: there is no room now\n",
@@ -57,8 +57,8 @@
                 retry_after(&mut response, pause);
                 response
             }
-            Answer::Failed => text(StatusCode::BAD_GATEWAY, "failed: it may have run\n"),
-            Answer::DuplicateId => text(
+            FinalResponse::Failed => text(StatusCode::BAD_GATEWAY, "failed: it may have run\n"),
+            FinalResponse::DuplicateId => text(
                 StatusCode::CONFLICT,
                 "another request with this id is open\n",
             ),
@@ -144,7 +144,7 @@
         .iter()
         .position(|c| c == class)
         .ok_or_else(|| Wrong::Class(class.to_owned()))?;
-    let patience: u32 = number(needed(headers, "X-Deadline-Ms")?, "X-Deadline-Ms")?;
+    let time_to_first_byte: u32 = number(needed(headers, "X-Deadline-Ms")?, "X-Deadline-Ms")?;
     let hint = header(headers, "X-Cost-Hint")?
         .map(|v| number::<u32>(v, "X-Cost-Hint"))
         .transpose()?;
@@ -161,15 +161,15 @@
         request_id: name.into(),
         class: ClassId(class),
         session: header(headers, "X-Key")?.map(str::to_owned),
-        prefix: None,
-        patience: Duration::from_millis(patience.into()),
-        hint: hint.map(|ms| Duration::from_millis(ms.into())),
+        shared_prefix: None,
+        time_to_first_byte: Duration::from_millis(time_to_first_byte.into()),
+        expected_duration: hint.map(|ms| Duration::from_millis(ms.into())),
         prompt_tokens: 0,
-        shared_tokens: 0,
+        shared_prefix_tokens: 0,
         max_tokens: 0,
-        retry: retry.is_some(),
-        came_back: retry == Some("again"),
-        kinds: None,
+        is_retry: retry.is_some(),
+        is_resumed: retry == Some("again"),
+        allowed_kinds: None,
         message: Rc::new(Message {
             target,
             media_type,
@@ -182,9 +182,9 @@
             continue;
         };
         match key {
-            "prefix" => incoming.prefix = Some(value.to_owned()),
+            "prefix" => incoming.shared_prefix = Some(value.to_owned()),
             "prompt_len" => incoming.prompt_tokens = number(value, "X-Extras")?,
-            "prefix_len" => incoming.shared_tokens = number(value, "X-Extras")?,
+            "prefix_len" => incoming.shared_prefix_tokens = number(value, "X-Extras")?,
             "max_out" => incoming.max_tokens = number(value, "X-Extras")?,
             _ => {}
         }
--- a/crates/router/src/front/platform/tests.rs
+++ b/crates/router/src/front/platform/tests.rs
@@ -33,18 +33,18 @@
         ("9b1f", ClassId(1))
     );
     assert_eq!(incoming.session.as_deref(), Some("7f3a"));
-    assert_eq!(incoming.prefix.as_deref(), Some("5c0f"));
+    assert_eq!(incoming.shared_prefix.as_deref(), Some("5c0f"));
     assert_eq!(
         (
             incoming.prompt_tokens,
-            incoming.shared_tokens,
+            incoming.shared_prefix_tokens,
             incoming.max_tokens
         ),
         (5_120, 2_048, 800)
     );
-    assert_eq!(incoming.patience, Duration::from_millis(4_800));
+    assert_eq!(incoming.time_to_first_byte, Duration::from_millis(4_800));
     assert_eq!(incoming.message.target, "/v1/chat/completions?a=b");
-    assert!(!incoming.retry && !incoming.came_back);
+    assert!(!incoming.is_retry && !incoming.is_resumed);
 }
 
 #[test]
@@ -78,5 +78,5 @@
     let mut headers = WHOLE.to_vec();
     headers.push(("X-Retry", "again"));
     let incoming = decode(&head(&headers), "{}".into(), &classes()).unwrap();
-    assert!(incoming.retry && incoming.came_back);
+    assert!(incoming.is_retry && incoming.is_resumed);
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -24,7 +24,6 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cranetack_routing_policy::ListForm;
 use cranetack_settings::ClassFacts;
 use tokio::net::TcpListener;
 use tokio::runtime::Runtime;
@@ -33,7 +32,7 @@
 use tokio::time::{timeout, Instant};
 
 use crate::config::Config;
-use crate::core::{Clock, Core, CoreEvent, Handle};
+use crate::core::{Clock, Core, CoreEvent, EndpointListUpdate, Handle};
 use crate::front::inference::Inference;
 use crate::front::platform::Platform;
 use crate::peers::Peers;
@@ -232,7 +231,7 @@
             spawn_local(peers.clone().receive(handle.clone()));
         }
         let phase = shutdown::phases(signal);
-        let moves = config.settings.resume;
+        let moves = config.settings.resumable_streams;
         let deadlines = config.facts.classes.iter().filter_map(ClassFacts::deadline);
         let (moved, answered) = shutdown::moved_and_answered(deadlines.max().unwrap_or_default());
         let each = (config.limits.sockets - SPARE) / 2;
@@ -241,7 +240,7 @@
             connection_limit: each,
             connect_timeout: allowed.connect_timeout().unwrap_or(CONNECT_TIMEOUT),
             idle_close: allowed.idle_close().unwrap_or(IDLE_CLOSE),
-            silence: if config.settings.resume {
+            silence: if config.settings.resumable_streams {
                 SILENCE_RESUMED
             } else {
                 SILENCE
@@ -254,18 +253,17 @@
         let core = Core::new(config.settings, config.seed, Clock::system(), outbound);
         spawn_local(core.run(events));
         if let Some(known) = &config.known {
-            handle.send(CoreEvent::Members(
-                ListForm::Stale,
+            handle.send(CoreEvent::EndpointsUpdated(EndpointListUpdate::Restored(
                 known.listed(&config.facts),
-            ));
+            )));
         }
         let (fresh_tx, fresh) = watch::channel(false);
         let late = fresh_tx.clone();
-        let ask_within = settings
-            .ask_within
+        let poll_interval = settings
+            .poll_interval
             .and_then(|us| u64::try_from(us).ok())
             .map(Duration::from_micros);
-        let pace = discovery::Pace::new(settings.balancers, ask_within, config.seed);
+        let pace = discovery::Pace::new(settings.router_count, poll_interval, config.seed);
         let known = config.known.as_ref().map(|list| list.index);
         let (facts, told) = (config.facts.clone(), handle.clone());
         spawn_local(discovery::watch(
@@ -284,7 +282,10 @@
             spawn_local(async move {
                 leaving.await;
                 let now = Instant::now();
-                handle.send(CoreEvent::Leaving(now + moved, now + answered));
+                handle.send(CoreEvent::ShutdownStarted {
+                    migrate_from: now + moved,
+                    answer_by: now + answered,
+                });
             });
         }
         let readiness = front::Readiness::new(fresh, phase.clone());
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -35,7 +35,11 @@
                 Ok((length, from)) => {
                     let number = self.peering.peers.iter().position(|peer| *peer == from);
                     if let Some(number) = number.and_then(|n| u32::try_from(n).ok()) {
-                        handle.send(CoreEvent::Peer(number, buffer[..length].to_vec()));
+                        let payload = buffer[..length].to_vec();
+                        handle.send(CoreEvent::GossipReceived {
+                            from: number,
+                            payload,
+                        });
                     }
                 }
                 // A peer that is down makes the next receive fail: that is no reason to stop or to spin.
--- a/crates/router/src/upstream/attempt.rs
+++ b/crates/router/src/upstream/attempt.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use cranetack_routing_policy::Outcome;
+use cranetack_routing_policy::{ConnectFailure, Outcome, ResetCause};
 use http::{Method, Request, Response};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -17,8 +17,8 @@
 use super::progress::WireProgress;
 use super::reply::{self, Expected, Reply, Tail};
 use super::{Running, Shared, BODY_MOST};
-use crate::core::{AttemptId, AttemptSpec, CoreEvent, EndReason, Ended, Handle, WireTrace};
-use crate::exchange::{self, Sink};
+use crate::core::{AttemptId, AttemptReport, AttemptSpec, CoreEvent, EndReason, Handle, WireTrace};
+use crate::exchange::{self, BodySender};
 
 /// The media type of a stream of events.
 const EVENTS: &str = "text/event-stream";
@@ -30,14 +30,16 @@
     pub(super) attempt: AttemptId,
     pub(super) handle: Handle,
     pub(super) running: Running,
-    pub(super) ended: Ended,
+    pub(super) ended: AttemptReport,
 }
 
 impl Drop for Reporter {
     fn drop(&mut self) {
         self.running.borrow_mut().remove(&self.attempt);
-        self.handle
-            .send(CoreEvent::AttemptEnded(self.attempt, self.ended));
+        self.handle.send(CoreEvent::AttemptEnded {
+            attempt: self.attempt,
+            report: self.ended,
+        });
     }
 }
 
@@ -52,7 +54,7 @@
 
 /// How an attempt stands once its answer has a beginning or it has ended without one.
 enum Begun {
-    Ended(Ended),
+    Ended(AttemptReport),
     Streams {
         body: Incoming,
         first: Bytes,
@@ -67,7 +69,7 @@
             biased;
             begun = begin(&self.shared, &self.spec, &self.written, &mut slot) => begun,
             Ok(()) = &mut self.cancelled => Begun::Ended(ended(Outcome::Cancelled, EndReason::Cancelled)),
-            () = sleep_until(self.spec.expire) => Begun::Ended(ended(Outcome::Late, EndReason::Expired)),
+            () = sleep_until(self.spec.expires_at) => Begun::Ended(ended(Outcome::TimedOut, EndReason::Expired)),
         };
         // Absent once the connection has been given back, with the answer's status known by then.
         let seen = slot.as_ref().map(PooledConnection::trace);
@@ -79,9 +81,9 @@
             } => {
                 self.spec.message = Rc::default();
                 let ended = self.stream(body, first, media_type, &mut slot).await;
-                let whole = ended.outcome == Outcome::Good;
+                let whole = ended.outcome == Outcome::Completed;
                 ended.because(if whole {
-                    EndReason::StreamEnded
+                    EndReason::StreamCompleted
                 } else {
                     EndReason::StreamBroken
                 })
@@ -100,10 +102,11 @@
             let ended = report.ended.outcome;
             let (idle, all_written) = (connection.idle(), connection.progress().all_written());
             tracing::debug!(id = %self.spec.request_id, ?ended, ?idle, all_written, "a connection is given up");
-            if matches!(ended, Outcome::Late | Outcome::Reset) && !all_written {
-                report.ended.outcome = Outcome::NoConn;
-            } else if ended == Outcome::Reset && connection.was_dropped() {
-                report.ended.info = 1;
+            let is_reset = matches!(ended, Outcome::ConnectionReset(_));
+            if (is_reset || ended == Outcome::TimedOut) && !all_written {
+                report.ended.outcome = Outcome::ConnectFailed(ConnectFailure::Unreachable);
+            } else if is_reset && connection.was_dropped() {
+                report.ended.outcome = Outcome::ConnectionReset(ResetCause::StaleIdle);
             }
             connection.give_up().await;
         }
@@ -111,23 +114,23 @@
 
     async fn stream(
         &mut self,
-        mut body: Incoming,
+        mut incoming: Incoming,
         first: Bytes,
         media_type: String,
         slot: &mut Option<PooledConnection>,
-    ) -> Ended {
-        let (sink, parts) = exchange::stream();
+    ) -> AttemptReport {
+        let (sink, body) = exchange::body_channel();
         let attempt = self.spec.attempt;
-        self.shared.handle.send(CoreEvent::Established {
+        self.shared.handle.send(CoreEvent::StreamStarted {
             attempt,
             media_type,
-            parts,
+            body,
         });
         let progress = slot
             .as_ref()
             .map(|connection| connection.progress().clone());
         let pumped = tokio::select! {
-            pumped = pump(&mut body, first, sink, self.shared.options.silence, progress.as_deref()) => pumped,
+            pumped = pump(&mut incoming, first, sink, self.shared.options.silence, progress.as_deref()) => pumped,
             Ok(()) = &mut self.broken_off => Err(Outcome::Cancelled),
         };
         match pumped {
@@ -146,7 +149,7 @@
 async fn pump(
     body: &mut Incoming,
     first: Bytes,
-    sink: Sink,
+    sink: BodySender,
     silence: Duration,
     progress: Option<&WireProgress>,
 ) -> Result<Tail, Outcome> {
@@ -155,7 +158,7 @@
     loop {
         if let Some(data) = data.take() {
             tail.push(&data);
-            let pushed = timeout(UNREAD, sink.push(data)).await;
+            let pushed = timeout(UNREAD, sink.send(data)).await;
             pushed
                 .map_err(|_| Outcome::Cancelled)?
                 .map_err(|_| Outcome::Cancelled)?;
@@ -164,19 +167,19 @@
             frame = timeout(silence, body.frame()) => match frame {
                 Ok(Some(Ok(frame))) => data = frame.into_data().ok(),
                 Ok(None) => break,
-                Ok(Some(Err(_))) | Err(_) => return Err(Outcome::Reset),
+                Ok(Some(Err(_))) | Err(_) => return Err(Outcome::ConnectionReset(ResetCause::InUse)),
             },
-            () = sink.unread() => return Err(Outcome::Cancelled),
-            () = stalled(progress) => return Err(Outcome::Reset),
+            () = sink.closed() => return Err(Outcome::Cancelled),
+            () = stalled(progress) => return Err(Outcome::ConnectionReset(ResetCause::InUse)),
         }
     }
     // Whoever leaves at the very end has had all of it.
-    let _ = timeout(UNREAD, sink.end()).await;
+    let _ = timeout(UNREAD, sink.finish()).await;
     Ok(tail)
 }
 
-fn ended(outcome: Outcome, reason: EndReason) -> Ended {
-    Ended::from(outcome).because(reason)
+fn ended(outcome: Outcome, reason: EndReason) -> AttemptReport {
+    AttemptReport::from(outcome).because(reason)
 }
 
 /// Sends the request and waits for the beginning of its answer, or its end. The connection stays in `slot`
@@ -187,30 +190,35 @@
     written: &watch::Sender<bool>,
     slot: &mut Option<PooledConnection>,
 ) -> Begun {
-    let none = |reason| Begun::Ended(ended(Outcome::NoConn, reason));
-    let reset = |reason| Begun::Ended(ended(Outcome::Reset, reason));
+    let none = |reason| {
+        Begun::Ended(ended(
+            Outcome::ConnectFailed(ConnectFailure::Unreachable),
+            reason,
+        ))
+    };
+    let reset = |reason| Begun::Ended(ended(Outcome::ConnectionReset(ResetCause::InUse), reason));
     let answer = loop {
         // Workers drop kept connections unseen, and a request that is under way then may have run.
         let connection = match spec.non_idempotent {
-            true => shared.pool.connect(&spec.host, spec.up_by).await,
-            false => shared.pool.acquire(&spec.host, spec.up_by).await,
+            true => shared.pool.connect(&spec.endpoint, spec.write_by).await,
+            false => shared.pool.acquire(&spec.endpoint, spec.write_by).await,
         };
         let connection = match connection {
             Ok(connection) => connection,
             Err(ConnectError::Server) => return none(EndReason::NoConnection),
             Err(ConnectError::Local) => {
-                let ended = ended(Outcome::NoConn, EndReason::NoConnectionHere);
-                return Begun::Ended(Ended { info: 1, ..ended });
+                let outcome = Outcome::ConnectFailed(ConnectFailure::LocalResources);
+                return Begun::Ended(ended(outcome, EndReason::NoLocalConnection));
             }
         };
         // A connection may have taken its time: what drains by now is sent nothing more, nor is what is over.
-        if !spec.host.is_open() || !spec.wanted.get() {
+        if !spec.endpoint.is_active() || !spec.is_live.get() {
             shared.pool.release(connection).await;
-            return none(EndReason::NotWanted);
+            return none(EndReason::NotNeeded);
         }
         let connection = slot.insert(connection);
         let left = spec
-            .expire
+            .expires_at
             .saturating_duration_since(Instant::now())
             .as_millis();
         let request = Request::builder()
@@ -222,7 +230,7 @@
             .header("content-type", spec.message.media_type.as_str())
             .body(spec.message.body.clone());
         let Ok(mut request) = request else {
-            return Begun::Ended(ended(Outcome::Nop, EndReason::Unwritable));
+            return Begun::Ended(ended(Outcome::NotSent, EndReason::NotEncodable));
         };
         request.headers_mut().extend(spec.message.headers.clone());
         let progress = connection.progress().clone();
@@ -244,7 +252,7 @@
                     connection.close().await;
                 }
             }
-            Err(_) => return reset(EndReason::Broken),
+            Err(_) => return reset(EndReason::ConnectionBroken),
         }
     };
     let progress = slot
@@ -272,7 +280,7 @@
 ) -> Begun {
     let (head, mut body) = answer.into_parts();
     let load = reply::load_of(&head.headers, &shared.options.report);
-    let expected = if spec.reads {
+    let expected = if spec.prefill_only {
         Expected::State
     } else {
         Expected::Answer
@@ -290,28 +298,36 @@
                 first,
                 media_type,
             },
-            None => Begun::Ended(ended(Outcome::Reset, EndReason::Broken)),
+            None => Begun::Ended(ended(
+                Outcome::ConnectionReset(ResetCause::InUse),
+                EndReason::ConnectionBroken,
+            )),
         };
     }
     let Ok(text) = collect(body).await else {
-        return Begun::Ended(ended(Outcome::Reset, EndReason::Broken));
+        return Begun::Ended(ended(
+            Outcome::ConnectionReset(ResetCause::InUse),
+            EndReason::ConnectionBroken,
+        ));
     };
     let mut wire = WireTrace::default();
     if let Some(connection) = slot.take() {
         wire = connection.trace();
         shared.pool.release(connection).await;
     }
-    wire.reason = EndReason::Answered(head.status.as_u16());
+    wire.reason = EndReason::Responded(head.status.as_u16());
     Begun::Ended(match reply {
-        Reply::Ended(outcome, info) => Ended {
+        Reply::Ended(outcome) => AttemptReport {
             outcome,
-            info,
+            cached_tokens: 0,
             load,
             wire,
         },
-        _ => Ended {
-            outcome: Outcome::HalfDone,
-            info: reply::kept_tokens(&text),
+        _ => AttemptReport {
+            outcome: Outcome::Prefilled {
+                cached_tokens: reply::kept_tokens(&text),
+            },
+            cached_tokens: 0,
             load,
             wire,
         },
--- a/crates/router/src/upstream/calls.rs
+++ b/crates/router/src/upstream/calls.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cranetack_routing_policy::Outcome;
+use cranetack_routing_policy::{ConnectFailure, Outcome};
 use http::{Method, Request, StatusCode};
 use http_body::Body;
 use http_body_util::{BodyExt, Limited};
@@ -14,7 +14,7 @@
 
 use super::pool::PooledConnection;
 use super::{Shared, BODY_MOST};
-use crate::core::{Host, Place};
+use crate::core::{Endpoint, SlotReservation};
 
 /// How long a writer may take to answer a request for a place. It says after 300 ms that it knows of no read; what it
 /// then holds for nobody must be let go within the same span again.
@@ -72,18 +72,18 @@
         }
     }
 
-    pub(super) async fn load(&self, host: &Host) -> Result<(StatusCode, String), Outcome> {
+    pub(super) async fn load(&self, endpoint: &Endpoint) -> Result<(StatusCode, String), Outcome> {
         let until = Instant::now() + self.options.connect_timeout;
         let connection = self
             .pool
-            .acquire(host, until)
+            .acquire(endpoint, until)
             .await
-            .map_err(|_| Outcome::NoConn)?;
-        let request = call(Method::GET, "/metrics/load").ok_or(Outcome::Nop)?;
+            .map_err(|_| Outcome::ConnectFailed(ConnectFailure::Unreachable))?;
+        let request = call(Method::GET, "/metrics/load").ok_or(Outcome::NotSent)?;
         match self.call(connection, request, until).await {
             Ok((status, body)) => Ok((status, String::from_utf8_lossy(&body).into_owned())),
-            Err(true) => Err(Outcome::Late),
-            Err(false) => Err(Outcome::NoConn),
+            Err(true) => Err(Outcome::TimedOut),
+            Err(false) => Err(Outcome::ConnectFailed(ConnectFailure::Unreachable)),
         }
     }
 
@@ -92,14 +92,14 @@
         &self,
         mut written: watch::Receiver<bool>,
         request_id: &str,
-        writer: &Host,
-    ) -> Option<Place> {
+        writer: &Endpoint,
+    ) -> Option<SlotReservation> {
         let until = Instant::now() + self.options.connect_timeout;
         // The reading attempt's end drops the sender: then there is no read to hold a place for.
         let out = async { written.wait_for(|w| *w).await.is_ok() };
         let (out, connection) = tokio::join!(out, self.pool.acquire(writer, until));
         let connection = connection.ok()?;
-        if !out || written.has_changed().is_err() || !writer.is_open() {
+        if !out || written.has_changed().is_err() || !writer.is_active() {
             self.pool.release(connection).await;
             return None;
         }
@@ -108,24 +108,24 @@
             .call(connection, request, Instant::now() + PLACE_WAIT)
             .await
         {
-            Ok((StatusCode::OK, _)) => Some(Place::Held),
-            Ok((StatusCode::CONFLICT, _)) => Some(Place::Refused),
+            Ok((StatusCode::OK, _)) => Some(SlotReservation::Granted),
+            Ok((StatusCode::CONFLICT, _)) => Some(SlotReservation::Refused),
             Ok((StatusCode::NOT_FOUND, _)) | Err(false) => None,
-            Ok(_) | Err(true) => Some(Place::Unsure),
+            Ok(_) | Err(true) => Some(SlotReservation::Unknown),
         }
     }
 
     /// Lets go of all that is held for a request, through the first of the servers that answers. The next one is asked
     /// while those before it may still answer: guards against several in a row that hang, or are cut off, and together
     /// take longer than anything may be held.
-    pub(super) async fn let_go(self: Rc<Self>, request_id: Rc<str>, hosts: Vec<Rc<Host>>) {
+    pub(super) async fn let_go(self: Rc<Self>, request_id: Rc<str>, endpoints: Vec<Rc<Endpoint>>) {
         let give_up = Instant::now() + RELEASE_FOR;
         let mut calls = JoinSet::new();
-        for host in hosts.into_iter().cycle() {
+        for endpoint in endpoints.into_iter().cycle() {
             if Instant::now() > give_up {
                 break;
             }
-            calls.spawn_local(self.clone().release_through(request_id.clone(), host));
+            calls.spawn_local(self.clone().release_through(request_id.clone(), endpoint));
             if timeout(RELEASE_STAGGER, any_succeeds(&mut calls))
                 .await
                 .is_ok()
@@ -137,16 +137,16 @@
     }
 
     /// Whether this server has let go of all that is held for a request, at any of them.
-    async fn release_through(self: Rc<Self>, request_id: Rc<str>, host: Rc<Host>) -> bool {
+    async fn release_through(self: Rc<Self>, request_id: Rc<str>, endpoint: Rc<Endpoint>) -> bool {
         let until = Instant::now() + RELEASE_WAIT;
         let Some(request) = call(Method::DELETE, &format!("/bootstrap/rooms/{request_id}")) else {
             return false;
         };
-        let Ok(connection) = self.pool.acquire(&host, until).await else {
+        let Ok(connection) = self.pool.acquire(&endpoint, until).await else {
             return false;
         };
         let released = self.call(connection, request, until).await.is_ok();
-        tracing::debug!(id = %request_id, at = host.name, released, "a release has ended");
+        tracing::debug!(id = %request_id, at = endpoint.name, released, "a release has ended");
         released
     }
 }
--- a/crates/router/src/upstream/calls/tests.rs
+++ b/crates/router/src/upstream/calls/tests.rs
@@ -36,16 +36,19 @@
 #[test]
 fn what_is_held_is_let_go_in_time_though_four_servers_in_a_row_do_not_answer() {
     run_paused(async {
-        let (mut silent, mut hosts) = (Vec::new(), Vec::new());
+        let (mut silent, mut endpoints) = (Vec::new(), Vec::new());
         for n in 0..4 {
             let server = ManualServer::start().await;
-            hosts.push(Rc::new(Host::new(&format!("silent{n}"), server.address)));
+            endpoints.push(Rc::new(Endpoint::new(
+                &format!("silent{n}"),
+                server.address,
+            )));
             silent.push(server);
         }
         let worker = Worker::start(1, Behaviour::Answer).await;
-        hosts.push(Rc::new(Host::new("worker", worker.address)));
+        endpoints.push(Rc::new(Endpoint::new("worker", worker.address)));
         let began = Instant::now();
-        shared().let_go("q1".into(), hosts).await;
+        shared().let_go("q1".into(), endpoints).await;
         assert!(worker
             .seen
             .borrow()
--- a/crates/router/src/upstream/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -14,13 +14,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cranetack_routing_policy::{HostId, Outcome, RequestId};
+use cranetack_routing_policy::{EndpointId, Outcome, RejectReason, RequestId, ResetCause};
 use cranetack_settings::Report;
 use http::StatusCode;
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
-use crate::core::{AttemptId, AttemptSpec, CoreEvent, Handle, Host, Outbound};
+use crate::core::{AttemptId, AttemptSpec, CoreEvent, Endpoint, Handle, Outbound};
 use crate::peers::Peers;
 use attempt::{Attempt, Reporter};
 use pool::ConnectionPool;
@@ -120,7 +120,7 @@
             attempt: spec.attempt,
             handle: self.shared.handle.clone(),
             running: self.running.clone(),
-            ended: Outcome::Reset.into(),
+            ended: Outcome::ConnectionReset(ResetCause::InUse).into(),
         };
         self.running.borrow_mut().insert(spec.attempt, control);
         let attempt = Attempt {
@@ -144,11 +144,16 @@
         }
     }
 
-    fn reserve(&mut self, reading: AttemptId, request_id: Rc<str>, writer: Rc<Host>) {
+    fn reserve_slot(
+        &mut self,
+        prefill_attempt: AttemptId,
+        request_id: Rc<str>,
+        writer: Rc<Endpoint>,
+    ) {
         let Some(written) = self
             .running
             .borrow()
-            .get(&reading)
+            .get(&prefill_attempt)
             .map(|c| c.written.clone())
         else {
             return;
@@ -159,53 +164,59 @@
                 .request_reservation(written, &request_id, &writer)
                 .await
             {
-                let host = writer.id;
-                shared.handle.send(CoreEvent::ReservationAnswered {
-                    reading,
+                let endpoint = writer.id;
+                shared.handle.send(CoreEvent::SlotReservationAnswered {
+                    prefill_attempt,
                     request_id,
-                    host,
-                    place,
+                    endpoint,
+                    reservation: place,
                 });
             }
         });
     }
 
-    fn release(&mut self, _request: RequestId, request_id: Rc<str>, hosts: Vec<Rc<Host>>) {
+    fn release_state(
+        &mut self,
+        _request: RequestId,
+        request_id: Rc<str>,
+        endpoints: Vec<Rc<Endpoint>>,
+    ) {
         let shared = self.shared.clone();
         shared.releases.send_modify(|running| *running += 1);
         tokio::task::spawn_local(async move {
-            shared.clone().let_go(request_id, hosts).await;
+            shared.clone().let_go(request_id, endpoints).await;
             shared.releases.send_modify(|running| *running -= 1);
         });
     }
 
-    fn probe(&mut self, host: Rc<Host>) {
+    fn health_check(&mut self, endpoint: Rc<Endpoint>) {
         let shared = self.shared.clone();
         tokio::task::spawn_local(async move {
             let began = Instant::now();
-            let (outcome, load) = match shared.load(&host).await {
-                Ok((StatusCode::OK, text)) => {
-                    (Outcome::Good, reply::load(&text, &shared.options.report))
-                }
-                Ok(_) => (Outcome::Full, None),
+            let (outcome, load) = match shared.load(&endpoint).await {
+                Ok((StatusCode::OK, text)) => (
+                    Outcome::Completed,
+                    reply::load(&text, &shared.options.report),
+                ),
+                Ok(_) => (Outcome::Rejected(RejectReason::Overloaded), None),
                 Err(outcome) => (outcome, None),
             };
-            shared.handle.send(CoreEvent::Probed {
-                host: host.id,
+            shared.handle.send(CoreEvent::HealthChecked {
+                endpoint: endpoint.id,
                 outcome,
-                spent: began.elapsed(),
+                elapsed: began.elapsed(),
                 load,
             });
         });
     }
 
-    fn close_idle(&mut self, host: HostId) {
-        self.shared.pool.close_idle(host);
+    fn close_idle(&mut self, endpoint: EndpointId) {
+        self.shared.pool.close_idle(endpoint);
     }
 
-    fn publish(&mut self, to: Option<u32>, bytes: Vec<u8>) {
+    fn gossip(&mut self, to: Option<u32>, payload: Vec<u8>) {
         if let Some(peers) = &self.peers {
-            peers.send(to, &bytes);
+            peers.send(to, &payload);
         }
     }
 }
--- a/crates/router/src/upstream/model.rs
+++ b/crates/router/src/upstream/model.rs
@@ -12,8 +12,8 @@
 use super::calls::call;
 use super::pool::{ConnectionPool, PooledConnection, REST};
 use super::{Options, Upstream};
-use crate::core::{AttemptId, AttemptSpec, CoreEvent, Ended, Handle, Host, Outbound};
-use cranetack_routing_policy::{Outcome, RequestId};
+use crate::core::{AttemptId, AttemptReport, AttemptSpec, CoreEvent, Endpoint, Handle, Outbound};
+use cranetack_routing_policy::{ConnectFailure, Outcome, RequestId};
 use cranetack_settings::Report;
 use cranetack_testkit::{run_paused, Behaviour, Worker};
 
@@ -36,7 +36,7 @@
 /// A connection as the model has it: its worker, if that has closed it, if it has been kept, and since when.
 #[derive(Clone, Copy)]
 struct Known {
-    host: usize,
+    endpoint: usize,
     cut: bool,
     kept: bool,
     since: Instant,
@@ -63,7 +63,7 @@
 
 struct Pair {
     pool: ConnectionPool,
-    hosts: [Host; 2],
+    endpoints: [Endpoint; 2],
     workers: [Rc<Worker>; 2],
     out: Vec<(PooledConnection, Known)>,
     idle: Vec<Known>,
@@ -72,7 +72,7 @@
 impl Pair {
     async fn check(&mut self, step: Step) {
         match step {
-            Step::Take(host) => self.take(host).await,
+            Step::Take(endpoint) => self.take(endpoint).await,
             Step::Call(n) if n < self.out.len() => {
                 let (connection, known) = &mut self.out[n];
                 let request = call(http::Method::GET, "/metrics/load").unwrap();
@@ -101,24 +101,27 @@
                 }
             }
             Step::Close(n) if n < self.out.len() => self.out.remove(n).0.close().await,
-            Step::Cut(host) => {
-                self.workers[host].cut();
+            Step::Cut(endpoint) => {
+                self.workers[endpoint].cut();
                 let known = self.out.iter_mut().map(|(_, k)| k).chain(&mut self.idle);
-                known.filter(|k| k.host == host).for_each(|k| k.cut = true);
+                known
+                    .filter(|k| k.endpoint == endpoint)
+                    .for_each(|k| k.cut = true);
             }
             Step::Wait(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
             Step::Retire => {
                 self.pool.close_expired();
                 self.idle.retain(Known::usable);
-                let hosts = [0, 1].map(|host| self.idle.iter().any(|k| k.host == host));
+                let endpoints =
+                    [0, 1].map(|endpoint| self.idle.iter().any(|k| k.endpoint == endpoint));
                 assert_eq!(
                     self.pool.known_servers(),
-                    hosts.iter().filter(|known| **known).count()
+                    endpoints.iter().filter(|known| **known).count()
                 );
             }
-            Step::CloseIdle(host) => {
-                self.pool.close_idle(self.hosts[host].id);
-                self.idle.retain(|k| k.host != host);
+            Step::CloseIdle(endpoint) => {
+                self.pool.close_idle(self.endpoints[endpoint].id);
+                self.idle.retain(|k| k.endpoint != endpoint);
             }
             _ => {}
         }
@@ -130,10 +133,10 @@
         );
     }
 
-    async fn take(&mut self, host: usize) {
+    async fn take(&mut self, endpoint: usize) {
         let mut expected = None;
         // One that has just been kept rests for a while.
-        let rested = |k: &Known| k.host == host && k.since.elapsed() >= REST;
+        let rested = |k: &Known| k.endpoint == endpoint && k.since.elapsed() >= REST;
         while let Some(at) = self.idle.iter().rposition(rested) {
             let known = self.idle.remove(at);
             if known.usable() {
@@ -146,12 +149,12 @@
             self.idle.remove(0); // the one that has been idle for longest makes room
         }
         let until = Instant::now() + Duration::from_millis(100);
-        match self.pool.acquire(&self.hosts[host], until).await {
+        match self.pool.acquire(&self.endpoints[endpoint], until).await {
             Ok(connection) => {
                 assert!(expected.is_some() || room, "no more than allowed");
                 assert_eq!(connection.idle().is_some(), expected.is_some());
                 let new = Known {
-                    host,
+                    endpoint,
                     cut: false,
                     kept: false,
                     since: Instant::now(),
@@ -180,7 +183,7 @@
             ];
             let mut pair = Pair {
                 pool: ConnectionPool::new(MOST, Duration::from_millis(250), 2 * KEEP),
-                hosts: [Host::new("a", a.address), Host::new("b", b.address)],
+                endpoints: [Endpoint::new("a", a.address), Endpoint::new("b", b.address)],
                 workers: [a, b],
                 out: Vec::new(),
                 idle: Vec::new(),
@@ -208,36 +211,44 @@
             report: Report::default(),
         };
         let mut upstream = Upstream::new(handle, options, None);
-        let host = Rc::new(Host::new("a", worker.address));
+        let endpoint = Rc::new(Endpoint::new("a", worker.address));
         let (now, ms) = (Instant::now(), Duration::from_millis);
         let _only = upstream
             .shared
             .pool
-            .connect(&host, now + KEEP)
+            .connect(&endpoint, now + KEEP)
             .await
             .unwrap();
         let attempt = AttemptId {
             request: RequestId(1),
             number: 1,
         };
-        let (expire, up_by) = (now + KEEP, now + ms(90));
+        let (expires_at, write_by) = (now + KEEP, now + ms(90));
         let (request_id, message) = ("q".into(), Rc::default());
         upstream.send(AttemptSpec {
             attempt,
             request_id,
-            host,
-            expire,
-            up_by,
-            wanted: Rc::new(Cell::new(true)),
-            reads: false,
+            endpoint,
+            expires_at,
+            write_by,
+            is_live: Rc::new(Cell::new(true)),
+            prefill_only: false,
             non_idempotent: true,
             message,
         });
         let ended = events.recv().await;
-        let Some(CoreEvent::AttemptEnded(_, Ended { outcome, .. })) = ended else {
+        let Some(CoreEvent::AttemptEnded {
+            report: AttemptReport { outcome, .. },
+            ..
+        }) = ended
+        else {
             panic!("no end")
         };
-        assert_eq!(outcome, Outcome::NoConn);
+        assert_eq!(
+            outcome,
+            Outcome::ConnectFailed(ConnectFailure::LocalResources),
+            "the pool is full"
+        );
         assert!(
             (ms(90)..ms(100)).contains(&now.elapsed()),
             "{:?}",
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cranetack_routing_policy::HostId;
+use cranetack_routing_policy::EndpointId;
 use http::{Request, Response};
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -26,7 +26,7 @@
 use super::dial::{dial, ConnectError};
 use super::progress::{ObservedStream, WireProgress};
 use crate::closing::shut_down_and_drain;
-use crate::core::{EndReason, Host, WireTrace};
+use crate::core::{EndReason, Endpoint, UsedConnection, WireTrace, Written};
 use crate::socket::Socket;
 
 /// The most that is read ahead on a connection, and so the longest head of an answer.
@@ -46,7 +46,7 @@
 pub struct PooledConnection {
     /// Its number, for the log.
     number: u64,
-    server: HostId,
+    server: EndpointId,
     address: SocketAddr,
     stream: Rc<RefCell<Socket>>,
     sender: SendRequest<Full<Bytes>>,
@@ -74,8 +74,14 @@
     pub fn trace(&self) -> WireTrace {
         let (written, read) = self.progress.bytes();
         WireTrace {
-            connection: Some((self.number, self.idle.is_some())),
-            written: (written, self.progress.all_written()),
+            connection: Some(UsedConnection {
+                number: self.number,
+                reused: self.idle.is_some(),
+            }),
+            written: Written {
+                bytes: written,
+                complete: self.progress.all_written(),
+            },
             read,
             reason: EndReason::default(),
         }
@@ -139,7 +145,7 @@
 
 /// The connections to all servers.
 pub struct ConnectionPool {
-    idle: RefCell<HashMap<HostId, Vec<IdleConnection>>>,
+    idle: RefCell<HashMap<EndpointId, Vec<IdleConnection>>>,
     next_number: Cell<u64>,
     permits: Arc<Semaphore>,
     connect_timeout: Duration,
@@ -165,7 +171,7 @@
     /// A connection to the server that is ready for a request, by this instant: a kept one if there is one.
     pub async fn acquire(
         &self,
-        server: &Host,
+        server: &Endpoint,
         until: Instant,
     ) -> Result<PooledConnection, ConnectError> {
         match self.acquire_idle(server) {
@@ -176,7 +182,7 @@
 
     /// A kept connection, of those that have rested the one last used first. One to an address at which the server does
     /// not listen any more is closed: its machine may have vanished without a word.
-    fn acquire_idle(&self, server: &Host) -> Option<PooledConnection> {
+    fn acquire_idle(&self, server: &Endpoint) -> Option<PooledConnection> {
         let mut idle = self.idle.borrow_mut();
         let kept = idle.get_mut(&server.id)?;
         kept.retain(|idle| idle.connection.address == server.address());
@@ -198,7 +204,7 @@
     /// A new connection to the server, by this instant.
     pub async fn connect(
         &self,
-        server: &Host,
+        server: &Endpoint,
         until: Instant,
     ) -> Result<PooledConnection, ConnectError> {
         let until = until.min(Instant::now() + self.connect_timeout);
@@ -258,7 +264,7 @@
     }
 
     /// Closes the kept connections to a server.
-    pub fn close_idle(&self, server: HostId) {
+    pub fn close_idle(&self, server: EndpointId) {
         self.idle.borrow_mut().remove(&server);
     }
 
--- a/crates/router/src/upstream/pool/tests.rs
+++ b/crates/router/src/upstream/pool/tests.rs
@@ -8,12 +8,12 @@
 fn few_connections_are_kept_to_a_worker() {
     run(async {
         let worker = Worker::start(1, Behaviour::Answer).await;
-        let host = Host::new("a", worker.address);
+        let endpoint = Endpoint::new("a", worker.address);
         let pool = ConnectionPool::new(9, Duration::from_secs(1), Duration::from_secs(60));
         let until = Instant::now() + Duration::from_secs(9);
         let mut taken = Vec::new();
         for _ in 0..2 * IDLE_LIMIT {
-            taken.push(pool.acquire(&host, until).await.unwrap());
+            taken.push(pool.acquire(&endpoint, until).await.unwrap());
         }
         for connection in taken {
             pool.release(connection).await;
@@ -24,9 +24,9 @@
 
 /// A pool, a server whose connections the test drives without the runtime, and a connection that has been answered and
 /// kept there.
-async fn with_kept_connection() -> (ConnectionPool, Host, std::net::TcpStream) {
+async fn with_kept_connection() -> (ConnectionPool, Endpoint, std::net::TcpStream) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let server = Host::new("a", listener.local_addr().unwrap());
+    let server = Endpoint::new("a", listener.local_addr().unwrap());
     let pool = ConnectionPool::new(9, Duration::from_secs(1), Duration::from_secs(60));
     let connection = pool
         .connect(&server, Instant::now() + Duration::from_secs(9))
@@ -71,7 +71,7 @@
     run_paused(async {
         let (pool, server, _accepted) = with_kept_connection().await;
         tokio::time::advance(REST).await;
-        let moved = Host::new("a", "127.0.0.1:1".parse().unwrap());
+        let moved = Endpoint::new("a", "127.0.0.1:1".parse().unwrap());
         assert_eq!(moved.id, server.id);
         assert!(pool.acquire_idle(&moved).is_none());
     });
--- a/crates/router/src/upstream/reply.rs
+++ b/crates/router/src/upstream/reply.rs
@@ -1,11 +1,11 @@
 //! What workers say: outcomes from the heads of their answers, and load reports.
 
-use cranetack_routing_policy::{Load, Outcome};
+use cranetack_routing_policy::{LoadReport, Outcome, RejectReason};
 use cranetack_settings::Report;
 use http::{HeaderMap, StatusCode};
 use serde::Deserialize;
 
-use crate::core::Ended;
+use crate::core::AttemptReport;
 
 /// The header, and the comment in a stream, that bears a load report.
 const LOAD: &str = "x-load";
@@ -20,7 +20,7 @@
     /// The prompt has been read; the body says how much of it was found kept.
     Read,
     /// The attempt has ended like this.
-    Ended(Outcome, u64),
+    Ended(Outcome),
 }
 
 /// What a server is asked for, and so which answers have a meaning.
@@ -44,11 +44,13 @@
         match (expected, status) {
             (Expected::Answer, StatusCode::OK) => Reply::Stream,
             (Expected::State, StatusCode::ACCEPTED) => Reply::Read,
-            (_, StatusCode::GONE) if not_run => Reply::Ended(Outcome::Full, 1),
+            (_, StatusCode::GONE) if not_run => {
+                Reply::Ended(Outcome::Rejected(RejectReason::NoKvState))
+            }
             (_, status) if not_run && TURNED_AWAY.contains(&status) => {
-                Reply::Ended(Outcome::Full, 0)
+                Reply::Ended(Outcome::Rejected(RejectReason::Overloaded))
             }
-            _ => Reply::Ended(Outcome::Bad, 0),
+            _ => Reply::Ended(Outcome::ServerError),
         }
     }
 }
@@ -63,7 +65,7 @@
 }
 
 /// The load report among the headers of an answer.
-pub fn load_of(headers: &HeaderMap, columns: &Report) -> Option<Load> {
+pub fn load_of(headers: &HeaderMap, columns: &Report) -> Option<LoadReport> {
     headers
         .get(LOAD)
         .and_then(|v| v.to_str().ok())
@@ -72,8 +74,8 @@
 
 /// A load report: `TEXT name=figure, name=figure`. Guards against one that cannot be read, which would take the
 /// place of the one before and make a server look as if it had never reported: that is none.
-pub fn load(text: &str, columns: &Report) -> Option<Load> {
-    let mut load = Load::default();
+pub fn load(text: &str, columns: &Report) -> Option<LoadReport> {
+    let mut load = LoadReport::default();
     let text = text.trim();
     let text = text.strip_prefix("TEXT").unwrap_or(text);
     for pair in text.split([',', ' ', '\n']) {
@@ -85,15 +87,17 @@
             figure.trim().parse::<f64>().ok().filter(|f| f.is_finite()),
         );
         match name {
-            "inflight" => load.inflight = figure,
-            "queue" => load.queue = figure,
-            "util" => load.util = figure,
-            _ if columns.memory_column.as_deref() == Some(name) => load.memory = figure,
-            _ if columns.pending_column.as_deref() == Some(name) => load.pending_k = figure,
+            "inflight" => load.in_flight = figure,
+            "queue" => load.queued = figure,
+            "util" => load.slot_utilization = figure,
+            _ if columns.memory_column.as_deref() == Some(name) => load.memory_utilization = figure,
+            _ if columns.pending_column.as_deref() == Some(name) => {
+                load.pending_kilotokens = figure
+            }
             _ => {}
         }
     }
-    (load != Load::default()).then_some(load)
+    (load != LoadReport::default()).then_some(load)
 }
 
 /// The end of a stream, in which its last events tell what the answer used and how the worker fares.
@@ -113,7 +117,7 @@
     }
 
     /// What the end says of an attempt that was served.
-    pub fn ended(&self, columns: &Report) -> Ended {
+    pub fn ended(&self, columns: &Report) -> AttemptReport {
         let text = String::from_utf8_lossy(&self.0);
         let after = |word: &str| text.rfind(word).map(|at| &text[at + word.len()..]);
         let digits = |t: &str| {
@@ -125,13 +129,13 @@
         let kept = after("\"cached_tokens\":")
             .and_then(|t| digits(t).parse().ok())
             .unwrap_or(0);
-        let load = after(": X-Load:")
+        let load = after(": X-LoadReport:")
             .and_then(|t| t.lines().next())
             .and_then(|line| load(line, columns));
-        Ended {
-            info: kept,
+        AttemptReport {
+            cached_tokens: kept,
             load,
-            ..Outcome::Good.into()
+            ..Outcome::Completed.into()
         }
     }
 }
--- a/crates/router/src/upstream/reply/tests.rs
+++ b/crates/router/src/upstream/reply/tests.rs
@@ -16,8 +16,8 @@
     let mut not_run = HeaderMap::new();
     not_run.insert("x-not-run", "1".parse().unwrap());
     let none = HeaderMap::new();
-    let error = || Reply::Ended(Outcome::Bad, 0);
-    let full = |info| Reply::Ended(Outcome::Full, info);
+    let error = || Reply::Ended(Outcome::ServerError);
+    let full = |reason| Reply::Ended(Outcome::Rejected(reason));
     for (expected, status, headers, reply) in [
         (Expected::Answer, 200, &none, Reply::Stream),
         (Expected::State, 202, &none, Reply::Read),
@@ -27,10 +27,30 @@
         (Expected::Answer, 500, &none, error()),
         (Expected::Answer, 500, &not_run, error()),
         (Expected::Answer, 503, &none, error()),
-        (Expected::Answer, 503, &not_run, full(0)),
-        (Expected::State, 503, &not_run, full(0)),
-        (Expected::Answer, 504, &not_run, full(0)),
-        (Expected::Answer, 410, &not_run, full(1)),
+        (
+            Expected::Answer,
+            503,
+            &not_run,
+            full(RejectReason::Overloaded),
+        ),
+        (
+            Expected::State,
+            503,
+            &not_run,
+            full(RejectReason::Overloaded),
+        ),
+        (
+            Expected::Answer,
+            504,
+            &not_run,
+            full(RejectReason::Overloaded),
+        ),
+        (
+            Expected::Answer,
+            410,
+            &not_run,
+            full(RejectReason::NoKvState),
+        ),
         (Expected::Answer, 410, &none, error()),
         // The promise counts beside these statuses alone.
         (Expected::Answer, 200, &not_run, Reply::Stream),
@@ -54,12 +74,12 @@
         "TEXT inflight=7, queue=2, util=0.61, x0=0.4, x1=12.5, new=3",
         &columns(),
     );
-    let whole = Load {
-        inflight: Some(7.0),
-        queue: Some(2.0),
-        util: Some(0.61),
-        memory: Some(0.4),
-        pending_k: Some(12.5),
+    let whole = LoadReport {
+        in_flight: Some(7.0),
+        queued: Some(2.0),
+        slot_utilization: Some(0.61),
+        memory_utilization: Some(0.4),
+        pending_kilotokens: Some(12.5),
     };
     assert_eq!(report, Some(whole));
     assert_eq!(load("x0=NaN,x1=,=5, util", &columns()), None);
@@ -68,13 +88,16 @@
 #[test]
 fn the_end_of_a_stream_tells_kept_tokens_and_load_however_it_is_split() {
     let text = "data: {\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":4096}}}\n\ndata: [DONE]\n\n\
-                : X-Load: TEXT x0=0.25\n\n";
+                : X-LoadReport: TEXT x0=0.25\n\n";
     let mut tail = Tail::default();
     tail.push(&vec![b'x'; 5_000]);
     text.as_bytes().chunks(7).for_each(|part| tail.push(part));
     let ended = tail.ended(&columns());
     assert_eq!(
-        (ended.info, ended.load.and_then(|l| l.memory)),
+        (
+            ended.cached_tokens,
+            ended.load.and_then(|l| l.memory_utilization)
+        ),
         (4_096, Some(0.25))
     );
 }
--- a/crates/routing-policy/src/lib.rs
+++ b/crates/routing-policy/src/lib.rs
@@ -1,57 +1,83 @@
-//! The decisions of a front for a model service in which prompts are read and answers written by different
-//! servers. The module does no I/O and owns no clock: the host feeds it [`Event`]s and carries out [`Action`]s.
+//! The decisions of a router for a language-model service with prefill and decode servers.
+//!
+//! The crate does no I/O and owns no clock: its driver delivers [`Event`]s to a [`Policy`] and
+//! carries out the [`Action`]s that it returns.
 //!
 //! ```
-//! use cranetack_routing_policy::{Action, Ask, CellId, Class, ClassId, Effect, Event, HostId, Kind, KindId, ListForm, Member};
-//! use cranetack_routing_policy::{Outcome, Policy, Readiness, RequestId, Settings, Stage, ZoneId};
+//! use cranetack_routing_policy::{
+//!     Action, CellId, Class, ClassId, EndpointId, EndpointSpec, EndpointState, EndpointUpdate, Event,
+//!     Idempotency, Kind, KindId, Outcome, Policy, RequestId, RequestSpec, Role, Settings, ZoneId,
+//! };
 //!
 //! let settings = Settings {
-//!     classes: vec![Class { effect: Effect::Safe, ..Class::default() }],
+//!     classes: vec![Class { idempotency: Idempotency::Idempotent, ..Class::default() }],
 //!     kinds: vec![
-//!         Kind { stage: Some(Stage::Read), memory_tokens: None },
-//!         Kind { stage: Some(Stage::Write), memory_tokens: None },
+//!         Kind { role: Some(Role::Prefill), memory_tokens: None },
+//!         Kind { role: Some(Role::Decode), memory_tokens: None },
 //!     ],
 //!     ..Settings::default()
 //! };
 //! let mut now = 1_000_000;
 //! let mut policy = Policy::new(settings, 42, now);
-//! let line = |host, kind| Member {
-//!     host: HostId(host),
-//!     last_start: None,
+//! let entry = |endpoint, kind| EndpointSpec {
+//!     id: EndpointId(endpoint),
+//!     started_at: None,
 //!     kind: KindId(kind),
-//!     readiness: Readiness::Up,
+//!     state: EndpointState::Active,
 //!     cell: CellId(0),
 //!     weight: 1.0,
 //!     zone: ZoneId(0),
 //! };
 //! let mut actions = Vec::new();
-//! // 1. The last list that this dispatcher held comes first.
-//! let members = vec![line(1, 0), line(2, 1)];
-//! policy.handle(now, Event::Members { form: ListForm::Stale, members }, &mut actions);
-//! // 2. Then whatever happens, with the time at which it did; all actions are carried out in their order.
-//! let ask = Ask { id: RequestId(7), valid_until: now + 5_000_000, prompt_tokens: 900, ..Ask::default() };
-//! policy.handle(now, Event::Ask(ask), &mut actions);
-//! let sent = actions.iter().any(|a| matches!(a, Action::Route { id: RequestId(7), host: HostId(1), .. }));
-//! assert!(sent, "the prompt goes to the reader first");
-//! // 3. Each attempt ends with one result: here the prompt has been read and waits for a writer.
+//!
+//! // 1. The endpoint list that the router had before its restart comes first.
+//! let entries = vec![entry(1, 0), entry(2, 1)];
+//! let restored = Event::EndpointsUpdated(EndpointUpdate::Restored(entries));
+//! policy.handle(now, restored, &mut actions);
+//!
+//! // 2. Then whatever happens, with the time at which it did. All actions are carried out in order.
+//! let request = RequestSpec {
+//!     id: RequestId(7),
+//!     deadline: now + 5_000_000,
+//!     prompt_tokens: 900,
+//!     ..RequestSpec::default()
+//! };
+//! policy.handle(now, Event::RequestArrived(request), &mut actions);
+//! let sent_to = |endpoint| {
+//!     let endpoint = EndpointId(endpoint);
+//!     move |action: &Action| matches!(action, Action::Send { endpoint: to, .. } if *to == endpoint)
+//! };
+//! assert!(actions.iter().any(sent_to(1)), "the prompt goes to the prefill endpoint first");
+//!
+//! // 3. Each attempt has one end: here the prompt has been processed and waits for a decode endpoint.
 //! actions.clear();
 //! now += 80_000;
-//! let read = Event::Result {
+//! let prefilled = Event::AttemptEnded {
 //!     id: RequestId(7),
 //!     attempt: 0,
-//!     host: HostId(1),
-//!     outcome: Outcome::HalfDone,
-//!     info: 0,
-//!     no_more: false,
-//!     spent: 80_000,
+//!     endpoint: EndpointId(1),
+//!     outcome: Outcome::Prefilled { cached_tokens: 0 },
+//!     client_done: false,
+//!     elapsed: 80_000,
 //!     load: None,
 //! };
-//! policy.handle(now, read, &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Route { host: HostId(2), .. })));
+//! policy.handle(now, prefilled, &mut actions);
+//! assert!(actions.iter().any(sent_to(2)));
 //! ```
 
-mod interface;
+mod actions;
+mod config;
+mod events;
+mod ids;
 mod policy;
 
-pub use interface::*;
-pub use policy::{effects, Policy};
+pub use actions::{Action, EndpointStatus};
+pub use config::{Class, Idempotency, KeyScope, Kind, LoadReporting, Role, Settings};
+pub use events::{
+    ConnectFailure, EndpointSpec, EndpointState, EndpointUpdate, Event, LoadReport, Outcome,
+    RejectReason, RequestSpec, ResetCause,
+};
+pub use ids::{
+    CellId, ClassId, EndpointId, KindId, Micros, PrefixId, RequestId, SessionId, TimerKey, ZoneId,
+};
+pub use policy::{idempotency, Policy};
