--- a/crates/routing-policy/src/policy.rs
+++ b/crates/routing-policy/src/policy.rs
@@ -7,16 +7,16 @@
 use rand_core::RngCore;
 use rand_pcg::Pcg32;
 
-use crate::interface::*;
+use crate::*;
 use arithmetic::{mix, seen, uniform, Fading};
-use effects::{may_have_run, EffectRule, PossibleRun};
+use idempotency::{may_have_executed, PossibleExecution, RetryRule};
 use lanes::{best_lane, Fleet, Half, Lane};
 use starts::StartClock;
 
 mod arithmetic;
-pub mod effects;
+mod endpoint_statuses;
+pub mod idempotency;
 mod lanes;
-mod standings;
 mod starts;
 
 // Weights of the lane score: S = 0.4 C + 0.1 (1-M) + 0.3 (1-Q) + 0.2 (1-L). From the paper, 3.3.
@@ -39,7 +39,7 @@
 const KEPT_MOST: usize = 2_000; // most kept shares remembered for a server
 const TICK: Micros = 50_000; // span between two looks at timers, probes and waiting requests (us)
 const PROBE_EVERY: Micros = 1_000_000; // least span between the probes of a server by turns (us)
-const PROBES_AN_ASK: f64 = 1.5; // probes a request: probing all cost more than the work
+const PROBES_AN_ASK: f64 = 1.5; // probes a request: health_checks all cost more than the work
 const LOOK_AGE: Micros = 2_000_000; // age at which a reader is probed before a send (us): half of stale
 const LOOK_FOR: Micros = 80_000; // span for which a request waits for a new one (us): most come by then
 const PIN_SHARE: f64 = 0.6; // of the pin limit, after which held state is freed: timers may be late
@@ -82,18 +82,14 @@
 const SUBSCRIBE_AGAIN: Micros = 500_000; // after a failed call for the list (us)
 
 const ANY_CLASS: ClassId = ClassId(usize::MAX);
-/// Timer keys: the tick, the subscription, else a request's number plus this.
-const KEY_TICK: u64 = 0;
-const KEY_SUBSCRIBE: u64 = 1;
-const KEY_REQUEST: u64 = 2;
 
-struct Host {
-    member: Member,
+struct Endpoint {
+    spec: EndpointSpec,
     listed: bool,
     held: [f64; 2], // our unanswered reads there, each weighed, and our streams
     coming: f64,
     limits: [Limit; 2],
-    load: Option<(Micros, Load)>,
+    load: Option<(Micros, LoadReport)>,
     /// Prompt tokens kept there for an opening (false, id) or a session (true, id), and when that was learnt.
     kept: BTreeMap<(bool, u64), (u64, Micros)>,
     /// Failures in a row and the end of its time aside, for one class or (`None`) for all.
@@ -115,32 +111,32 @@
 #[derive(Clone, Copy)]
 struct Out {
     attempt: u32,
-    host: HostId,
-    stage: Stage,
+    endpoint: EndpointId,
+    stage: Role,
     sent: Micros,
     established: bool,
     weight: f64,
-    toward: Option<HostId>,
-    run: PossibleRun,      // what it is if it may have had its effect
-    overdue: Option<bool>, // that it is has been learnt from, and whether it was called off
+    toward: Option<EndpointId>,
+    run: PossibleExecution, // what it is if it may have had its effect
+    overdue: Option<bool>,  // that it is has been learnt from, and whether it was called off
 }
 
 #[derive(Default)]
 struct Request {
-    ask: Ask,
+    ask: RequestSpec,
     arrived: Micros,
     first_sent: Option<Micros>,
     attempts: u32,
     out: Option<Out>,
-    state: Option<(HostId, Micros)>, // where the read state waits, and since when nothing is done with it
-    look: Option<(HostId, Micros)>, // the reader probed for it, and until when it waits for the report
-    place: Option<HostId>,
+    state: Option<(EndpointId, Micros)>, // where the read state waits, and since when nothing is done with it
+    look: Option<(EndpointId, Micros)>, // the reader probed for it, and until when it waits for the report
+    place: Option<EndpointId>,
     places: u32,
     looks: u32,
     holds: bool,
     let_go_unfetched: bool, // also while its send to a writer is out
     ended: bool,
-    ran: Option<PossibleRun>, // the first attempt that may have had its effect
+    ran: Option<PossibleExecution>, // the first attempt that may have had its effect
 }
 
 /// What this dispatcher learns of its own traffic. Spans are in us.
@@ -161,11 +157,11 @@
     now: Micros,
     out: Vec<Action>,
     rng: Pcg32,
-    hosts: BTreeMap<HostId, Host>,
+    endpoints: BTreeMap<EndpointId, Endpoint>,
     requests: BTreeMap<RequestId, Request>,
     waiting: BTreeSet<RequestId>,
     /// Mean work of a request of each class at each stage: uncached tokens read, or time streamed (us).
-    work: BTreeMap<(Stage, ClassId), f64>,
+    work: BTreeMap<(Role, ClassId), f64>,
     openings: BTreeMap<Option<PrefixId>, Fading>, // requests of each, and of all (`None`), lately
     carried: [Fading; 3], // our work that each stage's warm servers finished lately ...
     rates: [f64; 3],      // ... and what each of them carries of it a us, at the latest look
@@ -184,12 +180,12 @@
         let mut policy = Policy {
             settings,
             now,
-            out: vec![Action::Sleep {
+            out: vec![Action::SetTimer {
                 at: now + TICK,
-                key: KEY_TICK,
+                key: TimerKey::Tick,
             }],
             rng: Pcg32::new(seed, 0xda3e_39cb_94b9_5bdb),
-            hosts: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             requests: BTreeMap::new(),
             waiting: BTreeSet::new(),
             work: BTreeMap::new(),
@@ -215,7 +211,7 @@
             leaving: None,
             away: BTreeMap::new(),
         };
-        if policy.settings.membership_asked {
+        if policy.settings.endpoints_are_polled {
             policy.subscribe();
         }
         policy
@@ -225,105 +221,142 @@
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
-            Event::Members { form, members } => self.on_members(form, members),
-            Event::Ask(ask) => self.on_ask(ask),
-            Event::Established {
-                id, attempt, host, ..
-            } => self.on_established(id, attempt, host),
-            Event::Result {
+            Event::EndpointsUpdated(update) => self.on_endpoint_update(update),
+            Event::RequestArrived(ask) => self.on_ask(ask),
+            Event::StreamStarted {
                 id,
                 attempt,
-                host,
+                endpoint,
+                ..
+            } => self.on_established(id, attempt, endpoint),
+            Event::AttemptEnded {
+                id,
+                attempt,
+                endpoint,
                 outcome,
-                info,
-                no_more,
+                client_done,
                 load,
                 ..
             } => {
-                self.hear(host, load);
-                self.on_result(id, attempt, outcome, info, no_more);
+                self.hear(endpoint, load);
+                self.on_result(id, attempt, outcome, client_done);
             }
-            Event::Earmarked { id, held, .. } => self.on_earmarked(id, held),
-            Event::Peer { from, bytes } => self.on_peer(from, &bytes),
-            Event::ClientGone(id) => self.leave(id),
-            Event::Leaving { from, by } => self.leaving = Some((from, by, LEAVE_WORDS)),
-            Event::Timer(KEY_TICK) => self.on_tick(),
-            Event::Timer(KEY_SUBSCRIBE) => self.subscribe(),
-            Event::Timer(key) => self.on_timer(key),
-            Event::Probed {
-                host,
+            Event::SlotReservationAnswered { id, granted, .. } => self.on_earmarked(id, granted),
+            Event::GossipReceived { from, payload } => self.on_peer(from, &payload),
+            Event::ClientDisconnected(id) => self.leave(id),
+            Event::ShutdownStarted {
+                migrate_from,
+                answer_by,
+            } => {
+                self.leaving = Some((migrate_from, answer_by, LEAVE_WORDS));
+            }
+            Event::TimerFired(TimerKey::Tick) => self.on_tick(),
+            Event::TimerFired(TimerKey::PollEndpoints) => self.subscribe(),
+            Event::TimerFired(TimerKey::Request(id)) => self.on_timer(id),
+            Event::HealthChecked {
+                endpoint,
                 outcome,
                 load,
                 ..
             } => {
-                self.hear(host, load);
-                self.judge(host, None, outcome);
+                self.hear(endpoint, load);
+                self.judge(endpoint, None, outcome);
                 self.requests
                     .values_mut()
-                    .for_each(|r| r.look = r.look.filter(|(at, _)| *at != host));
+                    .for_each(|r| r.look = r.look.filter(|(at, _)| *at != endpoint));
                 self.advance_waiting();
             }
         }
         out.append(&mut self.out);
     }
 
-    fn class(&self, ask: &Ask) -> Option<&Class> {
+    fn class(&self, ask: &RequestSpec) -> Option<&Class> {
         self.settings.classes.get(ask.class.0)
     }
 
     fn subscribe(&mut self) {
-        self.out.push(Action::Subscribe(true));
-        let wake = |within: Micros| Action::Sleep {
+        self.out.push(Action::SubscribeEndpoints(true));
+        let wake = |within: Micros| Action::SetTimer {
             at: self.now + within.max(TICK),
-            key: KEY_SUBSCRIBE,
+            key: TimerKey::PollEndpoints,
         };
-        self.out.extend(self.settings.ask_within.map(wake));
+        self.out.extend(self.settings.poll_interval.map(wake));
     }
 
-    fn on_members(&mut self, form: ListForm, members: Vec<Member>) {
-        if form == ListForm::Broken && self.settings.membership_asked {
-            self.out.push(Action::Sleep {
-                at: self.now + SUBSCRIBE_AGAIN,
-                key: KEY_SUBSCRIBE,
-            });
+    fn on_endpoint_update(&mut self, update: EndpointUpdate) {
+        match update {
+            EndpointUpdate::Delta(entries) => {
+                self.observe_starts(&entries);
+                self.starts.confirm(self.now);
+                self.store_entries(entries);
+            }
+            EndpointUpdate::Snapshot(entries) => {
+                self.remove_all_entries();
+                self.observe_starts(&entries);
+                self.starts.confirm(self.now);
+                self.store_entries(entries);
+            }
+            EndpointUpdate::Restored(entries) => {
+                self.remove_all_entries();
+                self.observe_starts(&entries);
+                self.store_entries(entries);
+            }
+            EndpointUpdate::PollFailed if self.settings.endpoints_are_polled => {
+                self.out.push(Action::SetTimer {
+                    at: self.now + SUBSCRIBE_AGAIN,
+                    key: TimerKey::PollEndpoints,
+                });
+            }
+            EndpointUpdate::PollFailed => {}
         }
-        if matches!(form, ListForm::Whole | ListForm::Stale) {
-            self.hosts
-                .values_mut()
-                .for_each(|h| (h.listed, h.member.readiness) = (false, Readiness::Gone));
+        // Machines are replaced by others for as long as this lives: one that is gone is kept while in use.
+        let in_use = |h: &Endpoint| h.held[0] + h.held[1] + h.coming > 0.01;
+        self.endpoints
+            .retain(|_, h| h.spec.state != EndpointState::Removed || in_use(h));
+        self.advance_waiting();
+    }
+
+    fn remove_all_entries(&mut self) {
+        for endpoint in self.endpoints.values_mut() {
+            endpoint.listed = false;
+            endpoint.spec.state = EndpointState::Removed;
         }
-        for member in &members {
+    }
+
+    fn observe_starts(&mut self, entries: &[EndpointSpec]) {
+        for entry in entries {
             let known = self
-                .hosts
-                .get(&member.host)
-                .is_some_and(|h| h.member.last_start == member.last_start);
-            let told = member.last_start.filter(|at| !known && *at > 0);
-            told.into_iter()
-                .for_each(|at| self.starts.observe(at, self.now));
-        }
-        if matches!(form, ListForm::Whole | ListForm::Patch) {
-            self.starts.confirm(self.now);
+                .endpoints
+                .get(&entry.id)
+                .is_some_and(|known| known.spec.started_at == entry.started_at);
+            if let Some(started_at) = entry.started_at.filter(|at| !known && *at > 0) {
+                self.starts.observe(started_at, self.now);
+            }
         }
-        for member in members {
-            let started = self.hosts.get(&member.host).map(|h| h.member.last_start);
-            let host = self
-                .hosts
-                .entry(member.host)
-                .or_insert_with(|| Host::new(member));
-            (host.member, host.listed) = (member, member.readiness == Readiness::Up);
-            if started != Some(member.last_start) {
-                (host.kept, host.load, host.fails) = Default::default();
-                host.cold_turn = [(self.now, uniform(self.rng.next_u64())), (self.now, 0.0)];
+    }
+
+    fn store_entries(&mut self, entries: Vec<EndpointSpec>) {
+        for entry in entries {
+            let known_start = self
+                .endpoints
+                .get(&entry.id)
+                .map(|known| known.spec.started_at);
+            let endpoint = self
+                .endpoints
+                .entry(entry.id)
+                .or_insert_with(|| Endpoint::new(entry));
+            endpoint.spec = entry;
+            endpoint.listed = entry.state == EndpointState::Active;
+            if known_start != Some(entry.started_at) {
+                endpoint.kept = BTreeMap::new();
+                endpoint.load = None;
+                endpoint.fails = BTreeMap::new();
+                endpoint.cold_turn = [(self.now, uniform(self.rng.next_u64())), (self.now, 0.0)];
             }
         }
-        // Machines are replaced by others for as long as this lives: one that is gone is kept while in use.
-        let in_use = |h: &Host| h.held[0] + h.held[1] + h.coming > 0.01;
-        self.hosts
-            .retain(|_, h| h.member.readiness != Readiness::Gone || in_use(h));
-        self.advance_waiting();
     }
 
-    fn on_ask(&mut self, ask: Ask) {
+    fn on_ask(&mut self, ask: RequestSpec) {
         if self.requests.contains_key(&ask.id) {
             return;
         }
@@ -345,51 +378,56 @@
         if self.openings.len() > KEPT_MOST {
             self.openings.clear();
         }
-        for key in [Some(None), ask.prefix.map(Some)].into_iter().flatten() {
+        for key in [Some(None), ask.shared_prefix.map(Some)]
+            .into_iter()
+            .flatten()
+        {
             self.openings
                 .entry(key)
                 .or_default()
                 .add(1.0, self.now, KEPT_FOR);
         }
         self.pace.probes = (self.pace.probes + PROBES_AN_ASK).min(4.0 * PROBES_AN_ASK);
-        self.out.push(Action::Sleep {
+        self.out.push(Action::SetTimer {
             at: self.last_call(&ask),
-            key: KEY_REQUEST + u64::from(ask.id.0),
+            key: TimerKey::Request(ask.id),
         });
         self.advance_waiting();
     }
 
     /// Probes the reader that a request would go to and waits for its report: it may have jammed unseen.
-    fn look(&mut self, id: RequestId, reader: HostId) -> bool {
-        let old = self.hosts[&reader]
+    fn look(&mut self, id: RequestId, reader: EndpointId) -> bool {
+        let old = self.endpoints[&reader]
             .load
             .is_none_or(|(at, _)| self.now >= at + LOOK_AGE);
         let looks = old && self.requests[&id].looks < LOOKS_MOST && self.probe(reader);
         if let Some(request) = self.requests.get_mut(&id).filter(|_| looks) {
             (request.look, request.looks) =
                 (Some((reader, self.now + LOOK_FOR)), request.looks + 1);
-            self.out.push(Action::Sleep {
+            self.out.push(Action::SetTimer {
                 at: self.now + LOOK_FOR,
-                key: KEY_REQUEST + u64::from(id.0),
+                key: TimerKey::Request(id),
             });
         }
         looks
     }
 
-    fn aim_span(&self, ask: &Ask) -> Micros {
+    fn aim_span(&self, ask: &RequestSpec) -> Micros {
         let class = self.class(ask);
-        let per_1000 = class.and_then(|c| c.aim_per_1000).unwrap_or(0.0);
-        class.and_then(|c| c.aim).unwrap_or(AIM)
+        let per_1000 = class
+            .and_then(|c| c.latency_objective_per_1000_tokens)
+            .unwrap_or(0.0);
+        class.and_then(|c| c.latency_objective).unwrap_or(AIM)
             + (per_1000 * ask.prompt_tokens as f64 / 1000.0) as Micros
     }
 
-    fn last_call(&self, ask: &Ask) -> Micros {
-        let period = self.settings.period.unwrap_or(TICK);
-        let slack = self.settings.answer_slack.unwrap_or(0);
-        ask.valid_until - if slack > 2 * period { 0 } else { 2 * period }
+    fn last_call(&self, ask: &RequestSpec) -> Micros {
+        let period = self.settings.event_interval.unwrap_or(TICK);
+        let slack = self.settings.response_slack.unwrap_or(0);
+        ask.deadline - if slack > 2 * period { 0 } else { 2 * period }
     }
 
-    fn on_established(&mut self, id: RequestId, attempt: u32, host: HostId) {
+    fn on_established(&mut self, id: RequestId, attempt: u32, endpoint: EndpointId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -404,26 +442,21 @@
         self.pace.lead += (lead - self.pace.lead) * WORK_STEP;
         (request.state, request.holds) = (None, false);
         if let Some(h) = self
-            .hosts
-            .get_mut(&host)
-            .filter(|_| sent.stage == Stage::Both)
+            .endpoints
+            .get_mut(&endpoint)
+            .filter(|_| sent.stage == Role::Mixed)
         {
             h.held[0] = (h.held[0] - sent.weight).max(0.0);
         }
         let class = request.ask.class;
-        self.judge(host, Some(class), Outcome::Good);
-        self.hosts.entry(host).and_modify(|h| h.answer(sent.sent));
+        self.judge(endpoint, Some(class), Outcome::Completed);
+        self.endpoints
+            .entry(endpoint)
+            .and_modify(|h| h.answer(sent.sent));
         self.learn_limit(id, sent, false);
     }
 
-    fn on_result(
-        &mut self,
-        id: RequestId,
-        attempt: u32,
-        outcome: Outcome,
-        info: u64,
-        no_more: bool,
-    ) {
+    fn on_result(&mut self, id: RequestId, attempt: u32, outcome: Outcome, client_done: bool) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -432,37 +465,51 @@
         };
         let class = request.ask.class;
         // Only readers leave a state: from another server it proves nothing.
-        let half_done = outcome == Outcome::HalfDone && sent.stage != Stage::Read;
-        let outcome = if half_done { Outcome::Bad } else { outcome };
+        let half_done = matches!(outcome, Outcome::Prefilled { .. }) && sent.stage != Role::Prefill;
+        let outcome = if half_done {
+            Outcome::ServerError
+        } else {
+            outcome
+        };
         request.out = None;
-        request.ended |= no_more || outcome == Outcome::Good;
+        request.ended |= client_done || outcome == Outcome::Completed;
         self.uncount(sent);
-        let no_state = outcome == Outcome::Full && info == 1;
-        let not_the_servers = matches!(outcome, Outcome::Reset | Outcome::NoConn) && info == 1;
+        let no_state = outcome == Outcome::Rejected(RejectReason::NoKvState);
+        let not_the_servers = matches!(
+            outcome,
+            Outcome::ConnectionReset(ResetCause::StaleIdle)
+                | Outcome::ConnectFailed(ConnectFailure::LocalResources)
+        );
         if !no_state && !not_the_servers {
-            self.judge(sent.host, Some(class), outcome);
+            self.judge(sent.endpoint, Some(class), outcome);
         }
-        if matches!(outcome, Outcome::HalfDone | Outcome::Full | Outcome::Bad) {
-            self.hosts
-                .entry(sent.host)
+        if matches!(
+            outcome,
+            Outcome::Prefilled { .. } | Outcome::Rejected(_) | Outcome::ServerError
+        ) {
+            self.endpoints
+                .entry(sent.endpoint)
                 .and_modify(|h| h.answer(sent.sent));
         }
-        if outcome == Outcome::HalfDone || (outcome == Outcome::Full && !no_state) {
-            self.learn_limit(id, sent, outcome == Outcome::Full);
+        match outcome {
+            Outcome::Prefilled { .. } => self.learn_limit(id, sent, false),
+            Outcome::Rejected(RejectReason::Overloaded) => self.learn_limit(id, sent, true),
+            _ => {}
         }
-        self.learn_work(id, sent, outcome, info);
+        self.learn_work(id, sent, outcome);
         self.learn_kept(id, sent, outcome);
         let pin = self.pin();
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         match outcome {
-            Outcome::HalfDone => request.state = Some((sent.host, self.now)),
-            _ if sent.stage != Stage::Write || no_state => request.state = None,
-            Outcome::Good | Outcome::NoConn => {} // without a connection the state has waited all the while
-            _ => request.state = request.state.map(|(host, _)| (host, self.now)),
+            Outcome::Prefilled { .. } => request.state = Some((sent.endpoint, self.now)),
+            _ if sent.stage != Role::Decode || no_state => request.state = None,
+            // Without a connection the KV state has waited all the while.
+            Outcome::Completed | Outcome::ConnectFailed(_) => {}
+            _ => request.state = request.state.map(|(endpoint, _)| (endpoint, self.now)),
         }
-        if may_have_run(sent.stage, outcome) && request.ran.is_none() {
+        if may_have_executed(sent.stage, outcome) && request.ran.is_none() {
             request.ran = Some(sent.run);
         }
         let (ended, until) = (request.ended, request.state.map(|(_, since)| since + pin));
@@ -474,9 +521,9 @@
             self.end(id);
         } else {
             self.waiting.insert(id);
-            self.out.extend(until.map(|at| Action::Sleep {
+            self.out.extend(until.map(|at| Action::SetTimer {
                 at,
-                key: KEY_REQUEST + u64::from(id.0),
+                key: TimerKey::Request(id),
             }));
             self.advance(id);
         }
@@ -489,27 +536,24 @@
         };
         let (place, out) = (request.place.take(), request.out);
         place
-            .and_then(|w| self.hosts.get_mut(&w))
+            .and_then(|w| self.endpoints.get_mut(&w))
             .into_iter()
             .for_each(|w| w.refused_at = self.now);
         let more = out
-            .filter(|o| o.stage == Stage::Read && !request.ended && request.places < PLACES_MOST);
-        if let Some(writer) = more.and_then(|o| self.choose_writer(id, o.host)) {
+            .filter(|o| o.stage == Role::Prefill && !request.ended && request.places < PLACES_MOST);
+        if let Some(writer) = more.and_then(|o| self.choose_writer(id, o.endpoint)) {
             self.earmark(id, writer);
         }
     }
 
-    fn on_timer(&mut self, key: u64) {
-        let Some(id) = u32::try_from(key - KEY_REQUEST).ok().map(RequestId) else {
-            return;
-        };
+    fn on_timer(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
         let held = |since: Micros| self.now >= since + self.pin();
         match (request.state, request.out) {
             (Some((_, since)), None) if held(since) => self.let_go(id),
-            (Some(_), Some(out)) if out.stage == Stage::Write && held(out.sent) => {
+            (Some(_), Some(out)) if out.stage == Role::Decode && held(out.sent) => {
                 self.let_go_unfetched(id)
             }
             _ => {}
@@ -518,13 +562,13 @@
     }
 
     fn pin(&self) -> Micros {
-        (self.settings.pin_limit.unwrap_or(PIN_LIMIT) as f64 * PIN_SHARE) as Micros
+        (self.settings.kv_lease_timeout.unwrap_or(PIN_LIMIT) as f64 * PIN_SHARE) as Micros
     }
 
     fn let_go(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id).filter(|r| r.holds) {
             (request.holds, request.state, request.place) = (false, None, None);
-            self.out.push(Action::FreeState(id));
+            self.out.push(Action::ReleaseState(id));
         }
     }
 
@@ -534,23 +578,23 @@
     fn let_go_unfetched(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id).filter(|r| !r.let_go_unfetched) {
             request.let_go_unfetched = true;
-            self.out.push(Action::FreeState(id));
+            self.out.push(Action::ReleaseState(id));
         }
     }
 
     fn on_tick(&mut self) {
-        self.out.push(Action::Sleep {
+        self.out.push(Action::SetTimer {
             at: self.now + TICK,
-            key: KEY_TICK,
+            key: TimerKey::Tick,
         });
-        [Stage::Read, Stage::Write, Stage::Both]
+        [Role::Prefill, Role::Decode, Role::Mixed]
             .into_iter()
             .for_each(|stage| self.learn_rate(stage));
         self.watch();
         self.advance_waiting();
         self.on_leaving();
         let longest = self
-            .hosts
+            .endpoints
             .iter()
             .filter(|(_, h)| h.listed)
             .min_by_key(|(_, h)| h.probed_at);
@@ -560,15 +604,16 @@
     }
 
     /// Sends a probe where they bear reports, as far as our requests allow.
-    fn probe(&mut self, id: HostId) -> bool {
-        let told = self.settings.probing && self.settings.reporting == Reporting::OnProbe;
+    fn probe(&mut self, id: EndpointId) -> bool {
+        let told = self.settings.health_checks
+            && self.settings.load_reporting == LoadReporting::OnHealthCheck;
         let may = told && self.pace.probes >= 1.0;
-        let Some(host) = self.hosts.get_mut(&id).filter(|_| may) else {
+        let Some(endpoint) = self.endpoints.get_mut(&id).filter(|_| may) else {
             return false;
         };
-        (host.probed_at, host.mute) = (self.now, host.mute.min(self.now));
+        (endpoint.probed_at, endpoint.mute) = (self.now, endpoint.mute.min(self.now));
         self.pace.probes -= 1.0;
-        self.out.push(Action::Touch(id));
+        self.out.push(Action::HealthCheck(id));
         true
     }
 
@@ -578,12 +623,12 @@
             let request = &self.requests[id];
             let worth = self
                 .class(&request.ask)
-                .and_then(|c| c.worth)
+                .and_then(|c| c.priority_weight)
                 .unwrap_or(1.0);
             let late = self.now + self.pace.lead as Micros
                 > request
                     .ask
-                    .valid_until
+                    .deadline
                     .min(request.arrived + self.aim_span(&request.ask));
             let turn = if late {
                 -i64::from(id.0)
@@ -619,7 +664,7 @@
     }
 
     /// Whether the `turn`-th that waits may still be answered in time: else its client could ask elsewhere.
-    fn has_chance(&self, ask: &Ask, turn: usize) -> bool {
+    fn has_chance(&self, ask: &RequestSpec, turn: usize) -> bool {
         let wait = self.room_wait(turn) as f64 + self.pace.lead / LEAD_SAFETY * FAIR_LEAD;
         self.now as f64 + wait < self.last_call(ask) as f64
     }
@@ -643,59 +688,72 @@
         }
         // Without a state it takes a read and an answer, unless one server does both.
         let most = self.settings.max_attempts.unwrap_or(ATTEMPTS_MOST);
-        let whole =
-            |h: &Host| h.listed && (self.settings.writers_read || self.stage(h) == Stage::Both);
+        let whole = |h: &Endpoint| {
+            h.listed && (self.settings.decode_can_prefill || self.stage(h) == Role::Mixed)
+        };
         let last_read = request.state.is_none() && request.attempts + 1 == most;
-        let spent = request.attempts >= most || (last_read && !self.hosts.values().any(whole));
-        if due || spent || self.repeat_until(request, None).is_none() {
+        let elapsed =
+            request.attempts >= most || (last_read && !self.endpoints.values().any(whole));
+        if due || elapsed || self.retry_deadline(request, None).is_none() {
             self.give_up(id);
             return;
         }
         if let Some((reader, _)) = request.state {
             if let Some(writer) = self.choose_writer(id, reader) {
-                self.send(id, writer, Stage::Write, None);
+                self.send(id, writer, Role::Decode, None);
             }
         } else if let Some((reader, writer)) = self.choose_lane(id) {
             let looks = self.look(id, reader);
             if !looks && reader == writer {
-                self.send(id, reader, Stage::Both, None);
-            } else if !looks && self.send(id, reader, Stage::Read, Some(writer)) {
+                self.send(id, reader, Role::Mixed, None);
+            } else if !looks && self.send(id, reader, Role::Prefill, Some(writer)) {
                 self.earmark(id, writer);
             }
         }
     }
 
-    fn send(&mut self, id: RequestId, to: HostId, stage: Stage, toward: Option<HostId>) -> bool {
-        let until = |r: &Request| Some((r.ask, self.repeat_until(r, Some(self.hosts.get(&to)?))?));
-        let Some((ask, repeat_until)) = self.requests.get(&id).and_then(until) else {
+    fn send(
+        &mut self,
+        id: RequestId,
+        to: EndpointId,
+        stage: Role,
+        toward: Option<EndpointId>,
+    ) -> bool {
+        let until = |r: &Request| {
+            Some((
+                r.ask,
+                self.retry_deadline(r, Some(self.endpoints.get(&to)?))?,
+            ))
+        };
+        let Some((ask, retry_deadline)) = self.requests.get(&id).and_then(until) else {
             return false;
         };
-        let weight = if stage == Stage::Write {
+        let weight = if stage == Role::Decode {
             0.0
         } else {
             self.read_weight(&ask, to)
         };
         let part = self.class_work(stage, ask.class, 1.0) / self.class_work(stage, ANY_CLASS, 1.0);
-        let Some(host) = self.hosts.get_mut(&to) else {
+        let Some(endpoint) = self.endpoints.get_mut(&to) else {
             return false;
         };
-        let run = PossibleRun::at(&host.member, self.now);
-        host.cold_turn = [(self.now, part); 2];
-        host.held[0] += weight;
-        host.held[1] += f64::from(u8::from(stage != Stage::Read));
+        let run = PossibleExecution::at(&endpoint.spec, self.now);
+        endpoint.cold_turn = [(self.now, part); 2];
+        endpoint.held[0] += weight;
+        endpoint.held[1] += f64::from(u8::from(stage != Role::Prefill));
         let pin = self.pin();
         let Some(request) = self.requests.get_mut(&id) else {
             return false;
         };
         // Half of what is left, so that another server can be tried.
         let half_left = |since: Micros| self.now + (since + pin - self.now) / 2;
-        let up_by = request.state.map_or(repeat_until, |(_, since)| {
-            repeat_until.min(half_left(since))
+        let write_by = request.state.map_or(retry_deadline, |(_, since)| {
+            retry_deadline.min(half_left(since))
         });
         let (attempt, sent, established, overdue) = (request.attempts, self.now, false, None);
         request.out = Some(Out {
             attempt,
-            host: to,
+            endpoint: to,
             stage,
             sent,
             established,
@@ -709,70 +767,74 @@
         (request.holds, request.let_go_unfetched) = (true, false);
         request.place = toward.or(request.place); // its lane's writer, also where no place can be asked for
         toward
-            .and_then(|w| self.hosts.get_mut(&w))
+            .and_then(|w| self.endpoints.get_mut(&w))
             .into_iter()
             .for_each(|w| w.coming += 1.0);
         self.waiting.remove(&id);
-        if stage == Stage::Write {
-            self.out.push(Action::Sleep {
+        if stage == Role::Decode {
+            self.out.push(Action::SetTimer {
                 at: self.now + pin,
-                key: KEY_REQUEST + u64::from(id.0),
+                key: TimerKey::Request(id),
             });
         } else {
             self.pace.room_span +=
                 ((self.now - self.pace.room_at) as f64 - self.pace.room_span) * ROOM_STEP;
             self.pace.room_at = self.now;
         }
-        self.out.push(Action::Route {
+        self.out.push(Action::Send {
             id,
-            host: to,
-            expire: ask.valid_until,
-            up_by,
+            endpoint: to,
+            expires_at: ask.deadline,
+            write_by,
         });
         true
     }
 
-    fn earmark(&mut self, id: RequestId, writer: HostId) {
-        let may = self.settings.earmarks && self.open(writer, false);
+    fn earmark(&mut self, id: RequestId, writer: EndpointId) {
+        let may = self.settings.slot_reservations && self.open(writer, false);
         let Some(request) = self.requests.get_mut(&id).filter(|_| may) else {
             return;
         };
         (request.place, request.places, request.holds) = (Some(writer), request.places + 1, true);
-        self.out.push(Action::Earmark { id, host: writer });
+        self.out.push(Action::ReserveSlot {
+            id,
+            endpoint: writer,
+        });
     }
 
     /// Whether it takes work, and our turn has come if it is cold. Homes need not wait for a first turn: a
     /// server draws as many as the part of its capacity that it has (see `home`).
-    fn open(&self, id: HostId, home: bool) -> bool {
-        let turn = |h: &Host| h.cold_turn[usize::from(home)];
-        let due = |h: &Host| self.now >= turn(h).0 + (self.cold_span(h) * turn(h).1) as Micros;
-        self.hosts
+    fn open(&self, id: EndpointId, home: bool) -> bool {
+        let turn = |h: &Endpoint| h.cold_turn[usize::from(home)];
+        let due = |h: &Endpoint| self.now >= turn(h).0 + (self.cold_span(h) * turn(h).1) as Micros;
+        self.endpoints
             .get(&id)
             .is_some_and(|h| h.listed && (self.warmth(h) >= 1.0 || due(h)))
     }
 
     /// Whether it is open, of a kind that the request may go to, not set aside, and in reach of a repeat.
-    fn takes(&self, id: HostId, request: &Request, home: bool) -> bool {
+    fn takes(&self, id: EndpointId, request: &Request, home: bool) -> bool {
         // One that was chosen before may have left the list since.
-        let Some(host) = self.hosts.get(&id) else {
+        let Some(endpoint) = self.endpoints.get(&id) else {
             return false;
         };
         let aside = |key| {
-            host.fails
+            endpoint
+                .fails
                 .get(key)
                 .is_some_and(|(_, until)| self.now < *until)
         };
-        let fits = request.ask.fits(host.member.kind);
-        let may_repeat = self.repeat_until(request, Some(host)).is_some();
+        let fits = request.ask.allows(endpoint.spec.kind);
+        let may_repeat = self.retry_deadline(request, Some(endpoint)).is_some();
         fits && may_repeat
             && self.open(id, home)
             && ![None, Some(request.ask.class)].iter().any(aside)
     }
 
     /// By when another attempt (at `to`, a reader too) must be written so that it cannot repeat an effect.
-    fn repeat_until(&self, request: &Request, to: Option<&Host>) -> Option<Micros> {
-        let until = EffectRule::of(self.class(&request.ask))
-            .repeat_until(request.ran, to.map(|h| &h.member));
+    fn retry_deadline(&self, request: &Request, to: Option<&Endpoint>) -> Option<Micros> {
+        let until = RetryRule::of(self.class(&request.ask))
+            .retry_deadline(request.ran, to.map(|h| &h.spec));
         until.filter(|until| self.now < *until)
     }
 
@@ -782,40 +844,43 @@
             return;
         };
         let out_there =
-            request.ran.is_some() || request.out.is_some_and(|o| o.stage != Stage::Read);
-        let harmless = EffectRule::of(self.class(&request.ask)).may_refuse(out_there);
+            request.ran.is_some() || request.out.is_some_and(|o| o.stage != Role::Prefill);
+        let harmless = RetryRule::of(self.class(&request.ask)).may_reject(out_there);
         let most = self
             .settings
             .max_retry_after
             .filter(|_| self.settings.retry_after)
             .unwrap_or(0)
             .max(0);
-        let pause = self
+        let retry_after = self
             .room_wait(self.waiting.len().max(1))
             .clamp(TICK.min(most), most);
         self.out.push(if harmless {
-            Action::Shed { id, pause }
+            Action::Reject { id, retry_after }
         } else {
-            Action::Lose(id)
+            Action::Fail(id)
         });
         self.end(id);
     }
 
-    /// While the host leaves: tells the others and moves streams, the newest first, unless all that would
+    /// While the endpoint leaves: tells the others and moves streams, the newest first, unless all that would
     /// tell us are away themselves. At the end all are moved, and what has no answer gets its final one.
     fn on_leaving(&mut self) {
         let Some((from, by, words)) = self.leaving else {
             return;
         };
-        let others = self.settings.balancers.unwrap_or(0).saturating_sub(1);
-        let (told, me) = (others.min(LEAVES_TOLD), self.settings.me.unwrap_or(0));
-        if self.settings.peers && words > 0 {
+        let others = self.settings.router_count.unwrap_or(0).saturating_sub(1);
+        let (told, me) = (
+            others.min(LEAVES_TOLD),
+            self.settings.router_index.unwrap_or(0),
+        );
+        if self.settings.gossip && words > 0 {
             self.leaving = Some((from, by, words - 1));
             let to =
                 |i| (u64::from(me) + 1 + u64::from(i * (others / told))) % (u64::from(others) + 1);
-            let tell = |i| Action::Publish {
+            let tell = |i| Action::Gossip {
                 to: Some(to(i) as u32),
-                bytes: vec![PEER_LEAVES],
+                payload: vec![PEER_LEAVES],
             };
             self.out.extend((0..told).map(tell));
         }
@@ -825,7 +890,8 @@
             .filter(|until| self.now < **until)
             .count();
         let end = self.now >= by;
-        let may = self.settings.resume && (end || (self.now >= from && away < told as usize));
+        let may =
+            self.settings.resumable_streams && (end || (self.now >= from && away < told as usize));
         let mut left = if end {
             usize::MAX
         } else {
@@ -840,11 +906,11 @@
         for (id, out) in open.collect::<Vec<_>>() {
             if out.is_some_and(|o| o.established) {
                 self.out
-                    .extend((may && left > 0).then_some(Action::Bounce(id)));
+                    .extend((may && left > 0).then_some(Action::Migrate(id)));
                 left = left.saturating_sub(1);
             } else if end {
-                let out = out.filter(|_| self.settings.cancelling);
-                self.out.extend(out.map(|out| Action::Abort {
+                let out = out.filter(|_| self.settings.cancellation);
+                self.out.extend(out.map(|out| Action::CancelAttempt {
                     id,
                     attempt: out.attempt,
                 }));
@@ -855,7 +921,8 @@
 
     fn on_peer(&mut self, from: u32, bytes: &[u8]) {
         let until = self.away.entry(from).or_insert(self.now);
-        if bytes == [PEER_LEAVES] && self.settings.me != Some(from) && self.now >= *until {
+        if bytes == [PEER_LEAVES] && self.settings.router_index != Some(from) && self.now >= *until
+        {
             *until = self.now + AWAY_FOR;
         }
     }
@@ -863,8 +930,8 @@
     /// Nobody waits for the answer: what is out is called off and its state let go when its result comes.
     fn leave(&mut self, id: RequestId) {
         let out = self.requests.get(&id).and_then(|r| r.out);
-        let out = out.filter(|o| !o.established && self.settings.cancelling);
-        self.out.extend(out.map(|out| Action::Abort {
+        let out = out.filter(|o| !o.established && self.settings.cancellation);
+        self.out.extend(out.map(|out| Action::CancelAttempt {
             id,
             attempt: out.attempt,
         }));
@@ -884,14 +951,14 @@
     }
 
     /// The part of its capacity that a server has at least, as the rules tell it.
-    fn warmth(&self, host: &Host) -> f64 {
+    fn warmth(&self, endpoint: &Endpoint) -> f64 {
         let warm_up = self.settings.warm_up.unwrap_or(WARM_UP).max(1) as f64;
         let start = self
             .settings
-            .start_capacity
+            .cold_capacity
             .unwrap_or(START_CAPACITY)
             .clamp(0.01, 1.0);
-        let started = host.member.last_start.filter(|at| *at > 0);
+        let started = endpoint.spec.started_at.filter(|at| *at > 0);
         let age = |at| self.starts.age(at, self.now) as f64;
         started
             .map_or(1.0, |at| start + (1.0 - start) * age(at) / warm_up)
@@ -899,36 +966,37 @@
     }
 
     /// The span between our sends to a cold server, the first drawn. Guards against many pushing it over.
-    fn cold_span(&self, host: &Host) -> f64 {
+    fn cold_span(&self, endpoint: &Endpoint) -> f64 {
         let (stage, multiple) = (
-            self.stage(host),
-            self.settings.fall_multiple.unwrap_or(FALL_MULTIPLE),
+            self.stage(endpoint),
+            self.settings.overload_multiple.unwrap_or(FALL_MULTIPLE),
         );
-        let rate = multiple * self.warmth(host) * COLD_SHARE * self.rates[stage as usize];
-        let most = self.settings.fall_window.unwrap_or(FALL_WINDOW) as f64 * self.balancers();
+        let rate = multiple * self.warmth(endpoint) * COLD_SHARE * self.rates[stage as usize];
+        let most =
+            self.settings.overload_window.unwrap_or(FALL_WINDOW) as f64 * self.router_count();
         (self.class_work(stage, ANY_CLASS, 1.0) / rate).min(most)
     }
 
     /// What each warm server of a stage carries of ours. A short life counts for what it is: guards against a
     /// fleet that restarts and takes its servers for idle until the whole span has passed.
-    fn learn_rate(&mut self, stage: Stage) {
-        let is_warm = |h: &&Host| h.listed && self.stage(h) == stage && self.warmth(h) >= 1.0;
-        let warm = self.hosts.values().filter(is_warm).count().max(1) as f64;
+    fn learn_rate(&mut self, stage: Role) {
+        let is_warm = |h: &&Endpoint| h.listed && self.stage(h) == stage && self.warmth(h) >= 1.0;
+        let warm = self.endpoints.values().filter(is_warm).count().max(1) as f64;
         let seen = seen(self.now - self.began, CARRIED_FOR).max(CARRIED_LEAST);
         self.rates[stage as usize] =
             self.carried[stage as usize].at(self.now, CARRIED_FOR) / seen / warm;
     }
 
-    fn balancers(&self) -> f64 {
+    fn router_count(&self) -> f64 {
         f64::from(
             self.settings
-                .balancers
+                .router_count
                 .filter(|b| *b > 0)
                 .unwrap_or(BALANCERS),
         )
     }
 
-    fn class_work(&self, stage: Stage, class: ClassId, unknown: f64) -> f64 {
+    fn class_work(&self, stage: Role, class: ClassId, unknown: f64) -> f64 {
         let mean = |class| self.work.get(&(stage, class)).copied();
         mean(class).or(mean(ANY_CLASS)).unwrap_or(unknown)
     }
@@ -936,34 +1004,38 @@
     /// A late or full server is given less, a quick one at its limit more; so is a stage with a late part.
     fn learn_limit(&mut self, id: RequestId, sent: Out, full: bool) {
         let late = full || self.overdue(id, sent);
-        let (ours, balancers) = (self.ours(), self.balancers());
+        let (ours, router_count) = (self.ours(), self.router_count());
         // What has not begun at a writer waits for a slot; at a mixed server it is being read.
-        let queued =
-            |o: &&Out| late && sent.stage == Stage::Write && o.host == sent.host && !o.established;
+        let queued = |o: &&Out| {
+            late && sent.stage == Role::Decode && o.endpoint == sent.endpoint && !o.established
+        };
         let queue = self
             .requests
             .values()
             .filter_map(|r| r.out.as_ref())
             .filter(queued)
             .count() as f64;
-        if sent.stage != Stage::Write && sent.overdue.is_none() {
-            self.learn_spread(sent.host, late);
+        if sent.stage != Role::Decode && sent.overdue.is_none() {
+            self.learn_spread(sent.endpoint, late);
         }
-        for (part, other) in [(0, Stage::Write), (1, Stage::Read)] {
+        for (part, other) in [(0, Role::Decode), (1, Role::Prefill)] {
             let servers = self
-                .hosts
+                .endpoints
                 .values()
                 .filter(|h| h.listed && self.stage(h) != other)
                 .count() as f64;
-            let Some(host) = self
-                .hosts
-                .get_mut(&sent.host)
+            let Some(endpoint) = self
+                .endpoints
+                .get_mut(&sent.endpoint)
                 .filter(|_| sent.stage != other)
             else {
                 continue;
             };
-            let held = [host.held[0] + sent.weight, (host.held[1] - queue).max(0.0)][part];
-            host.limits[part].learn(self.now, sent.sent, held, late, LIMIT_MOST[part]);
+            let held = [
+                endpoint.held[0] + sent.weight,
+                (endpoint.held[1] - queue).max(0.0),
+            ][part];
+            endpoint.limits[part].learn(self.now, sent.sent, held, late, LIMIT_MOST[part]);
             let (limit, share) = &mut self.pools[part];
             *share += if sent.overdue.is_some() {
                 0.0
@@ -972,19 +1044,19 @@
             };
             if sent.overdue.is_none() && (!late || *share > POOL_LATE) {
                 limit.learn(self.now, sent.sent, ours[part], late, f64::MAX);
-                limit.most = limit.most.max(POOL_LEAST[part] * servers / balancers);
+                limit.most = limit.most.max(POOL_LEAST[part] * servers / router_count);
             }
         }
     }
 
     /// Homes go where fewer reads are late than in our zone or at one kind (see `home`): a zone may be given
     /// more than it bears, which none of many dispatchers sees in its few reads. Huge prompts can mislead it.
-    fn learn_spread(&mut self, host: HostId, late: bool) {
-        let Some(host) = self.hosts.get(&host) else {
+    fn learn_spread(&mut self, endpoint: EndpointId, late: bool) {
+        let Some(endpoint) = self.endpoints.get(&endpoint) else {
             return;
         };
-        let far = self.settings.zone != Some(host.member.zone);
-        let own = [far, self.stage(host) != Stage::Read].map(usize::from);
+        let far = self.settings.zone != Some(endpoint.spec.zone);
+        let own = [far, self.stage(endpoint) != Role::Prefill].map(usize::from);
         for (shares, own) in self.pace.late.iter_mut().zip(own) {
             shares[own] += (f64::from(u8::from(late)) - shares[own]) * POOL_STEP;
             shares[1 - own] *= 1.0 - SPREAD_FADE;
@@ -992,7 +1064,7 @@
     }
 
     fn ours(&self) -> [f64; 2] {
-        self.hosts.values().fold([0.0; 2], |sum, h| {
+        self.endpoints.values().fold([0.0; 2], |sum, h| {
             [sum[0] + h.held[0], sum[1] + h.held[1] + h.coming]
         })
     }
@@ -1012,7 +1084,7 @@
                 self.learn_limit(id, sent, true);
             }
             let lost = self.is_lost(id, sent);
-            self.out.extend(lost.then_some(Action::Abort {
+            self.out.extend(lost.then_some(Action::CancelAttempt {
                 id,
                 attempt: sent.attempt,
             }));
@@ -1028,15 +1100,16 @@
     /// Whether one that may be repeated waits in vain: its server answered what was sent well after it, or
     /// nothing for long. Guards against silent connections. It could hurt where answers come out of turn.
     fn is_lost(&self, id: RequestId, sent: Out) -> bool {
-        let (request, host) = (&self.requests[&id], self.hosts.get(&sent.host));
+        let (request, endpoint) = (&self.requests[&id], self.endpoints.get(&sent.endpoint));
         let effect = self
             .class(&request.ask)
-            .map(|c| c.effect)
+            .map(|c| c.idempotency)
             .unwrap_or_default();
-        let repeats = sent.stage == Stage::Read || effect == Effect::Safe;
+        let repeats = sent.stage == Role::Prefill || effect == Idempotency::Idempotent;
         let more = request.attempts + 1 < self.settings.max_attempts.unwrap_or(ATTEMPTS_MOST);
-        let lost = |h: &Host| h.answered > sent.sent + PASSED_BY || self.now - MUTE_FOR > h.mute;
-        self.settings.cancelling && repeats && more && host.is_some_and(lost)
+        let lost =
+            |h: &Endpoint| h.answered > sent.sent + PASSED_BY || self.now - MUTE_FOR > h.mute;
+        self.settings.cancellation && repeats && more && endpoint.is_some_and(lost)
     }
 
     fn overdue(&self, id: RequestId, sent: Out) -> bool {
@@ -1047,18 +1120,20 @@
         (self.now - sent.sent) as f64 > span as f64 * LATE[sent.stage as usize]
     }
 
-    fn learn_work(&mut self, id: RequestId, sent: Out, outcome: Outcome, kept: u64) {
+    fn learn_work(&mut self, id: RequestId, sent: Out, outcome: Outcome) {
         let Some(ask) = self.requests.get(&id).map(|r| r.ask) else {
             return;
         };
         let work = match outcome {
-            Outcome::HalfDone => ask.prompt_tokens.saturating_sub(kept) as f64 + 1.0,
-            Outcome::Good => (self.now - sent.sent).max(1) as f64,
+            Outcome::Prefilled { cached_tokens } => {
+                ask.prompt_tokens.saturating_sub(cached_tokens) as f64 + 1.0
+            }
+            Outcome::Completed => (self.now - sent.sent).max(1) as f64,
             _ => return,
         };
         let stage = self
-            .hosts
-            .get(&sent.host)
+            .endpoints
+            .get(&sent.endpoint)
             .map_or(sent.stage, |h| self.stage(h));
         for class in [ANY_CLASS, ask.class] {
             let mean = self.work.entry((stage, class)).or_insert(work);
@@ -1066,69 +1141,76 @@
         }
         let work = self.class_work(stage, ask.class, work);
         if self
-            .hosts
-            .get(&sent.host)
+            .endpoints
+            .get(&sent.endpoint)
             .is_some_and(|h| self.warmth(h) >= 1.0)
         {
             self.carried[stage as usize].add(work, self.now, CARRIED_FOR);
         }
     }
 
-    fn stage(&self, host: &Host) -> Stage {
+    fn stage(&self, endpoint: &Endpoint) -> Role {
         self.settings
             .kinds
-            .get(host.member.kind.0)
-            .and_then(|k| k.stage)
-            .unwrap_or(Stage::Both)
+            .get(endpoint.spec.kind.0)
+            .and_then(|k| k.role)
+            .unwrap_or(Role::Mixed)
     }
 
-    fn hear(&mut self, id: HostId, load: Option<Load>) {
-        if let (Some(host), Some(load)) = (self.hosts.get_mut(&id).filter(|h| h.listed), load) {
-            host.load = Some((self.now, load));
+    fn hear(&mut self, id: EndpointId, load: Option<LoadReport>) {
+        if let (Some(endpoint), Some(load)) =
+            (self.endpoints.get_mut(&id).filter(|h| h.listed), load)
+        {
+            endpoint.load = Some((self.now, load));
         }
     }
 
     /// Failures set a server aside: errors and silence for their class alone, lost connections and fullness
     /// for all. The fewer our requests, the longer, else it would be over before the next one.
-    fn judge(&mut self, id: HostId, class: Option<ClassId>, outcome: Outcome) {
-        let turn = self.pace.ask_span as Micros * self.hosts.len() as Micros;
-        let Some(host) = self.hosts.get_mut(&id) else {
+    fn judge(&mut self, id: EndpointId, class: Option<ClassId>, outcome: Outcome) {
+        let turn = self.pace.ask_span as Micros * self.endpoints.len() as Micros;
+        let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return;
         };
         let (key, least) = match outcome {
             // One success is no recovery: a server that errs at once looks idle and draws all that waits.
-            Outcome::Good | Outcome::HalfDone => {
-                host.mute = Micros::MAX;
-                host.fails.remove(&None);
-                host.fails.entry(class).and_modify(|(fails, _)| *fails /= 2);
+            Outcome::Completed | Outcome::Prefilled { .. } => {
+                endpoint.mute = Micros::MAX;
+                endpoint.fails.remove(&None);
+                endpoint
+                    .fails
+                    .entry(class)
+                    .and_modify(|(fails, _)| *fails /= 2);
                 return;
             }
-            Outcome::Bad | Outcome::Late => (class, turn),
-            Outcome::NoConn | Outcome::Reset => (None, turn),
-            Outcome::Full => (None, 0),
-            Outcome::Cancelled | Outcome::Nop => return,
+            Outcome::ServerError | Outcome::TimedOut => (class, turn),
+            Outcome::ConnectFailed(_) | Outcome::ConnectionReset(_) => (None, turn),
+            Outcome::Rejected(_) => (None, 0),
+            Outcome::Cancelled | Outcome::NotSent => return,
         };
-        let (fails, until) = host.fails.entry(key).or_insert((0, 0));
+        let (fails, until) = endpoint.fails.entry(key).or_insert((0, 0));
         *until = self.now + (EJECT_FIRST << (*fails).min(8)).max(least).min(EJECT_MOST);
         *fails += 1;
     }
 
     /// What a reader has read it keeps: the opening for others, the whole prompt for the session's next.
     fn learn_kept(&mut self, id: RequestId, sent: Out, outcome: Outcome) {
-        let read =
-            outcome == Outcome::HalfDone || (outcome == Outcome::Good && sent.stage == Stage::Both);
+        let read = matches!(outcome, Outcome::Prefilled { .. })
+            || (outcome == Outcome::Completed && sent.stage == Role::Mixed);
         let Some(ask) = self.requests.get(&id).filter(|_| read).map(|r| r.ask) else {
             return;
         };
-        let Some(host) = self.hosts.get_mut(&sent.host) else {
+        let Some(endpoint) = self.endpoints.get_mut(&sent.endpoint) else {
             return;
         };
-        if host.kept.len() >= KEPT_MOST {
-            host.kept.clear();
+        if endpoint.kept.len() >= KEPT_MOST {
+            endpoint.kept.clear();
         }
-        let opening = ask.prefix.map(|p| ((false, p.0), ask.shared_tokens));
+        let opening = ask
+            .shared_prefix
+            .map(|p| ((false, p.0), ask.shared_prefix_tokens));
         let whole = ask.session.map(|s| ((true, s.0), ask.prompt_tokens));
-        host.kept.extend(
+        endpoint.kept.extend(
             opening
                 .into_iter()
                 .chain(whole)
@@ -1138,13 +1220,13 @@
 
     fn uncount(&mut self, sent: Out) {
         sent.toward
-            .and_then(|w| self.hosts.get_mut(&w))
+            .and_then(|w| self.endpoints.get_mut(&w))
             .into_iter()
             .for_each(|w| w.coming -= 1.0);
-        if let Some(host) = self.hosts.get_mut(&sent.host) {
-            host.held[0] =
-                (host.held[0] - if sent.established { 0.0 } else { sent.weight }).max(0.0);
-            host.held[1] -= f64::from(u8::from(sent.stage != Stage::Read));
+        if let Some(endpoint) = self.endpoints.get_mut(&sent.endpoint) {
+            endpoint.held[0] =
+                (endpoint.held[0] - if sent.established { 0.0 } else { sent.weight }).max(0.0);
+            endpoint.held[1] -= f64::from(u8::from(sent.stage != Role::Prefill));
         }
     }
 
@@ -1163,44 +1245,44 @@
     fn halves(
         &mut self,
         id: RequestId,
-        home: Option<HostId>,
+        home: Option<EndpointId>,
         fleet: &Fleet,
     ) -> (Vec<Half>, Vec<Half>) {
         let (mut readers, mut writers) = (Vec::new(), Vec::new());
         let (salt, request) = (self.rng.next_u64(), &self.requests[&id]);
         let ask = &request.ask;
-        for (id, host) in &self.hosts {
-            let room = host.held[0] < host.limits[0].most
-                && host.held[1] + host.coming < host.limits[1].most;
+        for (id, endpoint) in &self.endpoints {
+            let room = endpoint.held[0] < endpoint.limits[0].most
+                && endpoint.held[1] + endpoint.coming < endpoint.limits[1].most;
             if !room || !self.takes(*id, request, home == Some(*id)) {
                 continue;
             }
-            let (dice, stage) = (mix(salt ^ id.0) as u32, self.stage(host));
+            let (dice, stage) = (mix(salt ^ id.0) as u32, self.stage(endpoint));
             // In skewed cells the rest pair across cells, else few partners fill up and others stand idle.
-            let unpaired = stage != Stage::Both
-                && uniform(salt ^ !id.0) >= fleet.paired(&host.member, stage as usize);
+            let unpaired = stage != Role::Mixed
+                && uniform(salt ^ !id.0) >= fleet.paired(&endpoint.spec, stage as usize);
             let group = if unpaired {
-                (1, host.member.zone.0 as i64)
+                (1, endpoint.spec.zone.0 as i64)
             } else {
-                (0, host.member.cell.0)
+                (0, endpoint.spec.cell.0)
             };
             let reader = || Half {
                 group,
                 ..self.reader_half(ask, *id, home, dice, fleet)
             };
-            readers.extend((stage != Stage::Write).then(reader));
+            readers.extend((stage != Role::Decode).then(reader));
             let writer = || Half {
                 group,
                 ..self.writer_half(*id, fleet, dice)
             };
-            writers.extend((stage != Stage::Read).then(writer));
+            writers.extend((stage != Role::Prefill).then(writer));
         }
         // No reader is left: writers that read for themselves take requests whole.
-        if readers.is_empty() && self.settings.writers_read {
+        if readers.is_empty() && self.settings.decode_can_prefill {
             writers.iter_mut().for_each(|w| w.whole = true);
             let whole = |w: &Half| Half {
                 whole: true,
-                ..self.reader_half(ask, w.host, home, w.dice, fleet)
+                ..self.reader_half(ask, w.endpoint, home, w.dice, fleet)
             };
             readers = writers.iter().map(whole).collect();
         }
@@ -1208,9 +1290,9 @@
     }
 
     /// The writer for a state that waits at `reader`: the held place, else the best by the lane score.
-    fn choose_writer(&mut self, id: RequestId, reader: HostId) -> Option<HostId> {
+    fn choose_writer(&mut self, id: RequestId, reader: EndpointId) -> Option<EndpointId> {
         let salt = self.rng.next_u64();
-        let (request, host) = (self.requests.get(&id)?, self.hosts.get(&reader)?);
+        let (request, endpoint) = (self.requests.get(&id)?, self.endpoints.get(&reader)?);
         if let Some(place) = request.place.filter(|w| self.takes(*w, request, false)) {
             return Some(place);
         }
@@ -1218,18 +1300,18 @@
         let half = Half {
             fresh: true,
             whole: false,
-            ..self.half(reader, host, 0.0, 0.0, 0.0, 0)
+            ..self.half(reader, endpoint, 0.0, 0.0, 0.0, 0)
         };
-        let hosts = self
-            .hosts
+        let endpoints = self
+            .endpoints
             .iter()
-            .filter(|(_, h)| self.stage(h) != Stage::Read)
+            .filter(|(_, h)| self.stage(h) != Role::Prefill)
             .map(|(id, _)| *id);
         let of = |id| Half {
             whole: false,
             ..self.writer_half(id, &fleet, mix(salt ^ id.0) as u32)
         };
-        let writers: Vec<_> = hosts
+        let writers: Vec<_> = endpoints
             .filter(|id| self.takes(*id, request, false))
             .map(of)
             .collect();
@@ -1237,79 +1319,106 @@
     }
 
     /// A read against the mean one, by uncached tokens. Guards against huge prompts that look light.
-    fn read_weight(&self, ask: &Ask, reader: HostId) -> f64 {
+    fn read_weight(&self, ask: &RequestSpec, reader: EndpointId) -> f64 {
         let uncached = ask.prompt_tokens as f64 * (1.0 - self.kept(ask, reader, None));
         READ_BASE
             + (1.0 - READ_BASE) * uncached
-                / self.class_work(Stage::Read, ANY_CLASS, uncached).max(1.0)
+                / self.class_work(Role::Prefill, ANY_CLASS, uncached).max(1.0)
     }
 
     /// The reader's part of S, 0.4 C + 0.3 (1-Q), and of the bound, 2 Q: what the mean says sets none aside.
     fn reader_half(
         &self,
-        ask: &Ask,
-        id: HostId,
-        home: Option<HostId>,
+        ask: &RequestSpec,
+        id: EndpointId,
+        home: Option<EndpointId>,
         dice: u32,
         fleet: &Fleet,
     ) -> Half {
-        let host = &self.hosts[&id];
+        let endpoint = &self.endpoints[&id];
         let (ours, mean) = (
-            host.held[0] / QUEUE_MAX,
-            fleet.means[2][self.stage(host) as usize],
+            endpoint.held[0] / QUEUE_MAX,
+            fleet.means[2][self.stage(endpoint) as usize],
         );
         let [queue, bound] =
-            [mean, Some(0.0)].map(|mean| self.told(host, 2, mean).unwrap_or(0.0).max(ours));
+            [mean, Some(0.0)].map(|mean| self.told(endpoint, 2, mean).unwrap_or(0.0).max(ours));
         let worth = WEIGHTS[0] * self.kept(ask, id, home) + WEIGHTS[2] * (1.0 - queue.min(1.0));
-        self.half(id, host, worth, 2.0 * bound, host.held[0] * 1e6, dice)
+        self.half(
+            id,
+            endpoint,
+            worth,
+            2.0 * bound,
+            endpoint.held[0] * 1e6,
+            dice,
+        )
     }
 
     /// The writer's part, 0.1 (1-M) + 0.2 (1-L) and M/100: reported shares, else our streams over our most.
-    fn writer_half(&self, id: HostId, fleet: &Fleet, dice: u32) -> Half {
-        let host = &self.hosts[&id];
-        let ours = host.held[1] / fleet.most_streams;
-        let told = |of: usize| self.told(host, of, fleet.means[of][self.stage(host) as usize]);
+    fn writer_half(&self, id: EndpointId, fleet: &Fleet, dice: u32) -> Half {
+        let endpoint = &self.endpoints[&id];
+        let ours = endpoint.held[1] / fleet.most_streams;
+        let told =
+            |of: usize| self.told(endpoint, of, fleet.means[of][self.stage(endpoint) as usize]);
         let [memory, live] = [0, 1].map(|of| told(of).unwrap_or(ours));
         let worth = WEIGHTS[1] * (1.0 - memory) + WEIGHTS[3] * (1.0 - live);
-        let full = if self.now < host.refused_at + REFUSED_FOR {
+        let full = if self.now < endpoint.refused_at + REFUSED_FOR {
             1.0
         } else {
             0.0
         };
-        self.half(id, host, worth, memory / 100.0 + full, host.held[1], dice)
+        self.half(
+            id,
+            endpoint,
+            worth,
+            memory / 100.0 + full,
+            endpoint.held[1],
+            dice,
+        )
     }
 
     /// A reported figure. With age it says little of one server and fades to the mean.
-    fn told(&self, host: &Host, of: usize, mean: Option<f64>) -> Option<f64> {
-        let fade = host.load.map_or(1.0, |(at, _)| {
+    fn told(&self, endpoint: &Endpoint, of: usize, mean: Option<f64>) -> Option<f64> {
+        let fade = endpoint.load.map_or(1.0, |(at, _)| {
             ((self.now - at) as f64 / STALE_AFTER).min(1.0)
         });
-        self.figures(host)[of]
+        self.figures(endpoint)[of]
             .zip(mean)
             .map(|(own, mean)| own + (mean - own) * fade)
             .or(mean)
     }
 
     /// The shares of its memory, of its slots and of a full queue that a server reports.
-    fn figures(&self, host: &Host) -> [Option<f64>; 3] {
-        let full = self.class_work(Stage::Read, ANY_CLASS, 1000.0) / 1000.0 * QUEUE_ALL;
+    fn figures(&self, endpoint: &Endpoint) -> [Option<f64>; 3] {
+        let full = self.class_work(Role::Prefill, ANY_CLASS, 1000.0) / 1000.0 * QUEUE_ALL;
         let sane = |v: Option<f64>, most| v.filter(|v| v.is_finite()).map(|v| v.clamp(0.0, most));
-        let queue = |l: Load| sane(l.pending_k, f64::MAX).map(|p| p / full);
-        host.load.map_or([None; 3], |(_, l)| {
-            [sane(l.memory, 1.0), sane(l.util, 1.0), queue(l)]
+        let queue = |l: LoadReport| sane(l.pending_kilotokens, f64::MAX).map(|p| p / full);
+        endpoint.load.map_or([None; 3], |(_, l)| {
+            [
+                sane(l.memory_utilization, 1.0),
+                sane(l.slot_utilization, 1.0),
+                queue(l),
+            ]
         })
     }
 
-    fn half(&self, id: HostId, host: &Host, worth: f64, load: f64, count: f64, dice: u32) -> Half {
+    fn half(
+        &self,
+        id: EndpointId,
+        endpoint: &Endpoint,
+        worth: f64,
+        load: f64,
+        count: f64,
+        dice: u32,
+    ) -> Half {
         let stale_after =
-            STALE_AFTER.max(STALE_SPANS * self.pace.ask_span * self.hosts.len() as f64);
-        let fresh = self.now - LOOK_FOR < host.mute
-            && host
+            STALE_AFTER.max(STALE_SPANS * self.pace.ask_span * self.endpoints.len() as f64);
+        let fresh = self.now - LOOK_FOR < endpoint.mute
+            && endpoint
                 .load
                 .is_none_or(|(at, _)| ((self.now - at) as f64) < stale_after);
-        let (cell, whole) = (host.member.cell.0, self.stage(host) == Stage::Both);
+        let (cell, whole) = (endpoint.spec.cell.0, self.stage(endpoint) == Role::Mixed);
         Half {
-            host: id,
+            endpoint: id,
             whole,
             group: (0, cell),
             cell,
@@ -1328,13 +1437,13 @@
             ..Fleet::default()
         };
         let mut sums = [[(0.0, 0.0); 3]; 3];
-        for (id, host) in &self.hosts {
-            fleet.most_streams = fleet.most_streams.max(host.held[1]);
-            let (stage, member) = (self.stage(host) as usize, &host.member);
+        for (id, endpoint) in &self.endpoints {
+            fleet.most_streams = fleet.most_streams.max(endpoint.held[1]);
+            let (stage, member) = (self.stage(endpoint) as usize, &endpoint.spec);
             for (sum, figure) in sums
                 .iter_mut()
-                .zip(self.figures(host))
-                .filter(|_| host.listed)
+                .zip(self.figures(endpoint))
+                .filter(|_| endpoint.listed)
             {
                 sum[stage] = figure.map_or(sum[stage], |value| {
                     (sum[stage].0 + value, sum[stage].1 + 1.0)
@@ -1352,14 +1461,14 @@
     }
 
     /// C: the share of the prompt that the reader is known to keep, or taken to keep as the session's home.
-    fn kept(&self, ask: &Ask, reader: HostId, home: Option<HostId>) -> f64 {
-        let kept = &self.hosts[&reader].kept;
+    fn kept(&self, ask: &RequestSpec, reader: EndpointId, home: Option<EndpointId>) -> f64 {
+        let kept = &self.endpoints[&reader].kept;
         let tokens = |key| {
             kept.get(&key)
                 .filter(|k| self.now < k.1 + KEPT_FOR)
                 .map_or(0, |k| k.0)
         };
-        let opening = ask.prefix.map_or(0, |p| tokens((false, p.0)));
+        let opening = ask.shared_prefix.map_or(0, |p| tokens((false, p.0)));
         let session = ask.session.map_or(0, |s| tokens((true, s.0)));
         let known =
             opening.max(session).min(ask.prompt_tokens) as f64 / ask.prompt_tokens.max(1) as f64;
@@ -1368,13 +1477,13 @@
 
     /// The home of a session unknown here, on which a zone's dispatchers agree: rendezvous hashing. Openings
     /// have few homes, more the more they are asked for: guards against reads of them at each reader.
-    fn home(&self, ask: &Ask, fleet: &Fleet) -> Option<HostId> {
+    fn home(&self, ask: &RequestSpec, fleet: &Fleet) -> Option<EndpointId> {
         let session = ask.session?;
         let [[late, elsewhere], kinds] = self.pace.late;
-        let near = |h: &Host| self.settings.zone == Some(h.member.zone);
+        let near = |h: &Endpoint| self.settings.zone == Some(h.spec.zone);
         let warmth = |all: bool| {
-            let of = |h: &&Host| h.listed && self.stage(h) != Stage::Write && (all || near(h));
-            let of = self.hosts.values().filter(of).map(|h| self.warmth(h));
+            let of = |h: &&Endpoint| h.listed && self.stage(h) != Role::Decode && (all || near(h));
+            let of = self.endpoints.values().filter(of).map(|h| self.warmth(h));
             of.clone().sum::<f64>() / of.count().max(1) as f64
         };
         let (late, cold) = (
@@ -1382,7 +1491,7 @@
             1.0 - warmth(false) / warmth(true),
         );
         let away = uniform(!mix(session.0)) < cold.max(late * SPREAD_GAIN);
-        let known = |h: &Host| {
+        let known = |h: &Endpoint| {
             h.kept
                 .get(&(true, session.0))
                 .is_some_and(|k| self.now < k.1 + KEPT_FOR)
@@ -1391,22 +1500,22 @@
             .groups
             .get(&(2, 0))
             .map_or([1.0; 2], |n| n.map(|n| n.max(1.0)));
-        let draw = |(id, h): (&HostId, &Host)| {
-            let whole = self.stage(h) != Stage::Read;
+        let draw = |(id, h): (&EndpointId, &Endpoint)| {
+            let whole = self.stage(h) != Role::Prefill;
             let weight = if whole { HOME_WHOLE } else { writers / readers }
                 * (1.0 - kinds[usize::from(whole)]);
             let drawn = |key: u64| uniform(key ^ mix(id.0)).ln() / (weight * self.warmth(h));
             (
                 away || near(h),
-                drawn(ask.prefix.map_or(0, |p| mix(p.0))),
+                drawn(ask.shared_prefix.map_or(0, |p| mix(p.0))),
                 drawn(session.0),
                 *id,
             )
         };
         let open = self
-            .hosts
+            .endpoints
             .iter()
-            .filter(|(id, h)| self.open(**id, true) && self.stage(h) != Stage::Write);
+            .filter(|(id, h)| self.open(**id, true) && self.stage(h) != Role::Decode);
         if open.clone().any(|(_, h)| known(h)) {
             return None;
         }
@@ -1418,7 +1527,7 @@
                 .get(&key)
                 .map_or(0.0, |o| o.at(self.now, KEPT_FOR) - 1.0)
         }; // others
-        let share = ask.prefix.map_or(1.0, |p| {
+        let share = ask.shared_prefix.map_or(1.0, |p| {
             asked(Some(p)).max(0.0) / asked(None).max(SHARES_LEAST)
         });
         let homes = ((HOMES * share * near as f64).round() as usize).clamp(1, near.max(1));
@@ -1442,10 +1551,10 @@
     }
 }
 
-impl Host {
-    fn new(member: Member) -> Self {
-        Host {
-            member,
+impl Endpoint {
+    fn new(member: EndpointSpec) -> Self {
+        Endpoint {
+            spec: member,
             listed: false,
             held: [0.0; 2],
             coming: 0.0,
--- a/crates/routing-policy/src/policy/arithmetic.rs
+++ b/crates/routing-policy/src/policy/arithmetic.rs
@@ -1,6 +1,6 @@
 //! Arithmetic for the decisions: draws from a hash, and sums that fade. Decides nothing.
 
-use crate::interface::Micros;
+use crate::Micros;
 
 /// A number above 0 and below 1, spread evenly over `x`.
 pub fn uniform(x: u64) -> f64 {
--- a/crates/routing-policy/src/policy/effects.rs
+++ b/crates/routing-policy/src/policy/idempotency.rs
@@ -1,15 +1,15 @@
 //! The rule on effects: what an outcome proves, and whether a request may then be sent again or refused. This is the one
-//! place that decides it. The module asks before each send and each final answer, the host once more when it carries
+//! place that decides it. The module asks before each send and each final answer, the endpoint once more when it carries
 //! them out.
 
-use crate::interface::{CellId, Class, Effect, KeyScope, Member, Micros, Outcome, Stage, ZoneId};
+use crate::{CellId, Class, EndpointSpec, Idempotency, KeyScope, Micros, Outcome, Role, ZoneId};
 
 /// From a repeat's latest write to its window's end (us): it must arrive in time.
 const REPEAT_MARGIN: Micros = 100_000;
 
 /// The first attempt of a request that may have had its effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PossibleRun {
+pub struct PossibleExecution {
     /// The zone of its server.
     pub zone: ZoneId,
     /// The cell of its server.
@@ -18,10 +18,10 @@
     pub sent: Micros,
 }
 
-impl PossibleRun {
+impl PossibleExecution {
     /// An attempt that was sent then to a server with this line of the list.
-    pub fn at(member: &Member, sent: Micros) -> PossibleRun {
-        PossibleRun {
+    pub fn at(member: &EndpointSpec, sent: Micros) -> PossibleExecution {
+        PossibleExecution {
             zone: member.zone,
             cell: member.cell,
             sent,
@@ -31,40 +31,47 @@
 
 /// Whether an outcome leaves it open that the request has run. A read has no effect. Anything that a server may not say
 /// at this stage proves nothing: it counts as having run.
-pub fn may_have_run(stage: Stage, outcome: Outcome) -> bool {
+pub fn may_have_executed(stage: Role, outcome: Outcome) -> bool {
     match outcome {
-        Outcome::Full | Outcome::NoConn | Outcome::Nop => false,
-        _ => stage != Stage::Read,
+        Outcome::Rejected(_) | Outcome::ConnectFailed(_) | Outcome::NotSent => false,
+        _ => stage != Role::Prefill,
     }
 }
 
 /// What may be done with a request of one class once it may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct EffectRule {
-    effect: Effect,
+pub struct RetryRule {
+    idempotency: Idempotency,
     window: Micros,
 }
 
-impl EffectRule {
+impl RetryRule {
     /// The rule for a class; the most careful one where the class is not known.
-    pub fn of(class: Option<&Class>) -> EffectRule {
-        let effect = class.map(|c| c.effect).unwrap_or_default();
+    pub fn of(class: Option<&Class>) -> RetryRule {
+        let idempotency = class.map(|c| c.idempotency).unwrap_or_default();
         let window = class.and_then(|c| c.dedup_window).unwrap_or(0);
-        EffectRule { effect, window }
+        RetryRule {
+            idempotency,
+            window,
+        }
     }
 
     /// By when another attempt must be written so that it cannot repeat an effect; `None` if none may be. At `to`, a
     /// reader too, or anywhere if that is not given.
-    pub fn repeat_until(&self, ran: Option<PossibleRun>, to: Option<&Member>) -> Option<Micros> {
+    pub fn retry_deadline(
+        &self,
+        ran: Option<PossibleExecution>,
+        to: Option<&EndpointSpec>,
+    ) -> Option<Micros> {
         let Some(ran) = ran else {
             return Some(Micros::MAX);
         };
-        let scope = match self.effect {
-            Effect::Safe => return Some(Micros::MAX),
-            Effect::Unsafe => return None,
-            Effect::Keyed(scope) => scope,
+        let scope = match self.idempotency {
+            Idempotency::Idempotent => return Some(Micros::MAX),
+            Idempotency::NonIdempotent => return None,
+            Idempotency::Keyed(scope) => scope,
         };
-        let in_reach = |member: &Member| match scope {
+        let in_reach = |member: &EndpointSpec| match scope {
             KeyScope::All => true,
             KeyScope::Zone => member.zone == ran.zone,
             KeyScope::Cell => member.cell == ran.cell,
@@ -74,7 +81,11 @@
     }
 
     /// Whether it is true that trying again is harmless, which is what a refusal says.
-    pub fn may_refuse(&self, may_have_run: bool) -> bool {
-        !may_have_run || matches!(self.effect, Effect::Safe | Effect::Keyed(KeyScope::All))
+    pub fn may_reject(&self, may_have_executed: bool) -> bool {
+        !may_have_executed
+            || matches!(
+                self.idempotency,
+                Idempotency::Idempotent | Idempotency::Keyed(KeyScope::All)
+            )
     }
 }
--- a/crates/routing-policy/src/policy/lanes.rs
+++ b/crates/routing-policy/src/policy/lanes.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use crate::interface::{HostId, Member};
+use crate::{EndpointId, EndpointSpec};
 
 /// Overload bound on M/100 + 2Q. From the paper, 3.3.
 pub(super) const TAU: f64 = 0.85;
 
 /// Reader and writer of one request: the same where one server does both.
-pub(super) type Lane = (HostId, HostId);
+pub(super) type Lane = (EndpointId, EndpointId);
 
 /// What one decision takes from all servers.
 #[derive(Default)]
@@ -21,7 +21,7 @@
 
 impl Fleet {
     /// The part of a cell's readers (0) or writers (1) that have partners there, against their zone.
-    pub(super) fn paired(&self, member: &Member, stage: usize) -> f64 {
+    pub(super) fn paired(&self, member: &EndpointSpec, stage: usize) -> f64 {
         let share = |g: (u8, i64)| {
             self.groups
                 .get(&g)
@@ -34,7 +34,7 @@
 /// One server as the reader or the writer of a lane: its parts of the score and of the overload bound.
 #[derive(Clone, Copy)]
 pub(super) struct Half {
-    pub(super) host: HostId,
+    pub(super) endpoint: EndpointId,
     pub(super) whole: bool,
     /// Where it pairs: (0, its cell), or among the unpaired of its zone: (1, the zone).
     pub(super) group: (u8, i64),
@@ -50,7 +50,7 @@
 /// score is a sum of two parts, so that each reader needs but the best of the writers that its bound allows.
 fn pick(rs: &[Half], ws: &[Half], level: u8, fit: bool) -> Option<Lane> {
     let key = |h: &Half| match (h.whole, level) {
-        (true, _) => (2, h.host.0 as i64),
+        (true, _) => (2, h.endpoint.0 as i64),
         (_, 0) => h.group,
         (_, 1) => (0, h.cell),
         _ => (1, 0),
@@ -102,7 +102,7 @@
                     dice: r.dice ^ w.dice,
                     ..*r
                 },
-                w.host,
+                w.endpoint,
             )
         };
         lanes.extend(rs.iter().filter_map(|r| Some(lane((r, ws[within(r)?])))));
@@ -110,7 +110,7 @@
     lanes
         .iter()
         .max_by(|a, b| rank(&a.0, &b.0))
-        .map(|(reader, writer)| (reader.host, *writer))
+        .map(|(reader, writer)| (reader.endpoint, *writer))
 }
 
 fn rank(a: &Half, b: &Half) -> std::cmp::Ordering {
--- a/crates/routing-policy/src/policy/starts.rs
+++ b/crates/routing-policy/src/policy/starts.rs
@@ -2,7 +2,7 @@
 //! stepped, by seconds or by an hour, before its process began. News of a start that the list before did not have is
 //! recent by itself, so the smallest age that such news ever had bounds by how much the two clocks differ.
 
-use crate::interface::Micros;
+use crate::Micros;
 
 /// News count as such if the list was heard so shortly before (us): watches are answered every two seconds or so.
 const CONFIRMED_WITHIN: Micros = 5_000_000;
--- a/crates/routing-policy/tests/clock.rs
+++ b/crates/routing-policy/tests/clock.rs
@@ -14,37 +14,31 @@
 /// clock is `ahead` of the one on which starts are told, and which has served for a while.
 fn sent_to_a_new_reader(ahead: Micros) -> usize {
     let settings = Settings {
-        balancers: Some(1),
-        ..settings(Effect::Safe)
+        router_count: Some(1),
+        ..settings(Idempotency::Idempotent)
     };
-    let mut members: Vec<Member> = READERS.map(|host| member(host, 0, 0)).collect();
+    let mut members: Vec<EndpointSpec> = READERS.map(|endpoint| member(endpoint, 0, 0)).collect();
     members.push(member(20, 1, 0));
     let (mut front, _) = Front::new(settings, members.clone());
     front.pass(HOUR + HOUR / 10); // so that a start an hour before it is a point on the clock
-    front.on(Event::Members {
-        form: ListForm::Whole,
-        members,
-    });
+    front.on(Event::EndpointsUpdated(EndpointUpdate::Snapshot(members)));
     let mut next = 0;
     let mut sent = 0;
     let mut serve = |front: &mut Front, spans: usize, counts: bool| {
         for _ in 0..spans {
-            front.on(Event::Members {
-                form: ListForm::Patch,
-                members: vec![],
-            });
+            front.on(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![])));
             next += 1;
             for (id, reader) in routes(&front.ask(ask(next, front.now))) {
                 sent += usize::from(counts && reader == NEW);
-                for (id, writer) in routes(&front.on(result(id, 0, reader, Outcome::HalfDone))) {
-                    let (id, host) = (RequestId(id), HostId(writer));
-                    front.on(Event::Established {
+                for (id, writer) in routes(&front.on(result(id, 0, reader, PREFILLED))) {
+                    let (id, endpoint) = (RequestId(id), EndpointId(writer));
+                    front.on(Event::StreamStarted {
                         id,
                         attempt: 1,
-                        host,
-                        spent: 1,
+                        endpoint,
+                        elapsed: 1,
                     });
-                    front.on(result(id.0, 1, writer, Outcome::Good));
+                    front.on(result(id.0, 1, writer, Outcome::Completed));
                 }
             }
             front.pass(SECOND / 50);
@@ -52,14 +46,11 @@
     };
     serve(&mut front, 500, false);
     let started = front.now - ahead - SECOND / 10;
-    let new = Member {
-        last_start: Some(started),
+    let new = EndpointSpec {
+        started_at: Some(started),
         ..member(NEW, 0, 0)
     };
-    front.on(Event::Members {
-        form: ListForm::Patch,
-        members: vec![new],
-    });
+    front.on(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![new])));
     serve(&mut front, 100, true);
     sent
 }
--- a/crates/routing-policy/tests/common/fleet.rs
+++ b/crates/routing-policy/tests/common/fleet.rs
@@ -9,7 +9,7 @@
 use rand_core::RngCore;
 use rand_pcg::Pcg32;
 
-use super::{ask, member, result, routes, settings, Front, SECOND, START};
+use super::{ask, member, result, routes, settings, Front, PREFILLED, SECOND, START};
 
 /// The step of the simulation.
 pub const STEP: Micros = SECOND / 20;
@@ -59,10 +59,10 @@
 
 impl Fleet {
     /// So many routers, which know these servers. Every other one has just started; the rest are a minute old.
-    pub fn new(routers: usize, servers: &[Member], seed: u64) -> Fleet {
+    pub fn new(routers: usize, servers: &[EndpointSpec], seed: u64) -> Fleet {
         let settings = Settings {
-            balancers: Some(routers as u32),
-            ..settings(Effect::Safe)
+            router_count: Some(routers as u32),
+            ..settings(Idempotency::Idempotent)
         };
         let start = |n: usize| Front::seeded(settings.clone(), servers.to_vec(), seed + n as u64).0;
         let mut fleet = Fleet {
@@ -86,12 +86,9 @@
     }
 
     /// All routers are told of a server.
-    pub fn list(&mut self, server: Member) {
+    pub fn list(&mut self, server: EndpointSpec) {
         for number in 0..self.routers.len() {
-            let event = Event::Members {
-                form: ListForm::Patch,
-                members: vec![server],
-            };
+            let event = Event::EndpointsUpdated(EndpointUpdate::Delta(vec![server]));
             self.tell(number, event);
         }
     }
@@ -135,12 +132,15 @@
                 refused: false,
             });
             let session = Some(SessionId(session));
-            let request = Ask {
+            let request = RequestSpec {
                 prompt_tokens,
                 session,
                 ..ask(id, self.now)
             };
-            self.tell(router.min(self.routers.len() - 1), Event::Ask(request));
+            self.tell(
+                router.min(self.routers.len() - 1),
+                Event::RequestArrived(request),
+            );
         }
     }
 
@@ -160,7 +160,7 @@
             self.serve(router, id, server);
         }
         for action in actions {
-            if let Action::Shed { id, .. } = action {
+            if let Action::Reject { id, .. } = action {
                 self.records[id.0 as usize].refused = true;
             }
         }
@@ -178,24 +178,24 @@
             // Clients wait for four seconds.
             let patience = self.now + 4 * SECOND;
             let outcome = if at < patience {
-                Outcome::HalfDone
+                PREFILLED
             } else {
-                Outcome::Late
+                Outcome::TimedOut
             };
             self.schedule(
                 at.min(patience),
                 Due::Ended(router, result(id, attempt, server, outcome)),
             );
         } else {
-            let (request, host) = (RequestId(id), HostId(server));
-            let begun = Event::Established {
+            let (request, endpoint) = (RequestId(id), EndpointId(server));
+            let begun = Event::StreamStarted {
                 id: request,
                 attempt,
-                host,
-                spent: 1,
+                endpoint,
+                elapsed: 1,
             };
             self.schedule(self.now + STEP, Due::Established(router, begun));
-            let ended = result(id, attempt, server, Outcome::Good);
+            let ended = result(id, attempt, server, Outcome::Completed);
             self.schedule(self.now + STREAM, Due::Ended(router, ended));
         }
     }
@@ -220,7 +220,7 @@
         {
             match entry.remove() {
                 Due::Established(router, event) => {
-                    if let Event::Established { id, .. } = &event {
+                    if let Event::StreamStarted { id, .. } = &event {
                         self.records[id.0 as usize].answered = true;
                     }
                     self.tell(router, event);
@@ -232,14 +232,14 @@
 }
 
 /// A reader (of even number) or a writer (of odd number) that is warm.
-pub fn warm(server: u64) -> Member {
+pub fn warm(server: u64) -> EndpointSpec {
     member(server, (server % 2) as usize, 0)
 }
 
 /// One that has just started.
-pub fn cold(server: u64, now: Micros) -> Member {
-    Member {
-        last_start: Some(now),
+pub fn cold(server: u64, now: Micros) -> EndpointSpec {
+    EndpointSpec {
+        started_at: Some(now),
         ..warm(server)
     }
 }
--- a/crates/routing-policy/tests/common/mod.rs
+++ b/crates/routing-policy/tests/common/mod.rs
@@ -8,68 +8,84 @@
 pub const SECOND: Micros = 1_000_000;
 pub const START: Micros = 50 * SECOND;
 
-pub fn settings(effect: Effect) -> Settings {
+pub const PREFILLED: Outcome = Outcome::Prefilled { cached_tokens: 0 };
+pub const OVERLOADED: Outcome = Outcome::Rejected(RejectReason::Overloaded);
+pub const NO_KV_STATE: Outcome = Outcome::Rejected(RejectReason::NoKvState);
+pub const UNREACHABLE: Outcome = Outcome::ConnectFailed(ConnectFailure::Unreachable);
+pub const CONNECTION_RESET: Outcome = Outcome::ConnectionReset(ResetCause::InUse);
+
+/// The outcome with the detail that a number stands for: cached tokens, or 1 for the rarer cause.
+pub fn with_detail(outcome: Outcome, number: u64) -> Outcome {
+    match (outcome, number) {
+        (PREFILLED, cached_tokens) => Outcome::Prefilled { cached_tokens },
+        (OVERLOADED, 1) => NO_KV_STATE,
+        (UNREACHABLE, 1) => Outcome::ConnectFailed(ConnectFailure::LocalResources),
+        (CONNECTION_RESET, 1) => Outcome::ConnectionReset(ResetCause::StaleIdle),
+        _ => outcome,
+    }
+}
+
+pub fn settings(effect: Idempotency) -> Settings {
     Settings {
-        balancers: Some(3),
+        router_count: Some(3),
         classes: vec![Class {
-            aim: Some(SECOND),
-            aim_per_1000: Some(40_000.0),
-            token_aim: Some(70_000),
-            effect,
+            latency_objective: Some(SECOND),
+            latency_objective_per_1000_tokens: Some(40_000.0),
+            token_interval_objective: Some(70_000),
+            idempotency: effect,
             dedup_window: Some(3 * SECOND),
-            worth: Some(1.0),
+            priority_weight: Some(1.0),
         }],
-        kinds: [Stage::Read, Stage::Write, Stage::Both]
+        kinds: [Role::Prefill, Role::Decode, Role::Mixed]
             .map(|s| Kind {
-                stage: Some(s),
+                role: Some(s),
                 memory_tokens: None,
             })
             .to_vec(),
-        period: Some(2_000),
-        earmarks: true,
-        pin_limit: Some(SECOND / 2),
-        cancelling: true,
+        event_interval: Some(2_000),
+        slot_reservations: true,
+        kv_lease_timeout: Some(SECOND / 2),
+        cancellation: true,
         max_attempts: Some(4),
-        answer_slack: Some(8_000),
-        fall_multiple: Some(2.5),
-        fall_window: Some(2 * SECOND),
-        start_capacity: Some(0.25),
+        response_slack: Some(8_000),
+        overload_multiple: Some(2.5),
+        overload_window: Some(2 * SECOND),
+        cold_capacity: Some(0.25),
         warm_up: Some(13 * SECOND),
         ..Settings::default()
     }
 }
 
-pub fn member(host: u64, kind: usize, cell: i64) -> Member {
-    Member {
-        host: HostId(host),
-        last_start: None,
+pub fn member(endpoint: u64, kind: usize, cell: i64) -> EndpointSpec {
+    EndpointSpec {
+        id: EndpointId(endpoint),
+        started_at: None,
         kind: KindId(kind),
-        readiness: Readiness::Up,
+        state: EndpointState::Active,
         cell: CellId(cell),
         weight: 1.0,
         zone: ZoneId(0),
     }
 }
 
-pub fn ask(id: u32, now: Micros) -> Ask {
-    Ask {
+pub fn ask(id: u32, now: Micros) -> RequestSpec {
+    RequestSpec {
         id: RequestId(id),
-        valid_until: now + 4 * SECOND,
+        deadline: now + 4 * SECOND,
         prompt_tokens: 1_000,
         max_tokens: 300,
-        ..Ask::default()
+        ..RequestSpec::default()
     }
 }
 
-pub fn result(id: u32, attempt: u32, host: u64, outcome: Outcome) -> Event {
-    Event::Result {
+pub fn result(id: u32, attempt: u32, endpoint: u64, outcome: Outcome) -> Event {
+    Event::AttemptEnded {
         id: RequestId(id),
         attempt,
-        host: HostId(host),
+        endpoint: EndpointId(endpoint),
         outcome,
-        info: 0,
-        no_more: outcome == Outcome::Good,
-        spent: 1_000,
+        client_done: outcome == Outcome::Completed,
+        elapsed: 1_000,
         load: None,
     }
 }
@@ -77,24 +93,25 @@
 pub struct Front {
     pub policy: Policy,
     pub now: Micros,
-    timers: Vec<(Micros, u64)>,
+    timers: Vec<(Micros, TimerKey)>,
 }
 
 impl Front {
-    pub fn new(settings: Settings, members: Vec<Member>) -> (Front, Vec<Action>) {
+    pub fn new(settings: Settings, members: Vec<EndpointSpec>) -> (Front, Vec<Action>) {
         Front::seeded(settings, members, 7)
     }
 
-    pub fn seeded(settings: Settings, members: Vec<Member>, seed: u64) -> (Front, Vec<Action>) {
+    pub fn seeded(
+        settings: Settings,
+        members: Vec<EndpointSpec>,
+        seed: u64,
+    ) -> (Front, Vec<Action>) {
         let mut front = Front {
             policy: Policy::new(settings, seed, START),
             now: START,
             timers: Vec::new(),
         };
-        let actions = front.on(Event::Members {
-            form: ListForm::Stale,
-            members,
-        });
+        let actions = front.on(Event::EndpointsUpdated(EndpointUpdate::Restored(members)));
         (front, actions)
     }
 
@@ -102,14 +119,14 @@
         let mut out = Vec::new();
         self.policy.handle(self.now, event, &mut out);
         self.timers.extend(out.iter().filter_map(|a| match a {
-            Action::Sleep { at, key } => Some((*at, *key)),
+            Action::SetTimer { at, key } => Some((*at, *key)),
             _ => None,
         }));
         out
     }
 
-    pub fn ask(&mut self, ask: Ask) -> Vec<Action> {
-        self.on(Event::Ask(ask))
+    pub fn ask(&mut self, ask: RequestSpec) -> Vec<Action> {
+        self.on(Event::RequestArrived(ask))
     }
 
     /// Lets time pass, delivering timers as they fall due.
@@ -126,7 +143,7 @@
             self.now = self.now.max(next);
             let index = self.timers.iter().position(|t| t.0 == next).unwrap();
             let (_, key) = self.timers.remove(index);
-            let actions = self.on(Event::Timer(key));
+            let actions = self.on(Event::TimerFired(key));
             done.extend(actions.into_iter().map(|a| (self.now, a)));
         }
         self.now = end;
@@ -137,7 +154,7 @@
 /// Where requests were sent, in order.
 pub fn routes(actions: &[Action]) -> Vec<(u32, u64)> {
     let route = |a: &Action| match a {
-        Action::Route { id, host, .. } => Some((id.0, host.0)),
+        Action::Send { id, endpoint, .. } => Some((id.0, endpoint.0)),
         _ => None,
     };
     actions.iter().filter_map(route).collect()
--- a/crates/routing-policy/tests/decision_trace.rs
+++ b/crates/routing-policy/tests/decision_trace.rs
@@ -1,9 +1,10 @@
 //! Long courses of events through the decision module, its actions held against recorded digests.
 //!
-//! The servers of a course answer, fail, fall silent, drain and restart by dice with a fixed seed, and react to what the
-//! module does. Each action is rendered as a line in a form of this test's own, which no rename in the module touches.
-//! `decision_trace.txt` holds the number of lines and a digest for each course. Where a course differs, its lines are
-//! written to a file under the target folder; compare it with that of the version before.
+//! The servers of a course answer, fail, fall silent, drain and restart by dice with a fixed seed,
+//! and react to what the module does. Each action is rendered as a line in a form of this test's
+//! own, which no rename in the module touches. `decision_trace.txt` holds the number of lines and a
+//! digest for each course. Where a course differs, its lines are written to a file under the target
+//! folder; compare it with that of the version before.
 
 mod common;
 
@@ -11,6 +12,7 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
+use common::{with_detail, CONNECTION_RESET, OVERLOADED, PREFILLED, UNREACHABLE};
 use cranetack_routing_policy::*;
 use rand_core::RngCore;
 use rand_pcg::Pcg32;
@@ -40,7 +42,7 @@
     Drain(u64),
     Remove(u64),
     Restart(u64),
-    Add(Member),
+    Add(EndpointSpec),
     Snapshot,
     Restored,
     PollFailed,
@@ -57,9 +59,9 @@
     rate: f64,
     arrivals: f64,
     next_request: u32,
-    servers: BTreeMap<u64, Member>,
+    servers: BTreeMap<u64, EndpointSpec>,
     behaviours: BTreeMap<u64, Behaviour>,
-    timers: BTreeSet<(Micros, u64)>,
+    timers: BTreeSet<(Micros, TimerKey)>,
     pending: BTreeMap<(Micros, u64), Event>,
     sequence: u64,
     attempts: BTreeMap<u32, u32>,
@@ -69,7 +71,7 @@
 }
 
 impl Course {
-    fn new(settings: Settings, servers: Vec<Member>, seed: u64) -> Course {
+    fn new(settings: Settings, servers: Vec<EndpointSpec>, seed: u64) -> Course {
         let mut course = Course {
             policy: Policy::new(settings.clone(), seed, START),
             settings,
@@ -80,7 +82,7 @@
             next_request: 0,
             servers: servers
                 .iter()
-                .map(|member| (member.host.0, *member))
+                .map(|member| (member.id.0, *member))
                 .collect(),
             behaviours: BTreeMap::new(),
             timers: BTreeSet::new(),
@@ -91,10 +93,7 @@
             prompts: BTreeMap::new(),
             lines: Vec::new(),
         };
-        course.deliver(Event::Members {
-            form: ListForm::Stale,
-            members: servers,
-        });
+        course.deliver(Event::EndpointsUpdated(EndpointUpdate::Restored(servers)));
         course
     }
 
@@ -130,7 +129,7 @@
             match (timer, event) {
                 (Some(timer), event) if event.is_none_or(|event| timer.0 <= event.0) => {
                     self.timers.remove(&timer);
-                    self.deliver(Event::Timer(timer.1));
+                    self.deliver(Event::TimerFired(timer.1));
                 }
                 (_, Some(key)) => {
                     let event = self.pending.remove(&key).expect("it has just been seen");
@@ -142,17 +141,14 @@
     }
 
     fn change(&mut self, change: Change) {
-        let patch = |course: &mut Course, server: u64, edit: &dyn Fn(&mut Member)| {
+        let patch = |course: &mut Course, server: u64, edit: &dyn Fn(&mut EndpointSpec)| {
             let member = course
                 .servers
                 .get_mut(&server)
                 .expect("a server of the course");
             edit(member);
             let members = vec![*member];
-            course.deliver(Event::Members {
-                form: ListForm::Patch,
-                members,
-            });
+            course.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(members)));
         };
         let now = self.now;
         let all = self.servers.values().copied().collect();
@@ -161,43 +157,38 @@
             Change::Behave(server, behaviour) => {
                 self.behaviours.insert(server, behaviour);
             }
-            Change::Drain(server) => patch(self, server, &|m| m.readiness = Readiness::Draining),
+            Change::Drain(server) => patch(self, server, &|m| m.state = EndpointState::Draining),
             Change::Remove(server) => {
-                patch(self, server, &|m| m.readiness = Readiness::Gone);
+                patch(self, server, &|m| m.state = EndpointState::Removed);
                 self.servers.remove(&server);
             }
             Change::Restart(server) => patch(self, server, &|m| {
-                m.readiness = Readiness::Up;
-                m.last_start = Some(now - 300 * MILLISECOND);
+                m.state = EndpointState::Active;
+                m.started_at = Some(now - 300 * MILLISECOND);
             }),
             Change::Add(member) => {
-                self.servers.insert(member.host.0, member);
-                patch(self, member.host.0, &|m| {
-                    m.last_start = Some(now - 100 * MILLISECOND)
+                self.servers.insert(member.id.0, member);
+                patch(self, member.id.0, &|m| {
+                    m.started_at = Some(now - 100 * MILLISECOND)
                 });
             }
-            Change::Snapshot => self.deliver(Event::Members {
-                form: ListForm::Whole,
-                members: all,
-            }),
-            Change::Restored => self.deliver(Event::Members {
-                form: ListForm::Stale,
-                members: all,
-            }),
+            Change::Snapshot => {
+                self.deliver(Event::EndpointsUpdated(EndpointUpdate::Snapshot(all)))
+            }
+            Change::Restored => {
+                self.deliver(Event::EndpointsUpdated(EndpointUpdate::Restored(all)))
+            }
             Change::PollFailed => {
-                self.deliver(Event::Members {
-                    form: ListForm::Broken,
-                    members: Vec::new(),
-                });
+                self.deliver(Event::EndpointsUpdated(EndpointUpdate::PollFailed));
             }
-            Change::PeerLeaves(from) => self.deliver(Event::Peer {
+            Change::PeerLeaves(from) => self.deliver(Event::GossipReceived {
                 from,
-                bytes: vec![1],
+                payload: vec![1],
             }),
             Change::Shutdown { from, by } => {
-                self.deliver(Event::Leaving {
-                    from: now + from,
-                    by: now + by,
+                self.deliver(Event::ShutdownStarted {
+                    migrate_from: now + from,
+                    answer_by: now + by,
                 });
             }
             Change::Statuses => self.statuses(),
@@ -205,10 +196,10 @@
     }
 
     fn statuses(&mut self) {
-        for status in self.policy.standings(self.now) {
+        for status in self.policy.endpoint_statuses(self.now) {
             let line = format!(
                 "status server={} takes={} score={:.6}",
-                status.host.0, status.takes, status.worth
+                status.endpoint.0, status.accepts_work, status.score
             );
             self.note(line);
         }
@@ -225,32 +216,32 @@
             let request = self.request();
             if self.below(25) == 0 {
                 let after = Micros::from(self.below(2_000)) * MILLISECOND;
-                self.schedule(after, Event::ClientGone(request.id));
+                self.schedule(after, Event::ClientDisconnected(request.id));
             }
-            self.deliver(Event::Ask(request));
+            self.deliver(Event::RequestArrived(request));
         }
     }
 
-    fn request(&mut self) -> Ask {
+    fn request(&mut self) -> RequestSpec {
         let id = self.next_request;
         self.next_request += 1;
         let prompt_tokens = 200 + u64::from(self.below(90)).pow(2);
         self.prompts.insert(id, prompt_tokens);
         let with_prefix = self.below(3) == 0;
-        let shared_tokens = if with_prefix { prompt_tokens / 2 } else { 0 };
-        Ask {
+        let shared_prefix_tokens = if with_prefix { prompt_tokens / 2 } else { 0 };
+        RequestSpec {
             id: RequestId(id),
             class: ClassId(self.below(self.settings.classes.len() as u32) as usize),
             session: (self.below(5) != 0).then(|| SessionId(u64::from(self.below(40)))),
-            prefix: with_prefix.then(|| PrefixId(u64::from(self.below(3)))),
-            valid_until: self.now + SECOND + Micros::from(self.below(5_000)) * MILLISECOND,
-            hint: Some(Micros::from(self.below(900)) * MILLISECOND),
+            shared_prefix: with_prefix.then(|| PrefixId(u64::from(self.below(3)))),
+            deadline: self.now + SECOND + Micros::from(self.below(5_000)) * MILLISECOND,
+            expected_duration: Some(Micros::from(self.below(900)) * MILLISECOND),
             prompt_tokens,
-            shared_tokens,
+            shared_prefix_tokens,
             max_tokens: 300,
-            retry: self.below(10) == 0,
-            came_back: self.below(30) == 0,
-            kinds: (self.below(30) == 0).then_some(0b11),
+            is_retry: self.below(10) == 0,
+            is_resumed: self.below(30) == 0,
+            allowed_kinds: (self.below(30) == 0).then_some(0b11),
         }
     }
 
@@ -266,36 +257,42 @@
     /// The one place that knows how the module names its actions.
     fn render(&mut self, action: &Action) {
         let line = match action {
-            Action::Route {
+            Action::Send {
                 id,
-                host,
-                expire,
-                up_by,
+                endpoint,
+                expires_at,
+                write_by,
             } => {
-                let by = if *up_by == Micros::MAX {
+                let by = if *write_by == Micros::MAX {
                     "none".to_owned()
                 } else {
-                    (up_by - START).to_string()
+                    (write_by - START).to_string()
                 };
                 format!(
                     "send request={} server={} expire={} write_by={by}",
                     id.0,
-                    host.0,
-                    expire - START
+                    endpoint.0,
+                    expires_at - START
                 )
             }
-            Action::Earmark { id, host } => format!("reserve request={} server={}", id.0, host.0),
-            Action::FreeState(id) => format!("release request={}", id.0),
-            Action::Abort { id, attempt } => format!("cancel request={} attempt={attempt}", id.0),
-            Action::Shed { id, pause } => format!("reject request={} retry_after={pause}", id.0),
-            Action::Lose(id) => format!("fail request={}", id.0),
-            Action::Bounce(id) => format!("migrate request={}", id.0),
-            Action::Sleep { at, key } => format!("timer at={} key={key}", at - START),
-            Action::Touch(host) => format!("probe server={}", host.0),
-            Action::FreeLinks(host) => format!("close_idle server={}", host.0),
-            Action::Publish { to, bytes } => format!("gossip to={to:?} bytes={bytes:?}"),
-            Action::Subscribe(wanted) => format!("subscribe wanted={wanted}"),
-            Action::Fetch => "fetch".to_owned(),
+            Action::ReserveSlot { id, endpoint } => {
+                format!("reserve request={} server={}", id.0, endpoint.0)
+            }
+            Action::ReleaseState(id) => format!("release request={}", id.0),
+            Action::CancelAttempt { id, attempt } => {
+                format!("cancel request={} attempt={attempt}", id.0)
+            }
+            Action::Reject { id, retry_after } => {
+                format!("reject request={} retry_after={retry_after}", id.0)
+            }
+            Action::Fail(id) => format!("fail request={}", id.0),
+            Action::Migrate(id) => format!("migrate request={}", id.0),
+            Action::SetTimer { at, key } => format!("timer at={} key={}", at - START, key.encode()),
+            Action::HealthCheck(endpoint) => format!("probe server={}", endpoint.0),
+            Action::CloseIdle(endpoint) => format!("close_idle server={}", endpoint.0),
+            Action::Gossip { to, payload } => format!("gossip to={to:?} bytes={payload:?}"),
+            Action::SubscribeEndpoints(wanted) => format!("subscribe wanted={wanted}"),
+            Action::FetchEndpoints => "fetch".to_owned(),
             Action::Log(line) => format!("log {line}"),
         };
         self.note(line);
@@ -304,139 +301,158 @@
     /// What the driver and the servers make of an action.
     fn react(&mut self, action: Action) {
         match action {
-            Action::Route {
-                id, host, expire, ..
-            } => self.serve(id, host, expire),
-            Action::Earmark { id, host: _ } => {
+            Action::Send {
+                id,
+                endpoint,
+                expires_at,
+                ..
+            } => self.serve(id, endpoint, expires_at),
+            Action::ReserveSlot { id, endpoint: _ } => {
                 let held = self.below(4) != 0;
-                let host = HostId(self.readers.get(&id.0).copied().unwrap_or(0));
+                let endpoint = EndpointId(self.readers.get(&id.0).copied().unwrap_or(0));
                 let after = self.millis(2, 12);
-                self.schedule(after, Event::Earmarked { id, host, held });
+                self.schedule(
+                    after,
+                    Event::SlotReservationAnswered {
+                        id,
+                        endpoint,
+                        granted: held,
+                    },
+                );
             }
-            Action::Abort { id, attempt } => self.cancel(id, Some(attempt)),
-            Action::Bounce(id) => self.cancel(id, None),
-            Action::Sleep { at, key } => {
+            Action::CancelAttempt { id, attempt } => self.cancel(id, Some(attempt)),
+            Action::Migrate(id) => self.cancel(id, None),
+            Action::SetTimer { at, key } => {
                 self.timers.insert((at, key));
             }
-            Action::Touch(host) => self.probe(host),
-            Action::Subscribe(_) => {
+            Action::HealthCheck(endpoint) => self.probe(endpoint),
+            Action::SubscribeEndpoints(_) => {
                 let after = self.millis(5, 40);
-                let form = if self.below(5) == 0 {
-                    ListForm::Broken
+                let update = if self.below(5) == 0 {
+                    EndpointUpdate::PollFailed
                 } else {
-                    ListForm::Patch
+                    EndpointUpdate::Delta(Vec::new())
                 };
-                self.schedule(
-                    after,
-                    Event::Members {
-                        form,
-                        members: Vec::new(),
-                    },
-                );
+                self.schedule(after, Event::EndpointsUpdated(update));
             }
-            Action::Shed { .. }
-            | Action::Lose(_)
-            | Action::FreeState(_)
-            | Action::FreeLinks(_)
-            | Action::Publish { .. }
-            | Action::Fetch
+            Action::Reject { .. }
+            | Action::Fail(_)
+            | Action::ReleaseState(_)
+            | Action::CloseIdle(_)
+            | Action::Gossip { .. }
+            | Action::FetchEndpoints
             | Action::Log(_) => {}
         }
     }
 
-    fn probe(&mut self, host: HostId) {
-        let (outcome, after) = match self.behaviour(host) {
-            Behaviour::Silent => (Outcome::Late, SECOND),
-            Behaviour::Failing => (Outcome::Bad, 3 * MILLISECOND),
-            _ => (Outcome::Good, self.millis(2, 20)),
+    fn probe(&mut self, endpoint: EndpointId) {
+        let (outcome, after) = match self.behaviour(endpoint) {
+            Behaviour::Silent => (Outcome::TimedOut, SECOND),
+            Behaviour::Failing => (Outcome::ServerError, 3 * MILLISECOND),
+            _ => (Outcome::Completed, self.millis(2, 20)),
         };
-        let load = (outcome == Outcome::Good).then(|| self.load());
+        let load = (outcome == Outcome::Completed).then(|| self.load());
         self.schedule(
             after,
-            Event::Probed {
-                host,
+            Event::HealthChecked {
+                endpoint,
                 outcome,
-                spent: after,
+                elapsed: after,
                 load,
             },
         );
     }
 
-    fn behaviour(&self, host: HostId) -> Behaviour {
+    fn behaviour(&self, endpoint: EndpointId) -> Behaviour {
         self.behaviours
-            .get(&host.0)
+            .get(&endpoint.0)
             .copied()
             .unwrap_or(Behaviour::Normal)
     }
 
-    fn serve(&mut self, id: RequestId, host: HostId, expire: Micros) {
+    fn serve(&mut self, id: RequestId, endpoint: EndpointId, expires_at: Micros) {
         let made = self.attempts.entry(id.0).or_insert(0);
         let attempt = *made;
         *made += 1;
-        let kind = self.servers.get(&host.0).map_or(0, |member| member.kind.0);
+        let kind = self
+            .servers
+            .get(&endpoint.0)
+            .map_or(0, |member| member.kind.0);
         if kind == 0 {
-            self.readers.insert(id.0, host.0);
+            self.readers.insert(id.0, endpoint.0);
         }
         let tokens = self.prompts.get(&id.0).copied().unwrap_or(0) as Micros;
-        let behaviour = self.behaviour(host);
+        let behaviour = self.behaviour(endpoint);
         let pace = if behaviour == Behaviour::Slow { 12 } else { 1 };
         let read = (tokens * 25 + self.millis(1, 30)) * pace;
-        let expired = (expire - self.now).max(MILLISECOND);
+        let expired = (expires_at - self.now).max(MILLISECOND);
         match behaviour {
             Behaviour::Silent => {
-                return self.end(id, attempt, host, expired, Outcome::Late, 0, false)
+                return self.end(id, attempt, endpoint, expired, Outcome::TimedOut, 0, false)
             }
             Behaviour::Failing => {
-                return self.end(id, attempt, host, 2 * MILLISECOND, Outcome::Bad, 0, false)
+                return self.end(
+                    id,
+                    attempt,
+                    endpoint,
+                    2 * MILLISECOND,
+                    Outcome::ServerError,
+                    0,
+                    false,
+                )
             }
             Behaviour::Full => {
-                return self.end(id, attempt, host, 2 * MILLISECOND, Outcome::Full, 0, false)
+                return self.end(id, attempt, endpoint, 2 * MILLISECOND, OVERLOADED, 0, false)
             }
             Behaviour::Normal | Behaviour::Slow => {}
         }
         let early = self.millis(1, 60);
         let (after, outcome, info) = match self.below(100) {
-            0..=2 => (early, Outcome::Full, 0),
-            3..=4 => (early, Outcome::Full, 1),
-            5..=6 => (early, Outcome::Bad, 0),
-            7 => (early, Outcome::NoConn, 0),
-            8 => (early, Outcome::NoConn, 1),
-            9..=10 => (early, Outcome::Reset, 0),
-            11 => (early, Outcome::Reset, 1),
-            12 => (expired, Outcome::Late, 0),
-            13 => (early, Outcome::Nop, 0),
-            14 => (early, Outcome::HalfDone, 0),
-            _ if kind == 0 => (
-                read,
-                Outcome::HalfDone,
-                u64::from(self.below(tokens.max(1) as u32)),
-            ),
-            _ => return self.answer(id, attempt, host, read),
+            0..=2 => (early, OVERLOADED, 0),
+            3..=4 => (early, OVERLOADED, 1),
+            5..=6 => (early, Outcome::ServerError, 0),
+            7 => (early, UNREACHABLE, 0),
+            8 => (early, UNREACHABLE, 1),
+            9..=10 => (early, CONNECTION_RESET, 0),
+            11 => (early, CONNECTION_RESET, 1),
+            12 => (expired, Outcome::TimedOut, 0),
+            13 => (early, Outcome::NotSent, 0),
+            14 => (early, PREFILLED, 0),
+            _ if kind == 0 => (read, PREFILLED, u64::from(self.below(tokens.max(1) as u32))),
+            _ => return self.answer(id, attempt, endpoint, read),
         };
-        self.end(id, attempt, host, after.min(expired), outcome, info, false);
+        self.end(
+            id,
+            attempt,
+            endpoint,
+            after.min(expired),
+            outcome,
+            info,
+            false,
+        );
     }
 
     /// A stream that begins and ends, some of them before their time.
-    fn answer(&mut self, id: RequestId, attempt: u32, host: HostId, read: Micros) {
+    fn answer(&mut self, id: RequestId, attempt: u32, endpoint: EndpointId, read: Micros) {
         let begins = read / 4 + self.millis(5, 120);
         self.schedule(
             begins,
-            Event::Established {
+            Event::StreamStarted {
                 id,
                 attempt,
-                host,
-                spent: begins,
+                endpoint,
+                elapsed: begins,
             },
         );
         let lasts = self.millis(100, 1_500);
         let breaks = self.below(12) == 0;
         let outcome = if breaks {
-            Outcome::Reset
+            CONNECTION_RESET
         } else {
-            Outcome::Good
+            Outcome::Completed
         };
         let kept = u64::from(self.below(400));
-        self.end(id, attempt, host, begins + lasts, outcome, kept, true);
+        self.end(id, attempt, endpoint, begins + lasts, outcome, kept, true);
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -444,61 +460,61 @@
         &mut self,
         id: RequestId,
         attempt: u32,
-        host: HostId,
+        endpoint: EndpointId,
         after: Micros,
         outcome: Outcome,
         info: u64,
-        no_more: bool,
+        client_done: bool,
     ) {
-        let reports = self.settings.reporting == Reporting::WithOutcomes
-            && matches!(outcome, Outcome::Good | Outcome::HalfDone | Outcome::Full);
+        let reports = self.settings.load_reporting == LoadReporting::WithOutcomes
+            && matches!(outcome, Outcome::Completed | PREFILLED | OVERLOADED);
         let load = reports.then(|| self.load());
         self.schedule(
             after,
-            Event::Result {
+            Event::AttemptEnded {
                 id,
                 attempt,
-                host,
-                outcome,
-                info,
-                no_more,
-                spent: after,
+                endpoint,
+                outcome: with_detail(outcome, info),
+                client_done,
+                elapsed: after,
                 load,
             },
         );
     }
 
-    fn load(&mut self) -> Load {
-        Load {
-            inflight: Some(f64::from(self.below(20))),
-            queue: Some(f64::from(self.below(6))),
-            util: Some(self.share()),
-            memory: (self.below(8) != 0).then(|| f64::from(self.below(1_000)) / 1_000.0),
-            pending_k: (self.below(8) != 0).then(|| f64::from(self.below(40))),
+    fn load(&mut self) -> LoadReport {
+        LoadReport {
+            in_flight: Some(f64::from(self.below(20))),
+            queued: Some(f64::from(self.below(6))),
+            slot_utilization: Some(self.share()),
+            memory_utilization: (self.below(8) != 0)
+                .then(|| f64::from(self.below(1_000)) / 1_000.0),
+            pending_kilotokens: (self.below(8) != 0).then(|| f64::from(self.below(40))),
         }
     }
 
     /// What is pending of an attempt, or of the stream that is moved, gives way to its end.
     fn cancel(&mut self, id: RequestId, wanted: Option<u32>) {
         let of = |event: &Event| match event {
-            Event::Result {
+            Event::AttemptEnded {
                 id: of,
                 attempt,
-                host,
+                endpoint,
                 ..
-            } => Some((*of, *attempt, *host)),
-            Event::Established {
+            } => Some((*of, *attempt, *endpoint)),
+            Event::StreamStarted {
                 id: of,
                 attempt,
-                host,
+                endpoint,
                 ..
-            } => Some((*of, *attempt, *host)),
+            } => Some((*of, *attempt, *endpoint)),
             _ => None,
         };
         let matches = |event: &Event| {
             of(event).filter(|(of, attempt, _)| *of == id && wanted.is_none_or(|w| w == *attempt))
         };
-        let Some((_, attempt, host)) = self.pending.values().find_map(matches) else {
+        let Some((_, attempt, endpoint)) = self.pending.values().find_map(matches) else {
             return;
         };
         self.pending
@@ -506,7 +522,7 @@
         self.end(
             id,
             attempt,
-            host,
+            endpoint,
             MILLISECOND,
             Outcome::Cancelled,
             0,
@@ -533,69 +549,69 @@
     }
 }
 
-fn class(effect: Effect, aim: Micros, worth: f64) -> Class {
+fn class(effect: Idempotency, aim: Micros, worth: f64) -> Class {
     Class {
-        aim: Some(aim),
-        aim_per_1000: Some(120_000.0),
-        token_aim: Some(70_000),
-        effect,
+        latency_objective: Some(aim),
+        latency_objective_per_1000_tokens: Some(120_000.0),
+        token_interval_objective: Some(70_000),
+        idempotency: effect,
         dedup_window: Some(2 * SECOND),
-        worth: Some(worth),
+        priority_weight: Some(worth),
     }
 }
 
 fn settings() -> Settings {
     Settings {
-        balancers: Some(4),
-        me: Some(1),
+        router_count: Some(4),
+        router_index: Some(1),
         zone: Some(ZoneId(0)),
         classes: vec![
-            class(Effect::Safe, SECOND, 1.0),
-            class(Effect::Keyed(KeyScope::All), 800 * MILLISECOND, 3.0),
-            class(Effect::Keyed(KeyScope::Zone), 2 * SECOND, 0.5),
-            class(Effect::Keyed(KeyScope::Cell), SECOND, 1.5),
-            class(Effect::Unsafe, SECOND, 2.0),
+            class(Idempotency::Idempotent, SECOND, 1.0),
+            class(Idempotency::Keyed(KeyScope::All), 800 * MILLISECOND, 3.0),
+            class(Idempotency::Keyed(KeyScope::Zone), 2 * SECOND, 0.5),
+            class(Idempotency::Keyed(KeyScope::Cell), SECOND, 1.5),
+            class(Idempotency::NonIdempotent, SECOND, 2.0),
         ],
-        kinds: [Stage::Read, Stage::Write, Stage::Both]
+        kinds: [Role::Prefill, Role::Decode, Role::Mixed]
             .map(|stage| Kind {
-                stage: Some(stage),
+                role: Some(stage),
                 memory_tokens: Some(100_000.0),
             })
             .to_vec(),
-        period: Some(2_000),
-        earmarks: true,
-        resume: true,
-        pin_limit: Some(SECOND / 2),
-        reporting: Reporting::WithOutcomes,
-        cancelling: true,
-        peers: true,
+        event_interval: Some(2_000),
+        slot_reservations: true,
+        resumable_streams: true,
+        kv_lease_timeout: Some(SECOND / 2),
+        load_reporting: LoadReporting::WithOutcomes,
+        cancellation: true,
+        gossip: true,
         max_attempts: Some(4),
         retry_after: true,
         max_retry_after: Some(2 * SECOND),
-        answer_slack: Some(8_000),
-        fall_multiple: Some(2.5),
-        fall_window: Some(2 * SECOND),
-        start_capacity: Some(0.25),
+        response_slack: Some(8_000),
+        overload_multiple: Some(2.5),
+        overload_window: Some(2 * SECOND),
+        cold_capacity: Some(0.25),
         warm_up: Some(8 * SECOND),
         ..Settings::default()
     }
 }
 
-fn server(number: u64, kind: usize, cell: i64) -> Member {
-    Member {
+fn server(number: u64, kind: usize, cell: i64) -> EndpointSpec {
+    EndpointSpec {
         zone: ZoneId((cell / 2) as usize),
         ..common::member(number, kind, cell)
     }
 }
 
 /// Prefill servers 1 to 9, decode servers from 11, in four cells of two zones.
-fn split_servers() -> Vec<Member> {
+fn split_servers() -> Vec<EndpointSpec> {
     let readers = (1..=7).map(|n| server(n, 0, (n % 4) as i64));
     let writers = (11..=16).map(|n| server(n, 1, (n % 4) as i64));
     readers.chain(writers).collect()
 }
 
-fn mixed_servers() -> Vec<Member> {
+fn mixed_servers() -> Vec<EndpointSpec> {
     let whole = (21..=25).map(|n| server(n, 2, (n % 4) as i64));
     let writers = (11..=12).map(|n| server(n, 1, (n % 4) as i64));
     whole.chain(writers).collect()
@@ -646,7 +662,7 @@
 
 fn slow_start_in_a_large_fleet() -> Course {
     let settings = Settings {
-        balancers: Some(40),
+        router_count: Some(40),
         ..settings()
     };
     let mut course = Course::new(settings, split_servers(), 3);
@@ -683,13 +699,13 @@
 
 fn mixed_servers_that_report_on_probes() -> Course {
     let settings = Settings {
-        reporting: Reporting::OnProbe,
-        probing: true,
-        writers_read: true,
-        earmarks: false,
-        membership_asked: true,
-        ask_within: Some(3 * SECOND),
-        balancers: Some(0),
+        load_reporting: LoadReporting::OnHealthCheck,
+        health_checks: true,
+        decode_can_prefill: true,
+        slot_reservations: false,
+        endpoints_are_polled: true,
+        poll_interval: Some(3 * SECOND),
+        router_count: Some(0),
         ..settings()
     };
     let mut course = Course::new(settings, mixed_servers(), 5);
@@ -710,8 +726,8 @@
 
 fn probes_before_prefills() -> Course {
     let settings = Settings {
-        reporting: Reporting::OnProbe,
-        probing: true,
+        load_reporting: LoadReporting::OnHealthCheck,
+        health_checks: true,
         ..settings()
     };
     let mut course = Course::new(settings, split_servers(), 6);
@@ -728,7 +744,7 @@
 
 fn shutdown_with_gossip() -> Course {
     let settings = Settings {
-        balancers: Some(9),
+        router_count: Some(9),
         ..settings()
     };
     let mut course = Course::new(settings, split_servers(), 7);
@@ -754,7 +770,7 @@
 
 fn shutdown_while_all_peers_are_away() -> Course {
     let settings = Settings {
-        balancers: Some(3),
+        router_count: Some(3),
         ..settings()
     };
     let mut course = Course::new(settings, split_servers(), 8);
@@ -780,7 +796,7 @@
         classes: vec![
             Class::default(),
             Class {
-                effect: Effect::Safe,
+                idempotency: Idempotency::Idempotent,
                 ..Class::default()
             },
         ],
@@ -810,7 +826,7 @@
     servers.extend((31..=33).map(|n| server(n, 2, 1)));
     let settings = Settings {
         zone: Some(ZoneId(1)),
-        cancelling: false,
+        cancellation: false,
         ..settings()
     };
     let mut course = Course::new(settings, servers, 10);
--- a/crates/routing-policy/tests/fleet.rs
+++ b/crates/routing-policy/tests/fleet.rs
@@ -5,10 +5,10 @@
 use common::*;
 use cranetack_routing_policy::*;
 
-fn cold(host: u64, kind: usize, cell: i64) -> Member {
-    Member {
-        last_start: Some(START - SECOND / 2),
-        ..member(host, kind, cell)
+fn cold(endpoint: u64, kind: usize, cell: i64) -> EndpointSpec {
+    EndpointSpec {
+        started_at: Some(START - SECOND / 2),
+        ..member(endpoint, kind, cell)
     }
 }
 
@@ -25,12 +25,12 @@
     let mut sent = [0; 2];
     for seed in 0..100 {
         let settings = Settings {
-            balancers: Some(100),
-            ..settings(Effect::Safe)
+            router_count: Some(100),
+            ..settings(Idempotency::Idempotent)
         };
         let (mut front, _) = Front::seeded(settings, members.clone(), seed);
-        for (_, host) in routes(&front.ask(ask(1, front.now))) {
-            sent[usize::from(host == 3)] += 1;
+        for (_, endpoint) in routes(&front.ask(ask(1, front.now))) {
+            sent[usize::from(endpoint == 3)] += 1;
         }
     }
     assert!(sent[0] > 15 && sent[1] > 15, "{sent:?} at the two readers");
@@ -48,18 +48,18 @@
     ];
     let homes = |seed| {
         let settings = Settings {
-            balancers: Some(100),
-            ..settings(Effect::Safe)
+            router_count: Some(100),
+            ..settings(Idempotency::Idempotent)
         };
         let (mut front, _) = Front::seeded(settings, members.clone(), seed);
         let mut home = |session: u32| {
             let turn = ask(session, front.now);
-            let sent = routes(&front.ask(Ask {
+            let sent = routes(&front.ask(RequestSpec {
                 session: Some(SessionId(u64::from(session))),
                 ..turn
             }));
-            front.on(result(session, 0, sent[0].1, Outcome::HalfDone));
-            front.on(Event::ClientGone(RequestId(session)));
+            front.on(result(session, 0, sent[0].1, PREFILLED));
+            front.on(Event::ClientDisconnected(RequestId(session)));
             sent[0].1
         };
         (0..40).map(&mut home).collect::<Vec<u64>>()
@@ -87,16 +87,16 @@
         member(3, 0, 0),
         member(9, 1, 0),
     ];
-    let (mut front, _) = Front::new(settings(Effect::Safe), members);
-    for (host, pending) in [(1, 8.0), (2, 1.0)] {
-        let load = Some(Load {
-            pending_k: Some(pending),
-            ..Load::default()
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), members);
+    for (endpoint, pending) in [(1, 8.0), (2, 1.0)] {
+        let load = Some(LoadReport {
+            pending_kilotokens: Some(pending),
+            ..LoadReport::default()
         });
-        front.on(Event::Probed {
-            host: HostId(host),
-            outcome: Outcome::Good,
-            spent: 1_000,
+        front.on(Event::HealthChecked {
+            endpoint: EndpointId(endpoint),
+            outcome: Outcome::Completed,
+            elapsed: 1_000,
             load,
         });
     }
@@ -113,16 +113,16 @@
     ];
     let to_cold = |seed: u64| {
         let settings = Settings {
-            balancers: Some(200),
-            ..settings(Effect::Safe)
+            router_count: Some(200),
+            ..settings(Idempotency::Idempotent)
         };
         let (mut front, _) = Front::seeded(settings, members.clone(), seed);
         let session = session.map(|s| SessionId(s + seed));
-        let sent = routes(&front.ask(Ask {
+        let sent = routes(&front.ask(RequestSpec {
             session,
             ..ask(1, front.now)
         }));
-        sent.iter().filter(|(_, host)| *host == 1).count()
+        sent.iter().filter(|(_, endpoint)| *endpoint == 1).count()
     };
     (0..200).map(to_cold).sum()
 }
@@ -146,36 +146,33 @@
         let sent = |seed: u64| {
             let members = vec![member(1, 0, 0), member(3, 0, 0), member(9, 1, 0)];
             let settings = Settings {
-                balancers: Some(100),
-                ..settings(Effect::Safe)
+                router_count: Some(100),
+                ..settings(Idempotency::Idempotent)
             };
             let (mut front, _) = Front::seeded(settings, members, seed);
             let served = |front: &mut Front, id: u32| {
                 let sent = routes(&front.ask(ask(id, front.now)));
-                for (id, host) in &sent {
-                    front.on(result(*id, 0, *host, Outcome::HalfDone));
-                    let (id, attempt, host) = (RequestId(*id), 1, HostId(9));
-                    front.on(Event::Established {
+                for (id, endpoint) in &sent {
+                    front.on(result(*id, 0, *endpoint, PREFILLED));
+                    let (id, attempt, endpoint) = (RequestId(*id), 1, EndpointId(9));
+                    front.on(Event::StreamStarted {
                         id,
                         attempt,
-                        host,
-                        spent: 1,
+                        endpoint,
+                        elapsed: 1,
                     });
-                    front.on(result(id.0, 1, 9, Outcome::Good));
+                    front.on(result(id.0, 1, 9, Outcome::Completed));
                 }
                 front.pass(SECOND / 2);
-                sent.iter().filter(|(_, host)| *host == 5).count()
+                sent.iter().filter(|(_, endpoint)| *endpoint == 5).count()
             };
             let before: usize = (0..2 * lived).map(|id| served(&mut front, id)).sum();
             assert_eq!(before, 0, "it is not listed yet");
-            let cold = Member {
-                last_start: Some(front.now),
+            let cold = EndpointSpec {
+                started_at: Some(front.now),
                 ..member(5, 0, 0)
             };
-            front.on(Event::Members {
-                form: ListForm::Patch,
-                members: vec![cold],
-            });
+            front.on(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![cold])));
             (1_000..1_020)
                 .map(|id| served(&mut front, id))
                 .sum::<usize>()
--- a/crates/routing-policy/tests/giving_up.rs
+++ b/crates/routing-policy/tests/giving_up.rs
@@ -12,7 +12,7 @@
     let advice = Settings {
         retry_after: true,
         max_retry_after: Some(SECOND),
-        ..settings(Effect::Safe)
+        ..settings(Idempotency::Idempotent)
     };
     let settings = Settings {
         max_attempts: Some(max_attempts),
@@ -26,28 +26,27 @@
     for id in ids {
         front.ask(ask(id, front.now));
         front.pass(span);
-        front.on(result(id, 0, READER, Outcome::HalfDone));
+        front.on(result(id, 0, READER, PREFILLED));
         let id_there = RequestId(id);
-        front.on(Event::Established {
+        front.on(Event::StreamStarted {
             id: id_there,
             attempt: 1,
-            host: HostId(WRITER),
-            spent: 1,
+            endpoint: EndpointId(WRITER),
+            elapsed: 1,
         });
-        front.on(result(id, 1, WRITER, Outcome::Good));
+        front.on(result(id, 1, WRITER, Outcome::Completed));
     }
 }
 
 fn lose_the_reader(front: &mut Front) {
-    front.on(Event::Members {
-        form: ListForm::Whole,
-        members: vec![member(WRITER, 1, 0)],
-    });
+    front.on(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![
+        member(WRITER, 1, 0),
+    ])));
 }
 
 fn sheds(actions: impl IntoIterator<Item = Action>) -> Vec<(u32, Micros)> {
     let shed = |a| match a {
-        Action::Shed { id, pause } => Some((id.0, pause)),
+        Action::Reject { id, retry_after } => Some((id.0, retry_after)),
         _ => None,
     };
     actions.into_iter().filter_map(shed).collect()
@@ -58,8 +57,8 @@
     let mut front = front(4);
     serve(&mut front, 0..60, 2 * SECOND);
     lose_the_reader(&mut front);
-    let short = Ask {
-        valid_until: front.now + SECOND / 2,
+    let short = RequestSpec {
+        deadline: front.now + SECOND / 2,
         ..ask(100, front.now)
     };
     assert_eq!(
@@ -83,10 +82,7 @@
     );
     let members = vec![member(READER, 0, 0), member(WRITER, 1, 0)];
     assert_eq!(
-        routes(&front.on(Event::Members {
-            form: ListForm::Whole,
-            members
-        })),
+        routes(&front.on(Event::EndpointsUpdated(EndpointUpdate::Snapshot(members)))),
         vec![(100, READER)]
     );
 }
@@ -99,7 +95,10 @@
     let mut answered: Vec<(Micros, u32, Micros)> = Vec::new();
     for id in ids.clone() {
         let now = sheds(front.ask(ask(id, start)));
-        answered.extend(now.into_iter().map(|(id, pause)| (start, id, pause)));
+        answered.extend(
+            now.into_iter()
+                .map(|(id, retry_after)| (start, id, retry_after)),
+        );
     }
     let later = front.pass(5 * SECOND);
     answered.extend(
@@ -118,7 +117,7 @@
     );
     let advised = answered
         .iter()
-        .all(|(.., pause)| (1..=SECOND).contains(pause));
+        .all(|(.., retry_after)| (1..=SECOND).contains(retry_after));
     assert!(advised, "the client is told when to return: {answered:?}");
 }
 
@@ -127,30 +126,8 @@
     for (most, refused) in [(3, 1), (4, 0)] {
         let mut front = front(most);
         front.ask(ask(1, front.now));
-        front.on(result(1, 0, READER, Outcome::HalfDone));
-        let Event::Result {
-            id,
-            attempt,
-            host,
-            outcome,
-            no_more,
-            spent,
-            load,
-            ..
-        } = result(1, 1, WRITER, Outcome::Full)
-        else {
-            unreachable!()
-        };
-        let gone = Event::Result {
-            id,
-            attempt,
-            host,
-            outcome,
-            info: 1,
-            no_more,
-            spent,
-            load,
-        };
+        front.on(result(1, 0, READER, PREFILLED));
+        let gone = result(1, 1, WRITER, NO_KV_STATE);
         let answers = sheds(front.on(gone));
         assert_eq!(
             answers.len(),
@@ -159,7 +136,7 @@
         );
         let advised = answers
             .iter()
-            .all(|(_, pause)| (1..=SECOND).contains(pause));
+            .all(|(_, retry_after)| (1..=SECOND).contains(retry_after));
         assert!(advised, "the client is told when to return: {answers:?}");
     }
 }
@@ -168,7 +145,7 @@
 fn no_advice_where_clients_are_not_given_any() {
     let silent = Settings {
         max_retry_after: Some(SECOND),
-        ..settings(Effect::Safe)
+        ..settings(Idempotency::Idempotent)
     };
     let (mut front, _) = Front::new(silent, vec![member(WRITER, 1, 0)]);
     front.ask(ask(1, front.now));
--- a/crates/routing-policy/tests/guards.rs
+++ b/crates/routing-policy/tests/guards.rs
@@ -8,55 +8,48 @@
 const READER: u64 = 1;
 const WRITER: u64 = 2;
 
-fn pair() -> Vec<Member> {
+fn pair() -> Vec<EndpointSpec> {
     vec![member(READER, 0, 0), member(WRITER, 1, 0)]
 }
 
 #[test]
 fn a_draining_server_gets_nothing_from_the_moment_it_is_heard() {
-    for readiness in [Readiness::Draining, Readiness::Gone] {
-        let (mut front, _) = Front::new(settings(Effect::Safe), pair());
-        let members = vec![Member {
-            readiness,
+    for state in [EndpointState::Draining, EndpointState::Removed] {
+        let (mut front, _) = Front::new(settings(Idempotency::Idempotent), pair());
+        let members = vec![EndpointSpec {
+            state,
             ..member(READER, 0, 0)
         }];
-        front.on(Event::Members {
-            form: ListForm::Patch,
-            members,
-        });
+        front.on(Event::EndpointsUpdated(EndpointUpdate::Delta(members)));
         assert_eq!(routes(&front.ask(ask(1, START))), vec![]);
     }
 }
 
 #[test]
 fn a_server_missing_from_a_whole_list_is_gone() {
-    let (mut front, _) = Front::new(settings(Effect::Safe), pair());
-    front.on(Event::Members {
-        form: ListForm::Whole,
-        members: vec![member(WRITER, 1, 0)],
-    });
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), pair());
+    front.on(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![
+        member(WRITER, 1, 0),
+    ])));
     assert_eq!(routes(&front.ask(ask(1, START))), vec![]);
 }
 
 #[test]
 fn a_failed_list_call_leaves_the_list_as_it_was() {
-    let (mut front, _) = Front::new(settings(Effect::Safe), pair());
-    front.on(Event::Members {
-        form: ListForm::Broken,
-        members: vec![],
-    });
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), pair());
+    front.on(Event::EndpointsUpdated(EndpointUpdate::PollFailed));
     assert_eq!(routes(&front.ask(ask(1, START))), vec![(1, READER)]);
 }
 
-/// Sends to a restarted reader within any two seconds of its warm-up, by all of `balancers` dispatchers together,
+/// Sends to a restarted reader within any two seconds of its warm-up, by all of `router_count` dispatchers together,
 /// each of which carried one request a second at two warm readers before.
-fn most_sends_to_a_cold_reader(balancers: u32) -> (usize, f64) {
+fn most_sends_to_a_cold_reader(router_count: u32) -> (usize, f64) {
     let mut times = Vec::new();
-    for me in 0..balancers {
+    for me in 0..router_count {
         let settings = Settings {
-            balancers: Some(balancers),
-            me: Some(me),
-            ..settings(Effect::Safe)
+            router_count: Some(router_count),
+            router_index: Some(me),
+            ..settings(Idempotency::Idempotent)
         };
         let members = vec![
             member(READER, 0, 0),
@@ -67,40 +60,37 @@
         let (mut front, _) = Front::seeded(settings, members, u64::from(me) + 1);
         let served = |front: &mut Front, id: u32| {
             let sent = routes(&front.ask(ask(id, front.now)));
-            for (id, host) in &sent {
-                front.on(result(*id, 0, *host, Outcome::HalfDone));
-                front.on(Event::Established {
+            for (id, endpoint) in &sent {
+                front.on(result(*id, 0, *endpoint, PREFILLED));
+                front.on(Event::StreamStarted {
                     id: RequestId(*id),
                     attempt: 1,
-                    host: HostId(WRITER),
-                    spent: 1,
+                    endpoint: EndpointId(WRITER),
+                    elapsed: 1,
                 });
-                front.on(result(*id, 1, WRITER, Outcome::Good));
+                front.on(result(*id, 1, WRITER, Outcome::Completed));
             }
             front.pass(SECOND);
             sent
         };
         (0..10).for_each(|id| drop(served(&mut front, id)));
-        let cold = Member {
-            last_start: Some(front.now),
+        let cold = EndpointSpec {
+            started_at: Some(front.now),
             ..member(READER, 0, 0)
         };
-        front.on(Event::Members {
-            form: ListForm::Patch,
-            members: vec![cold],
-        });
+        front.on(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![cold])));
         for id in 10..22 {
             let at = front.now;
             let to_cold = served(&mut front, id)
                 .iter()
-                .filter(|(_, host)| *host == READER)
+                .filter(|(_, endpoint)| *endpoint == READER)
                 .count();
             times.extend(vec![at; to_cold]);
         }
     }
     let bears = |t: Micros| {
         let warmth = 0.25 + 0.75 * (t - START - 10 * SECOND) as f64 / (13 * SECOND) as f64;
-        (2.0 * f64::from(balancers) / 2.0 * 2.5 * warmth).max(1.0)
+        (2.0 * f64::from(router_count) / 2.0 * 2.5 * warmth).max(1.0)
     };
     let sent = |t: Micros| {
         times
@@ -119,11 +109,11 @@
 fn a_restarted_server_is_not_pushed_over_by_many_dispatchers_that_each_send_a_little() {
     // Half of what comes in is what each of the two warm readers carries meanwhile; the cold one bears 2.5 times the
     // part of that which it can do by then in two seconds: a quarter at first, all of it after 13 s.
-    for balancers in [3, 120] {
-        let (sent, worst) = most_sends_to_a_cold_reader(balancers);
+    for router_count in [3, 120] {
+        let (sent, worst) = most_sends_to_a_cold_reader(router_count);
         assert!(
             worst <= 1.0,
-            "{balancers} dispatchers sent {sent}, {worst} of what it bears"
+            "{router_count} dispatchers sent {sent}, {worst} of what it bears"
         );
     }
     // It is given a good part of what it can do as it warms, else the warm ones carry all of it.
@@ -133,39 +123,39 @@
 
 #[test]
 fn a_restarted_server_gets_no_burst_from_a_dispatcher_that_knows_nothing() {
-    for balancers in [None, Some(0), Some(3), Some(300)] {
-        let cold = Member {
-            last_start: Some(START - 1),
+    for router_count in [None, Some(0), Some(3), Some(300)] {
+        let cold = EndpointSpec {
+            started_at: Some(START - 1),
             ..member(READER, 0, 0)
         };
         let settings = Settings {
-            balancers,
-            ..settings(Effect::Safe)
+            router_count,
+            ..settings(Idempotency::Idempotent)
         };
         let (mut front, _) = Front::new(settings, vec![cold, member(WRITER, 1, 0)]);
         let sent: usize = (0..20)
             .map(|id| routes(&front.ask(ask(id, START))).len())
             .sum();
-        assert!(sent <= 1, "{sent} with {balancers:?} dispatchers");
+        assert!(sent <= 1, "{sent} with {router_count:?} dispatchers");
     }
 }
 
 #[test]
 fn one_class_failing_at_a_server_does_not_take_it_from_the_others() {
-    let base = settings(Effect::Safe);
+    let base = settings(Idempotency::Idempotent);
     let settings = Settings {
         classes: vec![base.classes[0].clone(), base.classes[0].clone()],
         ..base
     };
     let (mut front, _) = Front::new(settings, pair());
     front.ask(ask(1, START));
-    front.on(result(1, 0, READER, Outcome::Bad));
+    front.on(result(1, 0, READER, Outcome::ServerError));
     assert_eq!(
         routes(&front.ask(ask(2, START))),
         vec![],
         "the class that failed stays away"
     );
-    let other = Ask {
+    let other = RequestSpec {
         class: ClassId(1),
         ..ask(3, START)
     };
@@ -174,12 +164,9 @@
 
 #[test]
 fn a_full_server_is_not_asked_again_at_once() {
-    let (mut front, _) = Front::new(settings(Effect::Safe), pair());
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), pair());
     front.ask(ask(1, START));
-    assert_eq!(
-        routes(&front.on(result(1, 0, READER, Outcome::Full))),
-        vec![]
-    );
+    assert_eq!(routes(&front.on(result(1, 0, READER, OVERLOADED))), vec![]);
     let later: Vec<Action> = front.pass(SECOND).into_iter().map(|(_, a)| a).collect();
     assert_eq!(routes(&later), vec![(1, READER)], "nor driven out for good");
 }
@@ -196,27 +183,27 @@
         (6, 1, 1),
         (7, 1, 1),
     ];
-    let members: Vec<Member> = cells
+    let members: Vec<EndpointSpec> = cells
         .iter()
-        .map(|(host, kind, cell)| member(*host, *kind, *cell))
+        .map(|(endpoint, kind, cell)| member(*endpoint, *kind, *cell))
         .collect();
-    let (mut front, _) = Front::new(settings(Effect::Safe), members);
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), members);
     let mut answered = [0; 8];
     for id in 0..240 {
         let session = Some(SessionId(u64::from(id)));
-        for (id, reader) in routes(&front.ask(Ask {
+        for (id, reader) in routes(&front.ask(RequestSpec {
             session,
             ..ask(id, front.now)
         })) {
-            for (id, writer) in routes(&front.on(result(id, 0, reader, Outcome::HalfDone))) {
+            for (id, writer) in routes(&front.on(result(id, 0, reader, PREFILLED))) {
                 answered[writer as usize] += 1;
-                front.on(Event::Established {
+                front.on(Event::StreamStarted {
                     id: RequestId(id),
                     attempt: 1,
-                    host: HostId(writer),
-                    spent: 1,
+                    endpoint: EndpointId(writer),
+                    elapsed: 1,
                 });
-                front.on(result(id, 1, writer, Outcome::Good));
+                front.on(result(id, 1, writer, Outcome::Completed));
             }
         }
         front.pass(SECOND / 10);
@@ -231,42 +218,42 @@
 #[test]
 fn a_writer_that_refused_a_place_is_passed_over_and_another_is_asked() {
     let members = vec![member(READER, 0, 0), member(WRITER, 1, 0), member(3, 1, 0)];
-    let (mut front, _) = Front::new(settings(Effect::Safe), members);
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), members);
     let place = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
-            Action::Earmark { host, .. } => Some(host.0),
+            Action::ReserveSlot { endpoint, .. } => Some(endpoint.0),
             _ => None,
         })
     };
     let first = place(&front.ask(ask(1, START))).expect("a place is asked for");
-    let refused = Event::Earmarked {
+    let refused = Event::SlotReservationAnswered {
         id: RequestId(1),
-        host: HostId(READER),
-        held: false,
+        endpoint: EndpointId(READER),
+        granted: false,
     };
     let second = place(&front.on(refused)).expect("another is asked for");
     assert_eq!(second, WRITER + 3 - first);
     assert_eq!(
-        routes(&front.on(result(1, 0, READER, Outcome::HalfDone))),
+        routes(&front.on(result(1, 0, READER, PREFILLED))),
         vec![(1, second)]
     );
 }
 
 #[test]
 fn few_probes_where_few_requests_come_in() {
-    let probing = Settings {
-        probing: true,
-        reporting: Reporting::OnProbe,
-        ..settings(Effect::Safe)
+    let health_checks = Settings {
+        health_checks: true,
+        load_reporting: LoadReporting::OnHealthCheck,
+        ..settings(Idempotency::Idempotent)
     };
-    let (mut front, _) = Front::new(probing, (0..40).map(|h| member(h, 1, 0)).collect());
+    let (mut front, _) = Front::new(health_checks, (0..40).map(|h| member(h, 1, 0)).collect());
     let mut touches = 0;
     for id in 0..20 {
         front.ask(ask(id, front.now));
         touches += front
             .pass(SECOND)
             .iter()
-            .filter(|(_, a)| matches!(a, Action::Touch(_)))
+            .filter(|(_, a)| matches!(a, Action::HealthCheck(_)))
             .count();
     }
     assert!(
@@ -277,14 +264,14 @@
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_failed_and_not_repeated() {
-    let (mut front, _) = Front::new(settings(Effect::Unsafe), pair());
+    let (mut front, _) = Front::new(settings(Idempotency::NonIdempotent), pair());
     front.ask(ask(1, START));
-    front.on(result(1, 0, READER, Outcome::HalfDone));
-    let actions = front.on(result(1, 1, WRITER, Outcome::Reset));
+    front.on(result(1, 0, READER, PREFILLED));
+    let actions = front.on(result(1, 1, WRITER, CONNECTION_RESET));
     assert_eq!(routes(&actions), vec![]);
-    assert!(actions.contains(&Action::Lose(RequestId(1))), "{actions:?}");
+    assert!(actions.contains(&Action::Fail(RequestId(1))), "{actions:?}");
     assert!(
-        actions.contains(&Action::FreeState(RequestId(1))),
+        actions.contains(&Action::ReleaseState(RequestId(1))),
         "{actions:?}"
     );
 }
@@ -292,37 +279,39 @@
 #[test]
 fn an_unsafe_request_that_never_ran_goes_to_another_writer() {
     let (mut front, _) = Front::new(
-        settings(Effect::Unsafe),
+        settings(Idempotency::NonIdempotent),
         [pair(), vec![member(3, 1, 0)]].concat(),
     );
     front.ask(ask(1, START));
-    let first = routes(&front.on(result(1, 0, READER, Outcome::HalfDone)))[0].1;
-    let actions = front.on(result(1, 1, first, Outcome::NoConn));
+    let first = routes(&front.on(result(1, 0, READER, PREFILLED)))[0].1;
+    let actions = front.on(result(1, 1, first, UNREACHABLE));
     assert_eq!(routes(&actions), vec![(1, WRITER + 3 - first)]);
 }
 
 #[test]
 fn a_keyed_request_stays_in_the_cell_in_which_it_may_have_run() {
     let members = vec![member(READER, 0, 0), member(WRITER, 1, 0), member(3, 1, 1)];
-    let (mut front, _) = Front::new(settings(Effect::Keyed(KeyScope::Cell)), members);
+    let (mut front, _) = Front::new(settings(Idempotency::Keyed(KeyScope::Cell)), members);
     front.ask(ask(1, START));
-    front.on(result(1, 0, READER, Outcome::HalfDone));
-    let actions = front.on(result(1, 1, WRITER, Outcome::Reset));
+    front.on(result(1, 0, READER, PREFILLED));
+    let actions = front.on(result(1, 1, WRITER, CONNECTION_RESET));
     assert!(
-        routes(&actions).iter().all(|(_, host)| *host == WRITER),
+        routes(&actions)
+            .iter()
+            .all(|(_, endpoint)| *endpoint == WRITER),
         "{actions:?}"
     );
 }
 
 #[test]
 fn no_more_attempts_than_the_settings_allow() {
-    let (mut front, _) = Front::new(settings(Effect::Safe), pair());
-    let mut all = front.ask(Ask {
-        valid_until: START + 90 * SECOND,
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), pair());
+    let mut all = front.ask(RequestSpec {
+        deadline: START + 90 * SECOND,
         ..ask(1, START)
     });
     for attempt in 0..4 {
-        all.extend(front.on(result(1, attempt, READER, Outcome::Bad)));
+        all.extend(front.on(result(1, attempt, READER, Outcome::ServerError)));
         all.extend(front.pass(10 * SECOND).into_iter().map(|(_, a)| a));
     }
     assert_eq!(
@@ -330,33 +319,27 @@
         3,
         "a fourth read would leave none for the answer"
     );
-    assert!(all.contains(&Action::Shed {
+    assert!(all.contains(&Action::Reject {
         id: RequestId(1),
-        pause: 0
+        retry_after: 0
     }));
 }
 
 #[test]
 fn a_state_that_no_writer_takes_is_let_go_within_the_pin_limit() {
-    let (mut front, _) = Front::new(settings(Effect::Safe), pair());
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), pair());
     front.ask(ask(1, START));
-    let members = vec![Member {
-        readiness: Readiness::Draining,
+    let members = vec![EndpointSpec {
+        state: EndpointState::Draining,
         ..member(WRITER, 1, 0)
     }];
-    front.on(Event::Members {
-        form: ListForm::Patch,
-        members,
-    });
-    assert_eq!(
-        routes(&front.on(result(1, 0, READER, Outcome::HalfDone))),
-        vec![]
-    );
+    front.on(Event::EndpointsUpdated(EndpointUpdate::Delta(members)));
+    assert_eq!(routes(&front.on(result(1, 0, READER, PREFILLED))), vec![]);
     let freed = front.pass(SECOND / 2 - 1);
     assert!(
         freed
             .iter()
-            .any(|(_, a)| *a == Action::FreeState(RequestId(1))),
+            .any(|(_, a)| *a == Action::ReleaseState(RequestId(1))),
         "{freed:?}"
     );
 }
@@ -364,39 +347,39 @@
 #[test]
 fn a_late_attempt_sent_whole_to_a_writer_leaves_nothing_held() {
     let settings = Settings {
-        writers_read: true,
-        ..settings(Effect::Safe)
+        decode_can_prefill: true,
+        ..settings(Idempotency::Idempotent)
     };
     let (mut front, _) = Front::new(settings, vec![member(WRITER, 1, 0)]);
     assert_eq!(routes(&front.ask(ask(1, START))), vec![(1, WRITER)]);
-    let actions = front.on(result(1, 0, WRITER, Outcome::Late));
+    let actions = front.on(result(1, 0, WRITER, Outcome::TimedOut));
     assert!(
-        actions.contains(&Action::FreeState(RequestId(1))),
+        actions.contains(&Action::ReleaseState(RequestId(1))),
         "{actions:?}"
     );
 }
 
 #[test]
 fn a_state_read_after_the_client_left_is_let_go() {
-    let (mut front, _) = Front::new(settings(Effect::Safe), pair());
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), pair());
     front.ask(ask(1, START));
-    front.on(Event::ClientGone(RequestId(1)));
-    let actions = front.on(result(1, 0, READER, Outcome::HalfDone));
+    front.on(Event::ClientDisconnected(RequestId(1)));
+    let actions = front.on(result(1, 0, READER, PREFILLED));
     assert_eq!(routes(&actions), vec![]);
     assert!(
-        actions.contains(&Action::FreeState(RequestId(1))),
+        actions.contains(&Action::ReleaseState(RequestId(1))),
         "{actions:?}"
     );
 }
 
 #[test]
 fn a_request_with_nowhere_to_go_is_answered_by_its_deadline() {
-    let (mut front, _) = Front::new(settings(Effect::Safe), vec![]);
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), vec![]);
     front.ask(ask(1, START));
     let answers = front.pass(5 * SECOND);
     let shed: Vec<_> = answers
         .iter()
-        .filter(|(_, a)| matches!(a, Action::Shed { .. }))
+        .filter(|(_, a)| matches!(a, Action::Reject { .. }))
         .collect();
     assert_eq!(shed.len(), 1);
     assert!(shed[0].0 <= START + 4 * SECOND + 8_000);
@@ -404,41 +387,19 @@
 
 #[test]
 fn a_state_that_is_gone_is_read_anew() {
-    let (mut front, _) = Front::new(settings(Effect::Safe), pair());
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), pair());
     front.ask(ask(1, START));
-    front.on(result(1, 0, READER, Outcome::HalfDone));
-    let Event::Result {
-        id,
-        attempt,
-        host,
-        outcome,
-        no_more,
-        spent,
-        load,
-        ..
-    } = result(1, 1, WRITER, Outcome::Full)
-    else {
-        unreachable!()
-    };
-    let actions = front.on(Event::Result {
-        id,
-        attempt,
-        host,
-        outcome,
-        info: 1,
-        no_more,
-        spent,
-        load,
-    });
+    front.on(result(1, 0, READER, PREFILLED));
+    let actions = front.on(result(1, 1, WRITER, NO_KV_STATE));
     assert_eq!(routes(&actions), vec![(1, READER)]);
 }
 
 #[test]
 fn what_the_settings_forbid_is_never_sent() {
     let forbidden = Settings {
-        earmarks: false,
-        cancelling: false,
-        ..settings(Effect::Safe)
+        slot_reservations: false,
+        cancellation: false,
+        ..settings(Idempotency::Idempotent)
     };
     let (mut front, first) = Front::new(forbidden, pair());
     let mut all = first;
@@ -448,11 +409,14 @@
     let sent = |a: &Action| {
         matches!(
             a,
-            Action::Earmark { .. }
-                | Action::Touch(_)
-                | Action::Abort { .. }
-                | Action::Publish { .. }
-        ) || matches!(a, Action::Bounce(_) | Action::Subscribe(_) | Action::Fetch)
+            Action::ReserveSlot { .. }
+                | Action::HealthCheck(_)
+                | Action::CancelAttempt { .. }
+                | Action::Gossip { .. }
+        ) || matches!(
+            a,
+            Action::Migrate(_) | Action::SubscribeEndpoints(_) | Action::FetchEndpoints
+        )
     };
     assert!(!all.iter().any(sent), "{all:?}");
 }
@@ -460,39 +424,38 @@
 #[test]
 fn list_changes_are_asked_for_where_they_are_not_pushed() {
     let asked = Settings {
-        membership_asked: true,
-        ask_within: Some(10 * SECOND),
-        ..settings(Effect::Safe)
+        endpoints_are_polled: true,
+        poll_interval: Some(10 * SECOND),
+        ..settings(Idempotency::Idempotent)
     };
     let (mut front, first) = Front::new(asked, pair());
-    assert!(first.contains(&Action::Subscribe(true)));
-    front.on(Event::Members {
-        form: ListForm::Broken,
-        members: vec![],
-    });
+    assert!(first.contains(&Action::SubscribeEndpoints(true)));
+    front.on(Event::EndpointsUpdated(EndpointUpdate::PollFailed));
     let again = front.pass(SECOND);
-    assert!(again.iter().any(|(_, a)| *a == Action::Subscribe(true)));
+    assert!(again
+        .iter()
+        .any(|(_, a)| *a == Action::SubscribeEndpoints(true)));
 }
 
 #[test]
 fn a_session_returns_to_the_reader_that_keeps_its_text() {
     let members = vec![member(1, 0, 0), member(2, 1, 0), member(3, 0, 0)];
-    let (mut front, _) = Front::new(settings(Effect::Safe), members);
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), members);
     for session in 0..8 {
-        let turn = |id| Ask {
+        let turn = |id| RequestSpec {
             session: Some(SessionId(session)),
             ..ask(id, START)
         };
         let first = session as u32 * 2;
         let reader = routes(&front.ask(turn(first)))[0].1;
-        front.on(result(first, 0, reader, Outcome::HalfDone));
-        front.on(result(first, 1, 2, Outcome::Good));
+        front.on(result(first, 0, reader, PREFILLED));
+        front.on(result(first, 1, 2, Outcome::Completed));
         assert_eq!(
             routes(&front.ask(turn(first + 1))),
             vec![(first + 1, reader)]
         );
-        front.on(result(first + 1, 0, reader, Outcome::HalfDone));
-        front.on(result(first + 1, 1, 2, Outcome::Good));
+        front.on(result(first + 1, 0, reader, PREFILLED));
+        front.on(result(first + 1, 1, 2, Outcome::Completed));
     }
 }
 
@@ -500,21 +463,18 @@
 fn blind_dispatchers_agree_on_the_home_of_a_session_unknown_to_them() {
     let members = || vec![member(1, 0, 0), member(2, 1, 0), member(3, 0, 0)];
     let home = |seed: u64, session: u64| {
-        let mut policy = Policy::new(settings(Effect::Safe), seed, START);
+        let mut policy = Policy::new(settings(Idempotency::Idempotent), seed, START);
         let mut out = Vec::new();
         policy.handle(
             START,
-            Event::Members {
-                form: ListForm::Stale,
-                members: members(),
-            },
+            Event::EndpointsUpdated(EndpointUpdate::Restored(members())),
             &mut out,
         );
-        let ask = Ask {
+        let ask = RequestSpec {
             session: Some(SessionId(session)),
             ..ask(1, START)
         };
-        policy.handle(START, Event::Ask(ask), &mut out);
+        policy.handle(START, Event::RequestArrived(ask), &mut out);
         routes(&out)[0].1
     };
     let homes: Vec<u64> = (0..32).map(|s| home(1, s * 7919)).collect();
@@ -531,34 +491,33 @@
 #[test]
 fn a_restart_voids_what_a_reader_kept() {
     let members = vec![member(1, 0, 0), member(2, 1, 0), member(3, 0, 0)];
-    let (mut front, _) = Front::new(settings(Effect::Safe), members);
-    let opening = |id| Ask {
-        prefix: Some(PrefixId(9)),
-        shared_tokens: 900,
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), members);
+    let opening = |id| RequestSpec {
+        shared_prefix: Some(PrefixId(9)),
+        shared_prefix_tokens: 900,
         ..ask(id, START)
     };
     let reader = routes(&front.ask(opening(0)))[0].1;
-    front.on(result(0, 0, reader, Outcome::HalfDone));
-    front.on(result(0, 1, 2, Outcome::Good));
-    let restarted = Member {
-        last_start: Some(START - 60 * SECOND),
+    front.on(result(0, 0, reader, PREFILLED));
+    front.on(result(0, 1, 2, Outcome::Completed));
+    let restarted = EndpointSpec {
+        started_at: Some(START - 60 * SECOND),
         ..member(reader, 0, 0)
     };
-    front.on(Event::Members {
-        form: ListForm::Patch,
-        members: vec![restarted],
-    });
+    front.on(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![
+        restarted,
+    ])));
     // With nothing kept anywhere the readers tie, so that requests with the same opening meet both.
     let mut seen = std::collections::BTreeSet::new();
     for id in 1..30 {
-        let at = routes(&front.ask(Ask {
-            shared_tokens: 0,
+        let at = routes(&front.ask(RequestSpec {
+            shared_prefix_tokens: 0,
             ..opening(id)
         }))[0]
             .1;
         seen.insert(at);
-        front.on(result(id, 0, at, Outcome::HalfDone));
-        front.on(result(id, 1, 2, Outcome::Good));
+        front.on(result(id, 0, at, PREFILLED));
+        front.on(result(id, 1, 2, Outcome::Completed));
     }
     assert_eq!(seen.len(), 2);
 }
@@ -566,11 +525,11 @@
 #[test]
 fn a_huge_prompt_does_not_look_as_light_as_a_small_one() {
     let members = vec![member(1, 0, 0), member(2, 1, 0), member(3, 0, 0)];
-    let (mut front, _) = Front::new(settings(Effect::Safe), members);
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), members);
     let first = routes(&front.ask(ask(0, START)))[0].1;
-    front.on(result(0, 0, first, Outcome::HalfDone));
-    front.on(result(0, 1, 2, Outcome::Good));
-    let huge = routes(&front.ask(Ask {
+    front.on(result(0, 0, first, PREFILLED));
+    front.on(result(0, 1, 2, Outcome::Completed));
+    let huge = routes(&front.ask(RequestSpec {
         prompt_tokens: 30_000,
         ..ask(1, START)
     }))[0]
@@ -587,7 +546,7 @@
 #[test]
 fn readers_of_a_cell_without_writers_help_out_before_all_is_overloaded() {
     let members = vec![member(1, 0, 0), member(2, 1, 0), member(3, 0, 1)];
-    let (mut front, _) = Front::new(settings(Effect::Safe), members);
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), members);
     let at: Vec<u64> = (0..6)
         .map(|id| routes(&front.ask(ask(id, START)))[0].1)
         .collect();
@@ -602,31 +561,31 @@
         member(3, 0, 1),
         member(4, 1, 1),
     ];
-    let (mut front, _) = Front::new(settings(Effect::Safe), members);
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), members);
     for id in 0..40 {
         let actions = front.ask(ask(id, front.now));
         let reader = routes(&actions)[0].1;
         assert!(
-            actions.contains(&Action::Earmark {
+            actions.contains(&Action::ReserveSlot {
                 id: RequestId(id),
-                host: HostId(reader + 1)
+                endpoint: EndpointId(reader + 1)
             }),
             "{actions:?}"
         );
-        front.on(result(id, 0, reader, Outcome::HalfDone));
-        front.on(Event::Established {
+        front.on(result(id, 0, reader, PREFILLED));
+        front.on(Event::StreamStarted {
             id: RequestId(id),
             attempt: 1,
-            host: HostId(reader + 1),
-            spent: 1,
+            endpoint: EndpointId(reader + 1),
+            elapsed: 1,
         });
-        front.on(result(id, 1, reader + 1, Outcome::Good));
+        front.on(result(id, 1, reader + 1, Outcome::Completed));
     }
 }
 
 #[test]
 fn overdue_reads_hold_later_requests_back_here() {
-    let (mut front, _) = Front::new(settings(Effect::Safe), pair());
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), pair());
     let sent = |front: &mut Front, ids: std::ops::Range<u32>| -> usize {
         let now = front.now;
         ids.map(|id| routes(&front.ask(ask(id, now))).len()).sum()
@@ -642,7 +601,7 @@
 
 #[test]
 fn overdue_whole_requests_hold_later_ones_back_from_a_mixed_server() {
-    let (mut front, _) = Front::new(settings(Effect::Safe), vec![member(5, 2, 0)]);
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), vec![member(5, 2, 0)]);
     let sent = |front: &mut Front, ids: std::ops::Range<u32>| -> usize {
         let now = front.now;
         ids.map(|id| routes(&front.ask(ask(id, now))).len()).sum()
@@ -650,11 +609,11 @@
     assert_eq!(sent(&mut front, 0..5), 5);
     front.pass(SECOND);
     for id in 0..5 {
-        front.on(Event::Established {
+        front.on(Event::StreamStarted {
             id: RequestId(id),
             attempt: 0,
-            host: HostId(5),
-            spent: SECOND,
+            endpoint: EndpointId(5),
+            elapsed: SECOND,
         });
     }
     assert_eq!(
@@ -667,19 +626,19 @@
 #[test]
 fn a_refused_connection_sets_a_server_aside_at_once() {
     let members = vec![member(1, 0, 0), member(2, 1, 0), member(3, 0, 0)];
-    let (mut front, _) = Front::new(settings(Effect::Safe), members);
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), members);
     let first = routes(&front.ask(ask(0, START)))[0].1;
-    let second = routes(&front.on(result(0, 0, first, Outcome::NoConn)))[0].1;
+    let second = routes(&front.on(result(0, 0, first, UNREACHABLE)))[0].1;
     assert_ne!(first, second);
     assert!((1..6).all(|id| routes(&front.ask(ask(id, START)))[0].1 == second));
 }
 
 #[test]
 fn odd_events_are_survived() {
-    let (mut front, _) = Front::new(settings(Effect::Safe), pair());
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), pair());
     front.ask(ask(1, START));
     front.ask(ask(1, START));
-    for outcome in [Outcome::Good, Outcome::HalfDone, Outcome::Late] {
+    for outcome in [Outcome::Completed, PREFILLED, Outcome::TimedOut] {
         assert_eq!(
             routes(&front.on(result(9, 0, READER, outcome))),
             vec![],
@@ -691,36 +650,36 @@
             "unknown attempt"
         );
     }
-    let load = Load {
-        memory: Some(f64::NAN),
-        util: Some(-4.0),
-        queue: Some(1e30),
-        ..Load::default()
+    let load = LoadReport {
+        memory_utilization: Some(f64::NAN),
+        slot_utilization: Some(-4.0),
+        queued: Some(1e30),
+        ..LoadReport::default()
     };
-    for host in [WRITER, 77] {
-        front.on(Event::Probed {
-            host: HostId(host),
-            outcome: Outcome::Good,
-            spent: -1,
+    for endpoint in [WRITER, 77] {
+        front.on(Event::HealthChecked {
+            endpoint: EndpointId(endpoint),
+            outcome: Outcome::Completed,
+            elapsed: -1,
             load: Some(load),
         });
     }
-    front.on(Event::Peer {
+    front.on(Event::GossipReceived {
         from: 99,
-        bytes: vec![0xff; 300],
+        payload: vec![0xff; 300],
     });
-    front.on(Event::Timer(u64::MAX));
-    front.on(Event::Earmarked {
+    front.on(Event::TimerFired(TimerKey::Request(RequestId(u32::MAX))));
+    front.on(Event::SlotReservationAnswered {
         id: RequestId(4),
-        host: HostId(77),
-        held: false,
+        endpoint: EndpointId(77),
+        granted: false,
     });
     assert_eq!(
-        routes(&front.on(result(1, 0, READER, Outcome::HalfDone))),
+        routes(&front.on(result(1, 0, READER, PREFILLED))),
         vec![(1, WRITER)]
     );
     assert_eq!(
-        routes(&front.on(result(1, 0, READER, Outcome::HalfDone))),
+        routes(&front.on(result(1, 0, READER, PREFILLED))),
         vec![],
         "told twice"
     );
@@ -735,18 +694,18 @@
         member(4, 1, 1),
     ];
     let lane = |reports: &[(u64, f64)]| {
-        let (mut front, _) = Front::new(settings(Effect::Safe), members.clone());
-        for (host, figure) in reports {
-            let load = Some(Load {
-                memory: Some(*figure),
-                util: Some(*figure),
-                pending_k: Some(*figure),
-                ..Load::default()
+        let (mut front, _) = Front::new(settings(Idempotency::Idempotent), members.clone());
+        for (endpoint, figure) in reports {
+            let load = Some(LoadReport {
+                memory_utilization: Some(*figure),
+                slot_utilization: Some(*figure),
+                pending_kilotokens: Some(*figure),
+                ..LoadReport::default()
             });
-            front.on(Event::Probed {
-                host: HostId(*host),
-                outcome: Outcome::Good,
-                spent: 1_000,
+            front.on(Event::HealthChecked {
+                endpoint: EndpointId(*endpoint),
+                outcome: Outcome::Completed,
+                elapsed: 1_000,
                 load,
             });
         }
@@ -756,7 +715,9 @@
     assert_eq!(unheard.len(), 1);
     let odd = [f64::NAN, f64::INFINITY, f64::NEG_INFINITY];
     for figure in odd {
-        let all: Vec<(u64, f64)> = [READER, WRITER, 3, 4].map(|host| (host, figure)).to_vec();
+        let all: Vec<(u64, f64)> = [READER, WRITER, 3, 4]
+            .map(|endpoint| (endpoint, figure))
+            .to_vec();
         assert_eq!(lane(&all), unheard, "{figure}");
     }
     assert_eq!(
@@ -769,7 +730,7 @@
 /// Those called off, in order.
 fn aborts(actions: impl IntoIterator<Item = (Micros, Action)>) -> Vec<u32> {
     let abort = |(_, action): (Micros, Action)| match action {
-        Action::Abort { id, .. } => Some(id.0),
+        Action::CancelAttempt { id, .. } => Some(id.0),
         _ => None,
     };
     actions.into_iter().filter_map(abort).collect()
@@ -780,17 +741,17 @@
 #[test]
 fn a_read_that_later_ones_have_passed_is_called_off() {
     for passed in [true, false] {
-        let (mut front, _) = Front::new(settings(Effect::Unsafe), pair());
+        let (mut front, _) = Front::new(settings(Idempotency::NonIdempotent), pair());
         assert_eq!(routes(&front.ask(ask(1, START))), [(1, READER)]);
         front.pass(SECOND / 2);
         front.ask(ask(2, front.now));
         if passed {
-            front.on(result(2, 0, READER, Outcome::HalfDone));
-            front.on(Event::Established {
+            front.on(result(2, 0, READER, PREFILLED));
+            front.on(Event::StreamStarted {
                 id: RequestId(2),
                 attempt: 1,
-                host: HostId(WRITER),
-                spent: 1,
+                endpoint: EndpointId(WRITER),
+                elapsed: 1,
             });
         }
         assert_eq!(
@@ -805,19 +766,22 @@
 /// The same at a writer, where only what may run twice is called off.
 #[test]
 fn an_answer_that_later_ones_have_passed_is_called_off_if_it_may_run_twice() {
-    for (effect, called_off) in [(Effect::Safe, vec![1]), (Effect::Unsafe, vec![])] {
+    for (effect, called_off) in [
+        (Idempotency::Idempotent, vec![1]),
+        (Idempotency::NonIdempotent, vec![]),
+    ] {
         let (mut front, _) = Front::new(settings(effect), pair());
         front.ask(ask(1, START));
         front.ask(ask(2, START));
         for id in [1, 2] {
-            front.on(result(id, 0, READER, Outcome::HalfDone));
+            front.on(result(id, 0, READER, PREFILLED));
             front.pass(SECOND / 3);
         }
-        front.on(Event::Established {
+        front.on(Event::StreamStarted {
             id: RequestId(2),
             attempt: 1,
-            host: HostId(WRITER),
-            spent: 1,
+            endpoint: EndpointId(WRITER),
+            elapsed: 1,
         });
         assert_eq!(aborts(front.pass(2 * SECOND)), called_off);
     }
@@ -826,19 +790,19 @@
 /// Guards against reads that wait at a machine that has vanished: it answers probes no more, nor anything else.
 #[test]
 fn reads_at_a_server_that_answers_nothing_are_called_off() {
-    let probing = Settings {
-        probing: true,
-        reporting: Reporting::OnProbe,
-        ..settings(Effect::Safe)
+    let health_checks = Settings {
+        health_checks: true,
+        load_reporting: LoadReporting::OnHealthCheck,
+        ..settings(Idempotency::Idempotent)
     };
-    let (mut front, _) = Front::new(probing, pair());
+    let (mut front, _) = Front::new(health_checks, pair());
     assert!(front
         .ask(ask(1, START))
-        .contains(&Action::Touch(HostId(READER))));
-    let probed = Event::Probed {
-        host: HostId(READER),
-        outcome: Outcome::Late,
-        spent: 1,
+        .contains(&Action::HealthCheck(EndpointId(READER))));
+    let probed = Event::HealthChecked {
+        endpoint: EndpointId(READER),
+        outcome: Outcome::TimedOut,
+        elapsed: 1,
         load: None,
     };
     front.on(probed);
@@ -851,13 +815,13 @@
 #[test]
 fn a_success_among_errors_does_not_bring_a_server_back_at_once() {
     let members = vec![member(READER, 0, 0), member(WRITER, 1, 0), member(3, 0, 0)];
-    let (mut front, _) = Front::new(settings(Effect::Safe), members);
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), members);
     let mut at_reader = Vec::new();
     for id in 0..8 {
         let sent = routes(&front.ask(ask(id, front.now)));
         at_reader.extend(
             sent.iter()
-                .filter(|(_, host)| *host == READER)
+                .filter(|(_, endpoint)| *endpoint == READER)
                 .map(|(id, _)| *id),
         );
     }
@@ -865,47 +829,38 @@
     let good = at_reader.pop().unwrap();
     at_reader
         .iter()
-        .for_each(|id| drop(front.on(result(*id, 0, READER, Outcome::Bad))));
-    front.on(result(good, 0, READER, Outcome::HalfDone));
+        .for_each(|id| drop(front.on(result(*id, 0, READER, Outcome::ServerError))));
+    front.on(result(good, 0, READER, PREFILLED));
     assert_eq!(routes(&front.ask(ask(20, front.now))), [(20, 3)]);
 }
 
 /// Guards against tables that grow with each machine that ever was.
 #[test]
 fn machines_that_are_gone_are_forgotten_once_nothing_is_out_there() {
-    let (mut front, _) = Front::new(settings(Effect::Safe), pair());
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), pair());
     assert_eq!(routes(&front.ask(ask(1, START))), [(1, READER)]);
-    for host in 10..30 {
-        let gone = Member {
-            readiness: Readiness::Gone,
-            ..member(host - 1, 0, 0)
+    for endpoint in 10..30 {
+        let gone = EndpointSpec {
+            state: EndpointState::Removed,
+            ..member(endpoint - 1, 0, 0)
         };
-        let form = ListForm::Patch;
-        front.on(Event::Members {
-            form,
-            members: vec![member(host, 0, 0), gone],
-        });
+        let members = vec![member(endpoint, 0, 0), gone];
+        front.on(Event::EndpointsUpdated(EndpointUpdate::Delta(members)));
     }
-    assert_eq!(front.policy.standings(front.now).len(), 3);
+    assert_eq!(front.policy.endpoint_statuses(front.now).len(), 3);
     let members = vec![member(WRITER, 1, 0), member(29, 0, 0)];
-    front.on(Event::Members {
-        form: ListForm::Whole,
-        members,
-    });
+    front.on(Event::EndpointsUpdated(EndpointUpdate::Snapshot(members)));
     assert_eq!(
-        front.policy.standings(front.now).len(),
+        front.policy.endpoint_statuses(front.now).len(),
         3,
         "one is still out at the reader"
     );
     assert_eq!(
-        routes(&front.on(result(1, 0, READER, Outcome::HalfDone))),
+        routes(&front.on(result(1, 0, READER, PREFILLED))),
         [(1, WRITER)]
     );
-    front.on(Event::Members {
-        form: ListForm::Patch,
-        members: vec![],
-    });
-    assert_eq!(front.policy.standings(front.now).len(), 2);
+    front.on(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![])));
+    assert_eq!(front.policy.endpoint_statuses(front.now).len(), 2);
 }
 
 /// Guards against a request sent to a kind of server that does not have its model, also where all others are set aside.
@@ -917,39 +872,39 @@
         member(3, 1, 0),
         member(4, 2, 0),
     ];
-    let mixed = |id, now| Ask {
-        kinds: Some(1 << 2),
+    let mixed = |id, now| RequestSpec {
+        allowed_kinds: Some(1 << 2),
         ..ask(id, now)
     };
-    let sent = |kinds: Option<u64>| {
-        let (mut front, _) = Front::new(settings(Effect::Safe), members.clone());
-        let mut hosts = Vec::new();
+    let sent = |allowed_kinds: Option<u64>| {
+        let (mut front, _) = Front::new(settings(Idempotency::Idempotent), members.clone());
+        let mut endpoints = Vec::new();
         // None of them ends: each goes where there is most room.
         for id in 0..40 {
             let now = front.now;
-            hosts.extend(
-                routes(&front.ask(Ask {
-                    kinds,
+            endpoints.extend(
+                routes(&front.ask(RequestSpec {
+                    allowed_kinds,
                     ..ask(id, now)
                 }))
                 .iter()
-                .map(|(_, host)| *host),
+                .map(|(_, endpoint)| *endpoint),
             );
             front.pass(SECOND / 50);
         }
-        hosts.sort_unstable();
-        hosts.dedup();
-        hosts
+        endpoints.sort_unstable();
+        endpoints.dedup();
+        endpoints
     };
     assert_eq!(
         (sent(None), sent(Some(1 << 2))),
         (vec![1, 2, 4], vec![1, 4])
     );
     // None of them is left: it waits, and is refused by its deadline.
-    let (mut front, _) = Front::new(settings(Effect::Safe), members[1..3].to_vec());
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), members[1..3].to_vec());
     let now = front.now;
     let mut actions = front.ask(mixed(1, now));
     actions.extend(front.pass(4 * SECOND).into_iter().map(|(_, action)| action));
     assert_eq!(routes(&actions), vec![]);
-    assert!(actions.iter().any(|a| matches!(a, Action::Shed { .. })));
+    assert!(actions.iter().any(|a| matches!(a, Action::Reject { .. })));
 }
--- a/crates/routing-policy/tests/handover.rs
+++ b/crates/routing-policy/tests/handover.rs
@@ -13,38 +13,31 @@
 #[test]
 fn a_state_whose_writer_leaves_the_list_waits_for_another_one() {
     let (mut front, _) = Front::new(
-        settings(Effect::Unsafe),
+        settings(Idempotency::NonIdempotent),
         vec![member(READER, 0, 0), member(WRITER, 1, 0)],
     );
     assert_eq!(routes(&front.ask(ask(1, front.now))), vec![(1, READER)]);
-    let draining = Member {
-        readiness: Readiness::Draining,
+    let draining = EndpointSpec {
+        state: EndpointState::Draining,
         ..member(WRITER, 1, 0)
     };
-    front.on(Event::Members {
-        form: ListForm::Patch,
-        members: vec![draining],
-    });
+    front.on(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![
+        draining,
+    ])));
     assert_eq!(
-        routes(&front.on(result(1, 0, READER, Outcome::HalfDone))),
+        routes(&front.on(result(1, 0, READER, PREFILLED))),
         vec![],
         "its writer drains"
     );
-    let gone = Member {
-        readiness: Readiness::Gone,
+    let gone = EndpointSpec {
+        state: EndpointState::Removed,
         ..member(WRITER, 1, 0)
     };
-    front.on(Event::Members {
-        form: ListForm::Patch,
-        members: vec![gone],
-    });
+    front.on(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![gone])));
     let other = WRITER + 1;
     let members = vec![member(other, 1, 0)];
     assert_eq!(
-        routes(&front.on(Event::Members {
-            form: ListForm::Patch,
-            members
-        })),
+        routes(&front.on(Event::EndpointsUpdated(EndpointUpdate::Delta(members)))),
         vec![(1, other)]
     );
 }
@@ -52,7 +45,7 @@
 fn releases(actions: impl IntoIterator<Item = Action>) -> usize {
     actions
         .into_iter()
-        .filter(|action| matches!(action, Action::FreeState(_)))
+        .filter(|action| matches!(action, Action::ReleaseState(_)))
         .count()
 }
 
@@ -61,19 +54,19 @@
 #[test]
 fn a_state_is_let_go_in_time_though_its_send_may_not_have_arrived() {
     let members = vec![member(READER, 0, 0), member(WRITER, 1, 0)];
-    let (mut front, _) = Front::new(settings(Effect::Unsafe), members);
+    let (mut front, _) = Front::new(settings(Idempotency::NonIdempotent), members);
     for (id, begins) in [(1, false), (2, true)] {
         front.ask(ask(id, front.now));
         assert_eq!(
-            routes(&front.on(result(id, 0, READER, Outcome::HalfDone))),
+            routes(&front.on(result(id, 0, READER, PREFILLED))),
             vec![(id, WRITER)]
         );
         if begins {
-            front.on(Event::Established {
+            front.on(Event::StreamStarted {
                 id: RequestId(id),
                 attempt: 1,
-                host: HostId(WRITER),
-                spent: 1,
+                endpoint: EndpointId(WRITER),
+                elapsed: 1,
             });
         }
         let meanwhile = front.pass(SECOND / 2).into_iter().map(|(_, action)| action);
@@ -82,6 +75,6 @@
             usize::from(!begins),
             "an answer that has begun holds nothing"
         );
-        front.on(result(id, 1, WRITER, Outcome::Good));
+        front.on(result(id, 1, WRITER, Outcome::Completed));
     }
 }
--- a/crates/routing-policy/tests/lanes.rs
+++ b/crates/routing-policy/tests/lanes.rs
@@ -10,20 +10,20 @@
 /// What one cell's servers report: thousands of tokens waiting at readers, memory and slot shares at writers.
 type Cell = Vec<(f64, f64, f64)>;
 
-fn load(pending_k: f64, memory: f64, util: f64) -> Option<Load> {
-    Some(Load {
-        pending_k: Some(pending_k),
-        memory: Some(memory),
-        util: Some(util),
-        ..Load::default()
+fn load(pending_kilotokens: f64, memory: f64, util: f64) -> Option<LoadReport> {
+    Some(LoadReport {
+        pending_kilotokens: Some(pending_kilotokens),
+        memory_utilization: Some(memory),
+        slot_utilization: Some(util),
+        ..LoadReport::default()
     })
 }
 
-fn probed(host: u64, load: Option<Load>) -> Event {
-    Event::Probed {
-        host: HostId(host),
-        outcome: Outcome::Good,
-        spent: 1_000,
+fn probed(endpoint: u64, load: Option<LoadReport>) -> Event {
+    Event::HealthChecked {
+        endpoint: EndpointId(endpoint),
+        outcome: Outcome::Completed,
+        elapsed: 1_000,
         load,
     }
 }
@@ -56,7 +56,7 @@
     let members = places()
         .flat_map(|(c, p)| [0, 1].map(|kind| member(number(c, p, kind), kind, c as i64)))
         .collect();
-    let (mut front, _) = Front::new(settings(Effect::Safe), members);
+    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), members);
     for (c, p) in places() {
         let (pending, memory, util) = cells[c][p];
         front.on(probed(number(c, p, 0), load(pending, 0.0, 0.0)));
@@ -65,7 +65,7 @@
     let actions = front.ask(ask(1, START));
     let reader = routes(&actions)[0].1 as usize;
     let writer = actions.iter().find_map(|a| match a {
-        Action::Earmark { host, .. } => Some(host.0 as usize),
+        Action::ReserveSlot { endpoint, .. } => Some(endpoint.0 as usize),
         _ => None,
     });
     let writer = writer.expect("a place is asked for");
@@ -103,15 +103,15 @@
 #[test]
 fn a_reader_that_jammed_unseen_is_asked_before_a_read_and_passed_over() {
     let settings = Settings {
-        probing: true,
-        reporting: Reporting::OnProbe,
-        ..settings(Effect::Safe)
+        health_checks: true,
+        load_reporting: LoadReporting::OnHealthCheck,
+        ..settings(Idempotency::Idempotent)
     };
     let members = vec![member(1, 0, 0), member(2, 0, 0), member(3, 1, 0)];
     let touched = |actions: &[Action]| {
         let touch = |a: &Action| {
-            if let Action::Touch(host) = a {
-                Some(host.0)
+            if let Action::HealthCheck(endpoint) = a {
+                Some(endpoint.0)
             } else {
                 None
             }
@@ -120,7 +120,7 @@
     };
     for jammed in [true, false] {
         let (mut front, _) = Front::new(settings.clone(), members.clone());
-        let actions = front.ask(Ask {
+        let actions = front.ask(RequestSpec {
             session: Some(SessionId(5)),
             ..ask(1, front.now)
         });
@@ -149,9 +149,9 @@
 #[test]
 fn the_reader_that_is_next_in_line_is_probed_as_well() {
     let settings = Settings {
-        probing: true,
-        reporting: Reporting::OnProbe,
-        ..settings(Effect::Safe)
+        health_checks: true,
+        load_reporting: LoadReporting::OnHealthCheck,
+        ..settings(Idempotency::Idempotent)
     };
     let members = vec![
         member(1, 0, 0),
@@ -162,8 +162,8 @@
     let (mut front, _) = Front::new(settings, members);
     let touched = |actions: &[Action]| {
         let touch = |a: &Action| {
-            if let Action::Touch(host) = a {
-                Some(host.0)
+            if let Action::HealthCheck(endpoint) = a {
+                Some(endpoint.0)
             } else {
                 None
             }
@@ -194,22 +194,22 @@
     const READERS: [u64; 5] = [1, 2, 3, 4, 5];
     const WRITERS: [u64; 4] = [11, 15, 16, 17];
     // Cell 1 has four readers and one writer, cell 2 one reader and three writers.
-    let cell = |host: u64| if host % 10 < 5 { 1 } else { 2 };
-    let server = |host: &u64| member(*host, usize::from(*host > 10), cell(*host));
+    let cell = |endpoint: u64| if endpoint % 10 < 5 { 1 } else { 2 };
+    let server = |endpoint: &u64| member(*endpoint, usize::from(*endpoint > 10), cell(*endpoint));
     let members = READERS.iter().chain(&WRITERS).map(server).collect();
     let (mut front, _) = Front::new(
         Settings {
-            earmarks: false,
-            ..settings(Effect::Safe)
+            slot_reservations: false,
+            ..settings(Idempotency::Idempotent)
         },
         members,
     );
     let mut written = std::collections::BTreeMap::new();
     for id in 1..=200 {
         let reader = routes(&front.ask(ask(id, front.now)))[0].1;
-        let writer = routes(&front.on(result(id, 0, reader, Outcome::HalfDone)))[0].1;
+        let writer = routes(&front.on(result(id, 0, reader, PREFILLED)))[0].1;
         *written.entry(writer).or_insert(0) += 1;
-        front.on(result(id, 1, writer, Outcome::Good));
+        front.on(result(id, 1, writer, Outcome::Completed));
         front.pass(SECOND / 10);
     }
     assert!(written[&11] < 100, "{written:?}");
--- a/crates/routing-policy/tests/leaving.rs
+++ b/crates/routing-policy/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! What becomes of open requests when the host is about to end.
+//! What becomes of open requests when the endpoint is about to end.
 
 mod common;
 
@@ -11,32 +11,32 @@
 const BY: Micros = 3 * SECOND;
 
 /// A dispatcher among so many, with so many streams running and one request being read.
-fn front(balancers: u32, streams: u32) -> Front {
+fn front(router_count: u32, streams: u32) -> Front {
     let settings = Settings {
-        balancers: Some(balancers),
-        me: Some(0),
-        resume: true,
-        peers: true,
-        ..settings(Effect::Unsafe)
+        router_count: Some(router_count),
+        router_index: Some(0),
+        resumable_streams: true,
+        gossip: true,
+        ..settings(Idempotency::NonIdempotent)
     };
     let mut front = Front::new(settings, vec![member(READER, 0, 0), member(WRITER, 1, 0)]).0;
     for id in 0..streams {
         front.ask(ask(id, front.now));
-        front.on(result(id, 0, READER, Outcome::HalfDone));
-        front.on(Event::Established {
+        front.on(result(id, 0, READER, PREFILLED));
+        front.on(Event::StreamStarted {
             id: RequestId(id),
             attempt: 1,
-            host: HostId(WRITER),
-            spent: 1,
+            endpoint: EndpointId(WRITER),
+            elapsed: 1,
         });
     }
     assert_eq!(
         routes(&front.ask(ask(streams, front.now))),
         [(streams, READER)]
     );
-    front.on(Event::Leaving {
-        from: front.now + FROM,
-        by: front.now + BY,
+    front.on(Event::ShutdownStarted {
+        migrate_from: front.now + FROM,
+        answer_by: front.now + BY,
     });
     front
 }
@@ -47,16 +47,15 @@
     let end = front.now + span;
     while front.now < end {
         for (_, action) in front.pass(SECOND / 100) {
-            if let Action::Bounce(id) = action {
+            if let Action::Migrate(id) = action {
                 moved.push(id.0);
-                front.on(Event::Result {
+                front.on(Event::AttemptEnded {
                     id,
                     attempt: 1,
-                    host: HostId(WRITER),
+                    endpoint: EndpointId(WRITER),
                     outcome: Outcome::Cancelled,
-                    info: 0,
-                    no_more: true,
-                    spent: 1,
+                    client_done: true,
+                    elapsed: 1,
                     load: None,
                 });
             }
@@ -85,9 +84,9 @@
 #[test]
 fn streams_are_not_moved_while_all_others_are_away() {
     let mut front = front(2, 3);
-    front.on(Event::Peer {
+    front.on(Event::GossipReceived {
         from: 1,
-        bytes: vec![1],
+        payload: vec![1],
     });
     assert_eq!(moved(&mut front, BY - SECOND / 10), [0; 0]);
     assert_eq!(
@@ -100,13 +99,13 @@
 #[test]
 fn one_that_left_long_ago_is_back() {
     let mut front = front(2, 3);
-    front.on(Event::Peer {
+    front.on(Event::GossipReceived {
         from: 1,
-        bytes: vec![1],
+        payload: vec![1],
     });
-    front.on(Event::Leaving {
-        from: front.now + 6 * SECOND,
-        by: front.now + 9 * SECOND,
+    front.on(Event::ShutdownStarted {
+        migrate_from: front.now + 6 * SECOND,
+        answer_by: front.now + 9 * SECOND,
     });
     assert_eq!(moved(&mut front, 7 * SECOND).len(), 3);
 }
@@ -119,15 +118,15 @@
     let before = front.pass(BY - SECOND / 10);
     assert!(before
         .iter()
-        .all(|(_, a)| !matches!(a, Action::Shed { .. } | Action::Abort { .. })));
+        .all(|(_, a)| !matches!(a, Action::Reject { .. } | Action::CancelAttempt { .. })));
     let end: Vec<_> = front.pass(SECOND / 5).into_iter().map(|(_, a)| a).collect();
     let id = RequestId(0);
-    assert!(end.contains(&Action::Abort { id, attempt: 0 }));
+    assert!(end.contains(&Action::CancelAttempt { id, attempt: 0 }));
     assert_eq!(
         end.iter()
             .filter(|a| matches!(
                 a,
-                Action::Shed {
+                Action::Reject {
                     id: RequestId(0),
                     ..
                 }
@@ -142,7 +141,7 @@
     assert!(
         after.into_iter().any(|a| matches!(
             a,
-            Action::Shed {
+            Action::Reject {
                 id: RequestId(9),
                 ..
             }
@@ -160,22 +159,22 @@
         let mut heard = vec![0; all as usize];
         for me in 0..all {
             let settings = Settings {
-                balancers: Some(all),
-                me: Some(me),
-                resume: true,
-                peers: true,
-                ..settings(Effect::Safe)
+                router_count: Some(all),
+                router_index: Some(me),
+                resumable_streams: true,
+                gossip: true,
+                ..settings(Idempotency::Idempotent)
             };
             let (mut front, _) = Front::seeded(settings, vec![member(READER, 0, 0)], me.into());
-            front.on(Event::Leaving {
-                from: front.now + FROM,
-                by: front.now + BY,
+            front.on(Event::ShutdownStarted {
+                migrate_from: front.now + FROM,
+                answer_by: front.now + BY,
             });
             let mut told: Vec<u32> = Vec::new();
             for (_, action) in front.pass(BY) {
                 match action {
-                    Action::Publish { to: Some(to), .. } => told.push(to),
-                    Action::Publish { to: None, .. } => panic!("all are told"),
+                    Action::Gossip { to: Some(to), .. } => told.push(to),
+                    Action::Gossip { to: None, .. } => panic!("all are told"),
                     _ => {}
                 }
             }
--- a/crates/routing-policy/tests/openings.rs
+++ b/crates/routing-policy/tests/openings.rs
@@ -27,13 +27,13 @@
     }
 
     fn with(dispatchers: u32, readers: u64) -> Fleet {
-        let readers = (1..=readers).map(|host| member(host, 0, 0));
-        let members: Vec<Member> = readers.chain([member(100, 1, 0)]).collect();
+        let readers = (1..=readers).map(|endpoint| member(endpoint, 0, 0));
+        let members: Vec<EndpointSpec> = readers.chain([member(100, 1, 0)]).collect();
         let front = |me: u32| {
             let settings = Settings {
-                balancers: Some(dispatchers),
-                me: Some(me),
-                ..settings(Effect::Safe)
+                router_count: Some(dispatchers),
+                router_index: Some(me),
+                ..settings(Idempotency::Idempotent)
             };
             Front::seeded(settings, members.clone(), u64::from(me) + 1).0
         };
@@ -52,11 +52,11 @@
         let turn = id as usize % self.fronts.len();
         let front = &mut self.fronts[turn];
         self.asked += 1;
-        let asked = Ask {
+        let asked = RequestSpec {
             session: Some(SessionId(u64::from(id) * 7_919 + 1)),
-            prefix: Some(PrefixId(opening * 104_729 + 5)),
+            shared_prefix: Some(PrefixId(opening * 104_729 + 5)),
             prompt_tokens: OPENING + TURN,
-            shared_tokens: OPENING,
+            shared_prefix_tokens: OPENING,
             ..ask(id, front.now)
         };
         let sent = routes(&front.ask(asked));
@@ -65,15 +65,15 @@
         self.of_openings += if known { 0 } else { OPENING };
         self.read += TURN + if known { 0 } else { OPENING };
         front.pass(10_000);
-        let answers = routes(&front.on(result(id, 0, reader, Outcome::HalfDone)));
+        let answers = routes(&front.on(result(id, 0, reader, PREFILLED)));
         assert_eq!(answers, vec![(id, 100)]);
-        front.on(Event::Established {
+        front.on(Event::StreamStarted {
             id: RequestId(id),
             attempt: 1,
-            host: HostId(100),
-            spent: 1,
+            endpoint: EndpointId(100),
+            elapsed: 1,
         });
-        front.on(result(id, 1, 100, Outcome::Good));
+        front.on(result(id, 1, 100, Outcome::Completed));
         front.pass(SECOND);
         reader
     }
