--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,7 +5,9 @@
 
 use std::time::Duration;
 
-use cranetack_routing_policy::{Class, Effect, KeyScope, Kind, Reporting, Settings, Stage, ZoneId};
+use cranetack_routing_policy::{
+    Class, Idempotency, KeyScope, Kind, LoadReporting, Role, Settings, ZoneId,
+};
 use serde::Deserialize;
 
 pub use check::OutOfRange;
@@ -165,8 +167,8 @@
             .map(|(i, c)| self.class(i, c));
         let kinds = (0..self.kinds.len()).map(|i| self.kind(i));
         Ok(Settings {
-            balancers: self.balancers,
-            me: self.me,
+            router_count: self.balancers,
+            router_index: self.me,
             zone: self
                 .az
                 .as_ref()
@@ -174,34 +176,34 @@
                 .map(ZoneId),
             classes: classes.collect::<Result<_, _>>()?,
             kinds: kinds.collect::<Result<_, _>>()?,
-            period: micros(self.period_us),
-            earmarks: self.domain.ahead,
-            writers_read: self.domain.self_prefill,
-            resume: self.domain.resume,
-            pin_limit: micros(self.domain.pin_limit_us),
-            reporting: match self.report.how.as_deref() {
-                Some("piggyback") => Reporting::WithOutcomes,
-                Some("pull") => Reporting::OnProbe,
-                Some("silent") | None => Reporting::Never,
+            event_interval: micros(self.period_us),
+            slot_reservations: self.domain.ahead,
+            decode_can_prefill: self.domain.self_prefill,
+            resumable_streams: self.domain.resume,
+            kv_lease_timeout: micros(self.domain.pin_limit_us),
+            load_reporting: match self.report.how.as_deref() {
+                Some("piggyback") => LoadReporting::WithOutcomes,
+                Some("pull") => LoadReporting::OnHealthCheck,
+                Some("silent") | None => LoadReporting::Never,
                 Some(other) => return Err(format!("unknown way of reporting {other:?}")),
             },
-            probing: self.allowed.probing,
-            cancelling: self.allowed.cancelling,
-            peers: self.allowed.peers,
-            parallel_tries: self.allowed.parallel_tries,
+            health_checks: self.allowed.probing,
+            cancellation: self.allowed.cancelling,
+            gossip: self.allowed.peers,
+            hedging: self.allowed.parallel_tries,
             max_attempts: self.allowed.max_attempts,
             retry_after: self.allowed.retry_after,
             max_retry_after: micros(self.allowed.max_retry_after_us),
-            membership_asked: match self.membership_mode.as_deref() {
+            endpoints_are_polled: match self.membership_mode.as_deref() {
                 Some("ask") => true,
                 Some("push") | None => false,
                 Some(other) => return Err(format!("unknown membership mode {other:?}")),
             },
-            ask_within: micros(self.rules.ask_within_us),
-            answer_slack: micros(self.rules.answer_slack_us),
-            fall_multiple: self.rules.fall_multiple,
-            fall_window: micros(self.rules.fall_us),
-            start_capacity: self.rules.start_capacity,
+            poll_interval: micros(self.rules.ask_within_us),
+            response_slack: micros(self.rules.answer_slack_us),
+            overload_multiple: self.rules.fall_multiple,
+            overload_window: micros(self.rules.fall_us),
+            cold_capacity: self.rules.start_capacity,
             warm_up: micros(self.rules.warm_up_us),
         })
     }
@@ -213,39 +215,39 @@
             Some("cell") | None => Some(KeyScope::Cell),
             Some(_) => None,
         };
-        let effect = match (facts.idempotency.as_deref(), scope) {
-            (Some("safe"), _) => Effect::Safe,
-            (Some("keyed"), Some(scope)) => Effect::Keyed(scope),
+        let idempotency = match (facts.idempotency.as_deref(), scope) {
+            (Some("safe"), _) => Idempotency::Idempotent,
+            (Some("keyed"), Some(scope)) => Idempotency::Keyed(scope),
             (Some("keyed"), None) => {
                 return Err(format!("class {:?}: unknown key scope", facts.name))
             }
-            (Some("unsafe") | None, _) => Effect::Unsafe,
+            (Some("unsafe") | None, _) => Idempotency::NonIdempotent,
             (Some(other), _) => {
                 return Err(format!("class {:?}: unknown effect {other:?}", facts.name))
             }
         };
         let nth = |list: &Option<Vec<f64>>| list.as_ref().and_then(|l| l.get(index).copied());
         Ok(Class {
-            aim: micros(facts.goal_time_us),
-            aim_per_1000: nth(&self.domain.aim_us_per_1000_prompt_tokens),
-            token_aim: micros(nth(&self.domain.token_aim_us)),
-            effect,
+            latency_objective: micros(facts.goal_time_us),
+            latency_objective_per_1000_tokens: nth(&self.domain.aim_us_per_1000_prompt_tokens),
+            token_interval_objective: micros(nth(&self.domain.token_aim_us)),
+            idempotency,
             dedup_window: micros(facts.dedup_window_us),
-            worth: facts.points,
+            priority_weight: facts.points,
         })
     }
 
     fn kind(&self, index: usize) -> Result<Kind, String> {
-        let stage = match self
+        let role = match self
             .domain
             .stage_of_kind
             .as_ref()
             .and_then(|s| s.get(index))
             .map(String::as_str)
         {
-            Some("read") => Some(Stage::Read),
-            Some("write") => Some(Stage::Write),
-            Some("both") => Some(Stage::Both),
+            Some("read") => Some(Role::Prefill),
+            Some("write") => Some(Role::Decode),
+            Some("both") => Some(Role::Mixed),
             None => None,
             Some(other) => return Err(format!("unknown stage {other:?}")),
         };
@@ -255,7 +257,7 @@
             .as_ref()
             .and_then(|m| m.get(index).copied());
         Ok(Kind {
-            stage,
+            role,
             memory_tokens,
         })
     }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -4,8 +4,9 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 use cranetack_routing_policy::{
-    Action, Ask, CellId, ClassId, Event, HostId, KindId, ListForm, Load, Member, Outcome, Policy,
-    PrefixId, Readiness, RequestId, SessionId, ZoneId,
+    Action, CellId, ClassId, ConnectFailure, EndpointId, EndpointSpec, EndpointState,
+    EndpointUpdate, Event, KindId, LoadReport, Outcome, Policy, PrefixId, RejectReason, RequestId,
+    RequestSpec, ResetCause, SessionId, TimerKey, ZoneId,
 };
 use cranetack_settings::Facts;
 use serde::Deserialize;
@@ -34,9 +35,9 @@
 #[derive(Clone)]
 struct Listed {
     host: String,
-    last_start: Option<i64>,
+    started_at: Option<i64>,
     kind: String,
-    readiness: Readiness,
+    state: EndpointState,
     cell: i64,
     weight: f64,
     zone: String,
@@ -216,6 +217,9 @@
             .instances
             .get_mut(&id)
             .ok_or_else(|| format!("{name:?} before any \"attach\""))?;
+        if name == "reminder" && TimerKey::decode(fields.count(0)?).is_none() {
+            return Ok(());
+        }
         let event = instance.event(&fields, catalogs)?;
         instance.decide(now, event, out);
         Ok(())
@@ -244,12 +248,12 @@
     };
     Ok(Listed {
         host: fields.text(0)?.to_owned(),
-        last_start: fields.opt_int(1)?.filter(|at| *at != 0),
+        started_at: fields.opt_int(1)?.filter(|at| *at != 0),
         kind: fields.text(2)?.to_owned(),
-        readiness: match fields.text(3)? {
-            "U" => Readiness::Up,
-            "L" => Readiness::Draining,
-            "D" => Readiness::Gone,
+        state: match fields.text(3)? {
+            "U" => EndpointState::Active,
+            "L" => EndpointState::Draining,
+            "D" => EndpointState::Removed,
             _ => return Err(fields.wrong(3, "U, L or D")),
         },
         cell: fields.opt_int(4)?.unwrap_or(0),
@@ -258,17 +262,21 @@
     })
 }
 
-fn outcome(fields: &Fields, index: usize) -> Result<Outcome, String> {
-    Ok(match fields.text(index)? {
-        "GOOD" => Outcome::Good,
-        "BAD" => Outcome::Bad,
-        "FULL" => Outcome::Full,
-        "LATE" => Outcome::Late,
-        "NOCONN" => Outcome::NoConn,
-        "RST" => Outcome::Reset,
-        "CXL" => Outcome::Cancelled,
-        "NOP" => Outcome::Nop,
-        "half_done" => Outcome::HalfDone,
+/// Decodes an outcome; `info` is the number beside it, whose meaning depends on the outcome.
+fn outcome(fields: &Fields, index: usize, info: u64) -> Result<Outcome, String> {
+    Ok(match (fields.text(index)?, info) {
+        ("GOOD", _) => Outcome::Completed,
+        ("BAD", _) => Outcome::ServerError,
+        ("FULL", 1) => Outcome::Rejected(RejectReason::NoKvState),
+        ("FULL", _) => Outcome::Rejected(RejectReason::Overloaded),
+        ("LATE", _) => Outcome::TimedOut,
+        ("NOCONN", 1) => Outcome::ConnectFailed(ConnectFailure::LocalResources),
+        ("NOCONN", _) => Outcome::ConnectFailed(ConnectFailure::Unreachable),
+        ("RST", 1) => Outcome::ConnectionReset(ResetCause::StaleIdle),
+        ("RST", _) => Outcome::ConnectionReset(ResetCause::InUse),
+        ("CXL", _) => Outcome::Cancelled,
+        ("NOP", _) => Outcome::NotSent,
+        ("half_done", cached_tokens) => Outcome::Prefilled { cached_tokens },
         _ => return Err(fields.wrong(index, "an outcome")),
     })
 }
@@ -324,13 +332,13 @@
         Ok(RequestId(self.requests.id(fields.text(index)?)))
     }
 
-    fn host_id(&mut self, word: &str) -> HostId {
+    fn host_id(&mut self, word: &str) -> EndpointId {
         let id = stable(word);
         self.hosts.entry(id).or_insert_with(|| word.to_owned());
-        HostId(id)
+        EndpointId(id)
     }
 
-    fn host(&mut self, fields: &Fields, index: usize) -> Result<HostId, String> {
+    fn host(&mut self, fields: &Fields, index: usize) -> Result<EndpointId, String> {
         Ok(self.host_id(fields.text(index)?))
     }
 
@@ -341,49 +349,54 @@
     ) -> Result<Event, String> {
         Ok(match f.name {
             "directory_update" => self.members(f, catalogs)?,
-            "ask" => Event::Ask(self.ask(f)?),
-            "established" => Event::Established {
+            "ask" => Event::RequestArrived(self.ask(f)?),
+            "established" => Event::StreamStarted {
                 id: self.request(f, 0)?,
                 attempt: f.small(1)?,
-                host: self.host(f, 2)?,
-                spent: f.opt_int(3)?.unwrap_or(0),
+                endpoint: self.host(f, 2)?,
+                elapsed: f.opt_int(3)?.unwrap_or(0),
             },
-            "answer_ahead" => Event::Earmarked {
+            "answer_ahead" => Event::SlotReservationAnswered {
                 id: self.request(f, 0)?,
-                held: match f.int(1)? {
+                granted: match f.int(1)? {
                     1 => true,
                     2 => false,
                     _ => return Err(f.wrong(1, "1 or 2")),
                 },
-                host: self.host(f, 4)?,
-            },
-            "result" => Event::Result {
-                id: self.request(f, 0)?,
-                info: f.count(1)?,
-                host: self.host(f, 2)?,
-                attempt: f.small(3)?,
-                outcome: outcome(f, 4)?,
-                no_more: f.flag(5)?,
-                spent: f.opt_int(6)?.unwrap_or(0),
-                load: self.load(f, 7)?,
+                endpoint: self.host(f, 4)?,
             },
-            "timed_out_client" => Event::ClientGone(self.request(f, 0)?),
-            "reminder" => Event::Timer(f.count(0)?),
-            "health_result" => Event::Probed {
-                spent: f.opt_int(0)?.unwrap_or(0),
-                outcome: outcome(f, 1)?,
-                host: self.host(f, 2)?,
+            "result" => {
+                let id = self.request(f, 0)?;
+                let info = f.count(1)?;
+                Event::AttemptEnded {
+                    id,
+                    endpoint: self.host(f, 2)?,
+                    attempt: f.small(3)?,
+                    outcome: outcome(f, 4, info)?,
+                    client_done: f.flag(5)?,
+                    elapsed: f.opt_int(6)?.unwrap_or(0),
+                    load: self.load(f, 7)?,
+                }
+            }
+            "timed_out_client" => Event::ClientDisconnected(self.request(f, 0)?),
+            "reminder" => Event::TimerFired(
+                TimerKey::decode(f.count(0)?).ok_or_else(|| f.wrong(0, "a timer key"))?,
+            ),
+            "health_result" => Event::HealthChecked {
+                elapsed: f.opt_int(0)?.unwrap_or(0),
+                outcome: outcome(f, 1, 0)?,
+                endpoint: self.host(f, 2)?,
                 load: self.load(f, 3)?,
             },
-            "peer_data" => Event::Peer {
+            "peer_data" => Event::GossipReceived {
                 from: f.small(0)?,
-                bytes: bytes(f, 1)?,
+                payload: bytes(f, 1)?,
             },
             other => return Err(format!("unknown message {other:?}")),
         })
     }
 
-    fn ask(&mut self, f: &Fields) -> Result<Ask, String> {
+    fn ask(&mut self, f: &Fields) -> Result<RequestSpec, String> {
         let class = f.text(1)?;
         let class = self.facts.classes.iter().position(|c| c.name == class);
         let class = class.ok_or_else(|| f.wrong(1, "a class of the settings"))?;
@@ -393,19 +406,19 @@
                 return Err(f.wrong(2, "a tenant of the settings"));
             }
         }
-        Ok(Ask {
+        Ok(RequestSpec {
             id: self.request(f, 0)?,
             class: ClassId(class),
             session: f.opt_text(3)?.map(|s| SessionId(stable(s))),
-            valid_until: f.int(4)?,
-            hint: f.opt_int(5)?,
-            prefix: f.opt_text(6)?.map(|p| PrefixId(stable(p))),
+            deadline: f.int(4)?,
+            expected_duration: f.opt_int(5)?,
+            shared_prefix: f.opt_text(6)?.map(|p| PrefixId(stable(p))),
             prompt_tokens: f.count(7)?,
-            shared_tokens: f.count(8)?,
+            shared_prefix_tokens: f.count(8)?,
             max_tokens: f.count(9)?,
-            retry: f.flag(10)?,
-            came_back: f.flag(11)?,
-            kinds: None,
+            is_retry: f.flag(10)?,
+            is_resumed: f.flag(11)?,
+            allowed_kinds: None,
         })
     }
 
@@ -414,45 +427,40 @@
         f: &Fields,
         catalogs: &BTreeMap<u64, Vec<Listed>>,
     ) -> Result<Event, String> {
-        let form = match f.text(0)? {
-            "patch" => ListForm::Patch,
-            "whole" => ListForm::Whole,
-            "stale_copy" => ListForm::Stale,
-            "broken" => {
-                return Ok(Event::Members {
-                    form: ListForm::Broken,
-                    members: Vec::new(),
-                })
-            }
+        let update = match f.text(0)? {
+            "patch" => EndpointUpdate::Delta,
+            "whole" => EndpointUpdate::Snapshot,
+            "stale_copy" => EndpointUpdate::Restored,
+            "broken" => return Ok(Event::EndpointsUpdated(EndpointUpdate::PollFailed)),
             _ => return Err(f.wrong(0, "patch, whole, stale_copy or broken")),
         };
         let lines = catalogs
             .get(&f.count(2)?)
             .ok_or_else(|| f.wrong(2, "the number of a catalog"))?;
-        let members = lines
+        let entries = lines
             .iter()
             .map(|line| self.member(line))
             .collect::<Result<_, _>>()?;
-        Ok(Event::Members { form, members })
+        Ok(Event::EndpointsUpdated(update(entries)))
     }
 
-    fn member(&mut self, line: &Listed) -> Result<Member, String> {
+    fn member(&mut self, line: &Listed) -> Result<EndpointSpec, String> {
         let find = |names: &[String], name: &str, what: &str| {
             let at = names.iter().position(|n| n == name);
             at.ok_or_else(|| format!("catalog entry {:?}: unknown {what} {name:?}", line.host))
         };
-        Ok(Member {
-            host: self.host_id(&line.host),
-            last_start: line.last_start,
+        Ok(EndpointSpec {
+            id: self.host_id(&line.host),
+            started_at: line.started_at,
             kind: KindId(find(&self.facts.kinds, &line.kind, "kind")?),
-            readiness: line.readiness,
+            state: line.state,
             cell: CellId(line.cell),
             weight: line.weight,
             zone: ZoneId(find(&self.facts.zones, &line.zone, "zone")?),
         })
     }
 
-    fn load(&self, f: &Fields, index: usize) -> Result<Option<Load>, String> {
+    fn load(&self, f: &Fields, index: usize) -> Result<Option<LoadReport>, String> {
         let Some(value) = f.opt(index) else {
             return Ok(None);
         };
@@ -467,40 +475,40 @@
                 .ok_or_else(|| f.wrong(index, "an object of names and numbers")),
         };
         let column = |name: &Option<String>| name.as_deref().map_or(Ok(None), figure);
-        Ok(Some(Load {
-            inflight: figure("inflight")?,
-            queue: figure("queue")?,
-            util: figure("util")?,
-            memory: column(&self.facts.report.memory_column)?,
-            pending_k: column(&self.facts.report.pending_column)?,
+        Ok(Some(LoadReport {
+            in_flight: figure("inflight")?,
+            queued: figure("queue")?,
+            slot_utilization: figure("util")?,
+            memory_utilization: column(&self.facts.report.memory_column)?,
+            pending_kilotokens: column(&self.facts.report.pending_column)?,
         }))
     }
 
     fn action(&self, action: &Action) -> Value {
         let request = |id: &RequestId| self.requests.word(id.0);
-        let host = |id: &HostId| self.hosts.get(&id.0).map_or("", String::as_str);
+        let host = |id: &EndpointId| self.hosts.get(&id.0).map_or("", String::as_str);
         match action {
-            Action::Route {
+            Action::Send {
                 id,
-                host: h,
-                expire,
+                endpoint: h,
+                expires_at,
                 ..
-            } => json!(["route", request(id), host(h), expire]),
-            Action::Earmark { id, host: h } => json!(["earmark", request(id), host(h)]),
-            Action::FreeState(id) => json!(["free_state", request(id)]),
-            Action::Abort { id, attempt } => json!(["abort_attempt", request(id), attempt]),
-            Action::Shed { id, pause } => json!(["shed", request(id), pause]),
-            Action::Lose(id) => json!(["lose", request(id)]),
-            Action::Bounce(id) => json!(["bounce", request(id)]),
-            Action::Sleep { at, key } => json!(["sleep", at, key]),
-            Action::Touch(h) => json!(["touch", host(h)]),
-            Action::FreeLinks(h) => json!(["free_links", host(h)]),
-            Action::Publish { to, bytes } => {
-                let hex: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
+            } => json!(["route", request(id), host(h), expires_at]),
+            Action::ReserveSlot { id, endpoint: h } => json!(["earmark", request(id), host(h)]),
+            Action::ReleaseState(id) => json!(["free_state", request(id)]),
+            Action::CancelAttempt { id, attempt } => json!(["abort_attempt", request(id), attempt]),
+            Action::Reject { id, retry_after } => json!(["shed", request(id), retry_after]),
+            Action::Fail(id) => json!(["lose", request(id)]),
+            Action::Migrate(id) => json!(["bounce", request(id)]),
+            Action::SetTimer { at, key } => json!(["sleep", at, key.encode()]),
+            Action::HealthCheck(h) => json!(["touch", host(h)]),
+            Action::CloseIdle(h) => json!(["free_links", host(h)]),
+            Action::Gossip { to, payload } => {
+                let hex: String = payload.iter().map(|b| format!("{b:02x}")).collect();
                 json!(["publish", to.map_or(-1, i64::from), hex])
             }
-            Action::Subscribe(want) => json!(["stream_changes", want]),
-            Action::Fetch => json!(["fetch"]),
+            Action::SubscribeEndpoints(want) => json!(["stream_changes", want]),
+            Action::FetchEndpoints => json!(["fetch"]),
             Action::Log(line) => json!(["print", line]),
         }
     }
