--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cranetack_routing_policy::Settings;
-use cranetack_settings::Facts;
+use cranetack_settings::SiteSettings;
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use tokio::sync::watch;
@@ -100,7 +100,7 @@
     peers: Vec<SocketAddr>,
     peers_all: Option<SocketAddr>,
     known: Option<List>,
-    settings: Facts,
+    settings: SiteSettings,
 }
 
 /// Addresses for messages between routers.
@@ -179,7 +179,7 @@
     /// The last list of workers that it held.
     pub known: Option<List>,
     /// The settings by name.
-    pub facts: Facts,
+    pub site: SiteSettings,
     /// The settings in the module's types.
     pub settings: Settings,
 }
@@ -226,13 +226,13 @@
                 file.limits.sockets
             ));
         }
-        let mut facts = file.settings;
-        facts.name_columns();
+        let mut site = file.settings;
+        site.name_columns();
         // Discovery is always watched here, so the module never has to ask for the list.
         let settings = Settings {
             endpoints_are_polled: false,
-            ..facts
-                .settings()
+            ..site
+                .policy_settings()
                 .map_err(|message| format!("settings: {message}"))?
         };
         let peering = file.peer_listen.filter(|_| settings.gossip);
@@ -248,7 +248,7 @@
                 all: file.peers_all,
             }),
             known: file.known,
-            facts,
+            site,
             settings,
         })
     }
--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cranetack_routing_policy::{EndpointState, EndpointStatus};
-use cranetack_settings::Facts;
+use cranetack_settings::SiteSettings;
 use cranetack_xds_server::{Health, Server, Snapshot};
 use serde::Deserialize;
 use tokio::sync::watch;
@@ -51,7 +51,7 @@
 pub async fn survey(
     handle: Handle,
     setup: Setup,
-    facts: Facts,
+    site: SiteSettings,
     snapshots: watch::Sender<Snapshot>,
 ) {
     let mut every = tokio::time::interval(Duration::from_millis(setup.period_ms.into()));
@@ -64,7 +64,7 @@
         let Some(endpoint_status) = handle.endpoint_reports().await else {
             return;
         };
-        let now = snapshot(&endpoint_status, &facts, setup.weight_steps);
+        let now = snapshot(&endpoint_status, &site, setup.weight_steps);
         snapshots.send_if_modified(|shown| {
             let changed = *shown != now;
             *shown = now;
@@ -74,8 +74,8 @@
 }
 
 /// A cluster for each kind of server, named as the settings name it.
-fn snapshot(endpoint_status: &[EndpointReport], facts: &Facts, steps: u32) -> Snapshot {
-    let mut snapshot: Snapshot = facts
+fn snapshot(endpoint_status: &[EndpointReport], site: &SiteSettings, steps: u32) -> Snapshot {
+    let mut snapshot: Snapshot = site
         .kinds
         .iter()
         .map(|kind| (kind.clone(), Vec::new()))
@@ -100,13 +100,13 @@
         let name = |names: &[String], at: usize| names.get(at).cloned().unwrap_or_default();
         let server = Server {
             address: *address,
-            zone: name(&facts.zones, spec.zone.0),
+            zone: name(&site.zones, spec.zone.0),
             cell: spec.cell.0.to_string(),
             health,
             weight: ((score.clamp(0.0, 1.0) * f64::from(steps)).round() as u32).max(1),
         };
         snapshot
-            .entry(name(&facts.kinds, spec.kind.0))
+            .entry(name(&site.kinds, spec.kind.0))
             .or_default()
             .push(server);
     }
--- a/crates/router/src/control/tests.rs
+++ b/crates/router/src/control/tests.rs
@@ -6,8 +6,8 @@
 
 #[test]
 fn the_modules_standing_becomes_health_and_weight() {
-    let facts = serde_json::json!({"classes": [], "kinds": ["prefill", "decode"], "zones": ["a"]});
-    let facts: Facts = serde_json::from_value(facts).unwrap();
+    let site = serde_json::json!({"classes": [], "kinds": ["prefill", "decode"], "zones": ["a"]});
+    let site: SiteSettings = serde_json::from_value(site).unwrap();
     let endpoint_status = |port: u16, state, accepts_work, score| {
         let endpoint = EndpointId(port.into());
         let member = EndpointSpec {
@@ -35,7 +35,7 @@
         endpoint_status(2, EndpointState::Active, false, 0.0),
         endpoint_status(1, EndpointState::Active, true, 0.8),
     ];
-    let shown = snapshot(&all, &facts, 10);
+    let shown = snapshot(&all, &site, 10);
     assert!(shown["prefill"].is_empty());
     let servers: Vec<_> = shown["decode"]
         .iter()
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use cranetack_routing_policy::{CellId, EndpointState, KindId, ZoneId};
-use cranetack_settings::Facts;
+use cranetack_settings::SiteSettings;
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -150,9 +150,9 @@
 
 impl List {
     /// The names of workers that take nothing new by lines that are left out otherwise.
-    pub fn leaving(&self, facts: &Facts) -> Vec<String> {
+    pub fn leaving(&self, site: &SiteSettings) -> Vec<String> {
         let unknown =
-            |e: &&Endpoint| !facts.zones.contains(&e.zone) || !facts.kinds.contains(&e.kind);
+            |e: &&Endpoint| !site.zones.contains(&e.zone) || !site.kinds.contains(&e.kind);
         let unknown = self
             .endpoints
             .iter()
@@ -167,10 +167,10 @@
 
     /// The lines in the core's terms. A line with a zone or kind that the settings do not name is left out:
     /// one odd worker must not cost the others.
-    pub fn listed(&self, facts: &Facts) -> Vec<EndpointEntry> {
+    pub fn listed(&self, site: &SiteSettings) -> Vec<EndpointEntry> {
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
         let line = |e: &Endpoint| {
-            let (zone, kind) = (place(&facts.zones, &e.zone), place(&facts.kinds, &e.kind));
+            let (zone, kind) = (place(&site.zones, &e.zone), place(&site.kinds, &e.kind));
             if zone.is_none() || kind.is_none() {
                 tracing::warn!(
                     worker = e.name,
@@ -270,7 +270,7 @@
 pub async fn watch(
     mut address: watch::Receiver<SocketAddr>,
     mut known: Option<u64>,
-    facts: Facts,
+    site: SiteSettings,
     handle: Handle,
     fresh: watch::Sender<bool>,
     mut pace: Pace,
@@ -287,7 +287,7 @@
                 tracing::info!("discovery has moved");
                 pace.succeeded(); // the failures were another address's
             }
-            () = follow(|| connect(at), known.take(), &facts, &handle, &fresh, &mut pace) => {}
+            () = follow(|| connect(at), known.take(), &site, &handle, &fresh, &mut pace) => {}
         }
     }
 }
@@ -296,7 +296,7 @@
 async fn follow<C, F>(
     connect: C,
     mut index: Option<u64>,
-    facts: &Facts,
+    site: &SiteSettings,
     handle: &Handle,
     fresh: &watch::Sender<bool>,
     pace: &mut Pace,
@@ -332,8 +332,8 @@
                     EndpointListUpdate::Delta
                 };
                 // Every answer concerns the core: that there are no news tells how recent the next ones are.
-                handle.send(CoreEvent::EndpointsUpdated(update(list.listed(facts))));
-                let leaving = list.leaving(facts);
+                handle.send(CoreEvent::EndpointsUpdated(update(list.listed(site))));
+                let leaving = list.leaving(site);
                 if !leaving.is_empty() {
                     handle.send(CoreEvent::EndpointsDraining(leaving));
                 }
--- a/crates/router/src/discovery/tests.rs
+++ b/crates/router/src/discovery/tests.rs
@@ -227,7 +227,7 @@
         }
     };
     let (fresh, _) = watch::channel(false);
-    let facts: Facts =
+    let site: SiteSettings =
         serde_json::from_str(r#"{"classes": [], "kinds": [], "zones": []}"#).unwrap();
     let mut pace = Pace::new(Some(routers), None, seed);
     let told = async {
@@ -238,7 +238,7 @@
         }
     };
     tokio::select! {
-        () = follow(agent, Some(0), &facts, &handle, &fresh, &mut pace) => unreachable!("it follows for ever"),
+        () = follow(agent, Some(0), &site, &handle, &fresh, &mut pace) => unreachable!("it follows for ever"),
         () = told => {}
     }
     began.elapsed().saturating_sub(NEWS)
@@ -276,8 +276,8 @@
 /// Guards against a list that is lost for one line of it.
 #[test]
 fn a_line_that_cannot_be_read_or_is_not_known_costs_itself_alone() {
-    let facts = r#"{"classes": [], "kinds": ["m"], "zones": ["a"]}"#;
-    let facts: Facts = serde_json::from_str(facts).unwrap();
+    let site = r#"{"classes": [], "kinds": ["m"], "zones": ["a"]}"#;
+    let site: SiteSettings = serde_json::from_str(site).unwrap();
     let line = |name: &str, address: &str, zone: &str, status: &str| {
         format!(
             r#"{{"name": "{name}", "address": "{address}",
@@ -302,7 +302,7 @@
         lines.join(",\n    ")
     );
     let list: List = serde_json::from_str(&text).unwrap();
-    let listed = list.listed(&facts);
+    let listed = list.listed(&site);
     let read: Vec<_> = listed
         .iter()
         .map(|l| (l.name.as_str(), l.address.port(), l.state))
@@ -314,7 +314,7 @@
     );
     // Lines that are left out must not hide that a server takes nothing new.
     assert_eq!(
-        list.leaving(&facts),
+        list.leaving(&site),
         ["no port either", "bare", "no zone either"]
     );
 }
@@ -359,7 +359,7 @@
     };
     let script = VecDeque::from([list(7, "draining"), list(3, "up"), list(2, "draining")]);
     let asked = Rc::new(RefCell::new(Vec::new()));
-    let facts: Facts =
+    let site: SiteSettings =
         serde_json::from_str(r#"{"classes": [], "kinds": ["m"], "zones": ["a"]}"#).unwrap();
     let (handle, mut events) = Handle::new();
     let agent = || {
@@ -380,7 +380,7 @@
             }
         }
     };
-    let following = follow(agent, Some(5), &facts, &handle, &fresh, &mut pace);
+    let following = follow(agent, Some(5), &site, &handle, &fresh, &mut pace);
     let local = tokio::task::LocalSet::new();
     local
         .run_until(async {
--- a/crates/router/src/front/inference/held.rs
+++ b/crates/router/src/frontend/inference/held.rs
@@ -8,7 +8,7 @@
 use http_body::{Body, Frame, SizeHint};
 
 use crate::exchange::IncompleteBody;
-use crate::front::account::Claim;
+use crate::frontend::account::Claim;
 
 /// Bytes that are given at once.
 const PIECE: usize = 16 * 1024;
--- a/crates/router/src/front/inference/mod.rs
+++ b/crates/router/src/frontend/inference/mod.rs
@@ -22,7 +22,7 @@
     join, ApiError, Batch, Catalogue, Chat, Endpoint, Fold, Form, Kind, Part, Resolved,
 };
 use cranetack_routing_policy::{ClassId, Idempotency, Settings};
-use cranetack_settings::Facts;
+use cranetack_settings::SiteSettings;
 use http::header::{HeaderName, ALLOW, CONNECTION, CONTENT_TYPE};
 use http::request::Parts as Head;
 use http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode};
@@ -216,15 +216,14 @@
     pub fn new(
         handle: Handle,
         setup: Setup,
-        facts: &Facts,
+        site: &SiteSettings,
         settings: &Settings,
         tenants: Option<Tenants>,
         seed: u64,
         phase: watch::Receiver<Phase>,
     ) -> Inference {
         let class = |name: &str| {
-            facts
-                .classes
+            site.classes
                 .iter()
                 .position(|c| c.name == name)
                 .unwrap_or(0)
@@ -236,7 +235,7 @@
         Inference(Rc::new(Inner {
             handle,
             classes: Endpoint::ALL.map(|endpoint| class(&setup.served(endpoint).class)),
-            catalogue: setup.catalogue(facts).unwrap_or_default(),
+            catalogue: setup.catalogue(site).unwrap_or_default(),
             settings: settings.clone(),
             tenants,
             account: Account::new(setup.limits.held_bytes),
--- a/crates/router/src/front/inference/setup.rs
+++ b/crates/router/src/frontend/inference/setup.rs
@@ -6,7 +6,7 @@
 use cranetack_batch_scheduler::Settings;
 use cranetack_inference_api::{Bounds, Catalogue, Endpoint, Model};
 use cranetack_routing_policy::Role;
-use cranetack_settings::Facts;
+use cranetack_settings::SiteSettings;
 use serde::Deserialize;
 
 /// The file.
@@ -243,14 +243,14 @@
 }
 
 /// Kinds of worker as bits. Together they must be able to read a prompt and to write its answer.
-fn kinds(facts: &Facts, names: &[String]) -> Result<Option<u64>, String> {
+fn kinds(site: &SiteSettings, names: &[String]) -> Result<Option<u64>, String> {
     if names.is_empty() {
         return Ok(None);
     }
-    let settings = facts.settings()?;
+    let settings = site.policy_settings()?;
     let (mut bits, mut reads, mut writes) = (0, false, false);
     for name in names {
-        let kind = facts
+        let kind = site
             .kinds
             .iter()
             .position(|k| k == name)
@@ -283,9 +283,9 @@
     }
 
     /// The models, by the numbers of their classes. The message names the key.
-    pub fn catalogue(&self, facts: &Facts) -> Result<Catalogue, String> {
+    pub fn catalogue(&self, site: &SiteSettings) -> Result<Catalogue, String> {
         let class =
-            |key: String, name: &String| match facts.classes.iter().position(|c| c.name == *name) {
+            |key: String, name: &String| match site.classes.iter().position(|c| c.name == *name) {
                 Some(class) => Ok(class),
                 None => Err(format!("{key}: the settings have no class {name:?}")),
             };
@@ -305,7 +305,7 @@
                     .transpose()?;
             }
             let kinds =
-                kinds(facts, &named.kinds).map_err(|e| format!("models[{at}].kinds: {e}"))?;
+                kinds(site, &named.kinds).map_err(|e| format!("models[{at}].kinds: {e}"))?;
             models.push(Model {
                 name: named.name.clone(),
                 aliases: named.aliases.clone(),
@@ -317,10 +317,10 @@
     }
 
     /// What is wrong with the values beside the settings, in one line that names the key.
-    pub fn check(&self, facts: &Facts) -> Result<(), String> {
+    pub fn check(&self, site: &SiteSettings) -> Result<(), String> {
         for endpoint in Endpoint::ALL {
             let (key, served) = (endpoint.name(), self.served(endpoint));
-            if !facts.classes.iter().any(|c| c.name == served.class) {
+            if !site.classes.iter().any(|c| c.name == served.class) {
                 return Err(format!(
                     "{key}.class: the settings have no class {:?}",
                     served.class
@@ -335,7 +335,7 @@
         }
         self.limits.check()?;
         self.batches.check()?;
-        self.catalogue(facts).map(drop)
+        self.catalogue(site).map(drop)
     }
 }
 
--- a/crates/router/src/front/inference/setup/tests.rs
+++ b/crates/router/src/frontend/inference/setup/tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 use crate::config::parse_toml;
 
-fn facts() -> Facts {
+fn site() -> SiteSettings {
     let class = |name: &str| json!({"name": name});
     let classes = [class("chat"), class("embeddings"), class("rerank")];
     serde_json::from_value(
@@ -20,11 +20,11 @@
 #[test]
 fn the_operators_file_as_shipped_can_be_used() {
     let setup: Setup = parse_toml(FILE).unwrap();
-    setup.check(&facts()).unwrap();
+    setup.check(&site()).unwrap();
     assert!(setup.listen.ip().is_loopback());
     assert_eq!(setup.rerank.class, "rerank");
     assert!(setup
-        .catalogue(&facts())
+        .catalogue(&site())
         .unwrap()
         .resolve("parts-chat", Endpoint::Chat)
         .is_ok());
@@ -91,7 +91,7 @@
         ),
     ] {
         assert!(FILE.contains(from), "{from}");
-        let read = parse_toml(&FILE.replace(from, to)).and_then(|s: Setup| s.check(&facts()));
+        let read = parse_toml(&FILE.replace(from, to)).and_then(|s: Setup| s.check(&site()));
         let message = read.expect_err(to);
         assert!(
             message.starts_with(key) && !message.contains('\n'),
--- a/crates/router/src/front/inference/stream.rs
+++ b/crates/router/src/frontend/inference/stream.rs
@@ -8,7 +8,7 @@
 use http_body::{Body, Frame};
 
 use crate::exchange::{BodyStream, DisconnectGuard, IncompleteBody};
-use crate::front::account::Claim;
+use crate::frontend::account::Claim;
 
 enum State {
     Passing,
--- a/crates/router/src/front/platform.rs
+++ b/crates/router/src/frontend/platform.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cranetack_routing_policy::ClassId;
-use cranetack_settings::Facts;
+use cranetack_settings::SiteSettings;
 use http::header::{CONNECTION, CONTENT_TYPE};
 use http::request::Parts as Head;
 use http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode};
@@ -31,8 +31,8 @@
 
 impl Platform {
     /// A front that hands its requests to `handle`.
-    pub fn new(handle: Handle, facts: &Facts, readiness: Readiness) -> Platform {
-        let classes = Rc::new(facts.classes.iter().map(|c| c.name.clone()).collect());
+    pub fn new(handle: Handle, site: &SiteSettings, readiness: Readiness) -> Platform {
+        let classes = Rc::new(site.classes.iter().map(|c| c.name.clone()).collect());
         Platform {
             handle,
             classes,
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod discovery;
 pub mod exchange;
 mod framing;
-pub mod front;
+pub mod frontend;
 pub mod peers;
 pub mod shutdown;
 mod socket;
@@ -24,7 +24,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cranetack_settings::ClassFacts;
+use cranetack_settings::ClassSettings;
 use tokio::net::TcpListener;
 use tokio::runtime::Runtime;
 use tokio::sync::watch;
@@ -33,8 +33,8 @@
 
 use crate::config::Config;
 use crate::core::{Clock, Core, CoreEvent, EndpointListUpdate, Handle};
-use crate::front::inference::Inference;
-use crate::front::platform::Platform;
+use crate::frontend::inference::Inference;
+use crate::frontend::platform::Platform;
 use crate::peers::Peers;
 use crate::tenants::Tenants;
 use crate::upstream::Upstream;
@@ -83,7 +83,7 @@
 #[derive(Default)]
 pub struct Extras {
     /// The second front.
-    pub inference: Option<front::inference::Setup>,
+    pub inference: Option<frontend::inference::Setup>,
     /// Whose keys it takes; anybody's where there is none.
     pub tenants: Option<Tenants>,
     /// The control service.
@@ -134,7 +134,7 @@
 pub struct Router {
     config: Config,
     listener: TcpListener,
-    second: Option<(TcpListener, front::inference::Setup)>,
+    second: Option<(TcpListener, frontend::inference::Setup)>,
     tenants: Option<Tenants>,
     control: Option<(TcpListener, control::Setup)>,
     discovery: watch::Receiver<SocketAddr>,
@@ -232,10 +232,14 @@
         }
         let phase = shutdown::phases(signal);
         let moves = config.settings.resumable_streams;
-        let deadlines = config.facts.classes.iter().filter_map(ClassFacts::deadline);
+        let deadlines = config
+            .site
+            .classes
+            .iter()
+            .filter_map(ClassSettings::deadline);
         let (moved, answered) = shutdown::moved_and_answered(deadlines.max().unwrap_or_default());
         let each = (config.limits.sockets - SPARE) / 2;
-        let allowed = &config.facts.allowed;
+        let allowed = &config.site.allowed;
         let options = upstream::Options {
             connection_limit: each,
             connect_timeout: allowed.connect_timeout().unwrap_or(CONNECT_TIMEOUT),
@@ -245,7 +249,7 @@
             } else {
                 SILENCE
             },
-            report: config.facts.report.clone(),
+            report: config.site.report.clone(),
         };
         let outbound = Upstream::new(handle.clone(), options, peers);
         let mut releases = outbound.releases();
@@ -254,7 +258,7 @@
         spawn_local(core.run(events));
         if let Some(known) = &config.known {
             handle.send(CoreEvent::EndpointsUpdated(EndpointListUpdate::Restored(
-                known.listed(&config.facts),
+                known.listed(&config.site),
             )));
         }
         let (fresh_tx, fresh) = watch::channel(false);
@@ -265,9 +269,9 @@
             .map(Duration::from_micros);
         let pace = discovery::Pace::new(settings.router_count, poll_interval, config.seed);
         let known = config.known.as_ref().map(|list| list.index);
-        let (facts, told) = (config.facts.clone(), handle.clone());
+        let (site, told) = (config.site.clone(), handle.clone());
         spawn_local(discovery::watch(
-            discovery, known, facts, told, fresh_tx, pace,
+            discovery, known, site, told, fresh_tx, pace,
         ));
         spawn_local(async move {
             tokio::time::sleep(FRESH_WAIT).await;
@@ -288,8 +292,8 @@
                 });
             });
         }
-        let readiness = front::Readiness::new(fresh, phase.clone());
-        let platform = Platform::new(handle.clone(), &config.facts, readiness);
+        let readiness = frontend::Readiness::new(fresh, phase.clone());
+        let platform = Platform::new(handle.clone(), &config.site, readiness);
         tracing::info!(name = config.name, listen = %config.listen, "serving");
         // The two fronts share the connections that clients may hold.
         let most = each.min(CLIENTS_MOST) / if second.is_some() { 2 } else { 1 };
@@ -300,7 +304,7 @@
             spawn_local(control::survey(
                 handle.clone(),
                 setup,
-                config.facts.clone(),
+                config.site.clone(),
                 snapshots,
             ));
             spawn_local(async move {
@@ -312,21 +316,21 @@
         let second = async {
             if let Some((listener, setup)) = second {
                 tracing::info!(listen = %setup.listen, "serving embeddings and rerank beside chat");
-                let (facts, phase) = (&config.facts, phase.clone());
+                let (site, phase) = (&config.site, phase.clone());
                 let service = Inference::new(
                     handle,
                     setup,
-                    facts,
+                    site,
                     &settings,
                     tenants,
                     config.seed,
                     phase.clone(),
                 );
-                front::serve(listener, service, most, phase).await;
+                frontend::serve(listener, service, most, phase).await;
             }
         };
         tokio::join!(
-            front::serve(listener, platform, most, phase.clone()),
+            frontend::serve(listener, platform, most, phase.clone()),
             second
         );
         // Proxies subscribe for as long as they live; nothing that was taken depends on them.
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -7,7 +7,7 @@
 use clap::{Args, Parser, Subcommand};
 use cranetack_router::config::{self, load_toml, Config, ConfigError};
 use cranetack_router::shutdown::Signals;
-use cranetack_router::{control, front::inference, tenants, Extras};
+use cranetack_router::{control, frontend::inference, tenants, Extras};
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
@@ -79,7 +79,7 @@
         let config = Config::load_for_start(&self.config)?;
         let path = Option::as_deref;
         let inference = path(&self.inference)
-            .map(|p: &Path| load_toml(p, |setup: &inference::Setup| setup.check(&config.facts)));
+            .map(|p: &Path| load_toml(p, |setup: &inference::Setup| setup.check(&config.site)));
         let tenants = path(&self.tenants).map(|p: &Path| load_toml(p, tenants::Setup::check));
         let control = path(&self.control).map(|p: &Path| load_toml(p, control::Setup::check));
         Ok(Loaded {
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,6 +1,6 @@
 //! Checks of the settings' figures: one that cannot be meant is refused, naming its key, before anything is built on it.
 
-use crate::{Allowed, ClassFacts, Domain, Facts, Rules};
+use crate::{Allowed, ClassSettings, Domain, Rules, SiteSettings};
 
 /// The longest span that a setting may name, in microseconds: a year. Sums with the clock stay far from overflow.
 const LONGEST_US: f64 = 365.0 * 24.0 * 3_600.0 * 1e6;
@@ -66,17 +66,17 @@
 }
 
 /// Checks all figures of the settings.
-pub(crate) fn check(facts: &Facts) -> Result<(), OutOfRange> {
-    Bound::PositiveSpan.check(|| "period_us".to_owned(), facts.period_us)?;
-    for (index, class) in facts.classes.iter().enumerate() {
+pub(crate) fn check(site: &SiteSettings) -> Result<(), OutOfRange> {
+    Bound::PositiveSpan.check(|| "period_us".to_owned(), site.period_us)?;
+    for (index, class) in site.classes.iter().enumerate() {
         check_class(index, class)?;
     }
-    check_allowed(&facts.allowed)?;
-    check_domain(&facts.domain)?;
-    check_rules(&facts.rules)
+    check_allowed(&site.allowed)?;
+    check_domain(&site.domain)?;
+    check_rules(&site.rules)
 }
 
-fn check_class(index: usize, class: &ClassFacts) -> Result<(), OutOfRange> {
+fn check_class(index: usize, class: &ClassSettings) -> Result<(), OutOfRange> {
     let key = |name: &str| format!("classes[{index}].{name}");
     Bound::PositiveSpan.check(|| key("deadline_us"), class.deadline_us)?;
     Bound::Span.check(|| key("goal_time_us"), class.goal_time_us)?;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -14,14 +14,14 @@
 
 /// The settings of one dispatcher.
 #[derive(Deserialize, Clone)]
-pub struct Facts {
+pub struct SiteSettings {
     balancers: Option<u32>,
     me: Option<u32>,
     az: Option<String>,
     period_us: Option<f64>,
     membership_mode: Option<String>,
     /// The request classes.
-    pub classes: Vec<ClassFacts>,
+    pub classes: Vec<ClassSettings>,
     /// The names of the kinds of server.
     pub kinds: Vec<String>,
     /// The names of the zones.
@@ -50,7 +50,7 @@
 
 /// A request class.
 #[derive(Deserialize, Clone)]
-pub struct ClassFacts {
+pub struct ClassSettings {
     /// Its name.
     pub name: String,
     deadline_us: Option<f64>,
@@ -120,7 +120,7 @@
     pub pending_column: Option<String>,
 }
 
-impl ClassFacts {
+impl ClassSettings {
     /// How long its client waits, over all its tries.
     pub fn deadline(&self) -> Option<Duration> {
         span(self.deadline_us)
@@ -139,7 +139,7 @@
     }
 }
 
-impl Facts {
+impl SiteSettings {
     /// Notes which report columns carry memory and waiting tokens, by the meaning that the settings give.
     pub fn name_columns(&mut self) {
         let meanings = [
@@ -158,7 +158,7 @@
     }
 
     /// The settings in the decision module's own types; an error names the key that cannot be used.
-    pub fn settings(&self) -> Result<Settings, String> {
+    pub fn policy_settings(&self) -> Result<Settings, String> {
         check::check(self).map_err(|error| error.to_string())?;
         let classes = self
             .classes
@@ -208,32 +208,32 @@
         })
     }
 
-    fn class(&self, index: usize, facts: &ClassFacts) -> Result<Class, String> {
-        let scope = match facts.key_scope.as_deref() {
+    fn class(&self, index: usize, site: &ClassSettings) -> Result<Class, String> {
+        let scope = match site.key_scope.as_deref() {
             Some("all") => Some(KeyScope::All),
             Some("zone") => Some(KeyScope::Zone),
             Some("cell") | None => Some(KeyScope::Cell),
             Some(_) => None,
         };
-        let idempotency = match (facts.idempotency.as_deref(), scope) {
+        let idempotency = match (site.idempotency.as_deref(), scope) {
             (Some("safe"), _) => Idempotency::Idempotent,
             (Some("keyed"), Some(scope)) => Idempotency::Keyed(scope),
             (Some("keyed"), None) => {
-                return Err(format!("class {:?}: unknown key scope", facts.name))
+                return Err(format!("class {:?}: unknown key scope", site.name))
             }
             (Some("unsafe") | None, _) => Idempotency::NonIdempotent,
             (Some(other), _) => {
-                return Err(format!("class {:?}: unknown effect {other:?}", facts.name))
+                return Err(format!("class {:?}: unknown effect {other:?}", site.name))
             }
         };
         let nth = |list: &Option<Vec<f64>>| list.as_ref().and_then(|l| l.get(index).copied());
         Ok(Class {
-            latency_objective: micros(facts.goal_time_us),
+            latency_objective: micros(site.goal_time_us),
             latency_objective_per_1000_tokens: nth(&self.domain.aim_us_per_1000_prompt_tokens),
             token_interval_objective: micros(nth(&self.domain.token_aim_us)),
             idempotency,
-            dedup_window: micros(facts.dedup_window_us),
-            priority_weight: facts.points,
+            dedup_window: micros(site.dedup_window_us),
+            priority_weight: site.points,
         })
     }
 
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings that cannot be meant are refused, naming the key; those that are missing have defaults.
 
-use cranetack_settings::Facts;
+use cranetack_settings::SiteSettings;
 use serde_json::{json, Value};
 
 fn settings() -> Value {
@@ -18,8 +18,8 @@
 
 /// What the settings are refused with, if they are.
 fn refused(settings: Value) -> Option<String> {
-    let facts: Facts = serde_json::from_value(settings).unwrap();
-    facts.settings().err()
+    let site: SiteSettings = serde_json::from_value(settings).unwrap();
+    site.policy_settings().err()
 }
 
 #[test]
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -8,7 +8,7 @@
     EndpointUpdate, Event, KindId, LoadReport, Outcome, Policy, PrefixId, RejectReason, RequestId,
     RequestSpec, ResetCause, SessionId, TimerKey, ZoneId,
 };
-use cranetack_settings::Facts;
+use cranetack_settings::SiteSettings;
 use serde::Deserialize;
 use serde_json::{json, Value};
 
@@ -52,7 +52,7 @@
 
 struct Instance {
     policy: Policy,
-    facts: Facts,
+    site: SiteSettings,
     hosts: HashMap<u64, String>,
     requests: Names,
 }
@@ -297,16 +297,16 @@
             .opt(0)
             .and_then(|v| v.as_u64().or(v.as_i64().map(|i| i as u64)));
         let seed = seed.ok_or_else(|| fields.wrong(0, "a whole number"))?;
-        let facts = fields
+        let site = fields
             .opt(1)
             .cloned()
             .ok_or_else(|| fields.wrong(1, "the settings"))?;
-        let mut facts: Facts =
-            serde_json::from_value(facts).map_err(|e| format!("settings: {e}"))?;
-        facts.name_columns();
+        let mut site: SiteSettings =
+            serde_json::from_value(site).map_err(|e| format!("settings: {e}"))?;
+        site.name_columns();
         Ok(Instance {
-            policy: Policy::new(facts.settings()?, seed, now),
-            facts,
+            policy: Policy::new(site.policy_settings()?, seed, now),
+            site,
             hosts: HashMap::new(),
             requests: Names::default(),
         })
@@ -398,10 +398,10 @@
 
     fn ask(&mut self, f: &Fields) -> Result<RequestSpec, String> {
         let class = f.text(1)?;
-        let class = self.facts.classes.iter().position(|c| c.name == class);
+        let class = self.site.classes.iter().position(|c| c.name == class);
         let class = class.ok_or_else(|| f.wrong(1, "a class of the settings"))?;
         if let Some(tenant) = f.opt_text(2)? {
-            let known = self.facts.tenants.iter().any(|t| t.name == tenant);
+            let known = self.site.tenants.iter().any(|t| t.name == tenant);
             if !known {
                 return Err(f.wrong(2, "a tenant of the settings"));
             }
@@ -452,11 +452,11 @@
         Ok(EndpointSpec {
             id: self.host_id(&line.host),
             started_at: line.started_at,
-            kind: KindId(find(&self.facts.kinds, &line.kind, "kind")?),
+            kind: KindId(find(&self.site.kinds, &line.kind, "kind")?),
             state: line.state,
             cell: CellId(line.cell),
             weight: line.weight,
-            zone: ZoneId(find(&self.facts.zones, &line.zone, "zone")?),
+            zone: ZoneId(find(&self.site.zones, &line.zone, "zone")?),
         })
     }
 
@@ -479,8 +479,8 @@
             in_flight: figure("inflight")?,
             queued: figure("queue")?,
             slot_utilization: figure("util")?,
-            memory_utilization: column(&self.facts.report.memory_column)?,
-            pending_kilotokens: column(&self.facts.report.pending_column)?,
+            memory_utilization: column(&self.site.report.memory_column)?,
+            pending_kilotokens: column(&self.site.report.pending_column)?,
         }))
     }
 
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -34,7 +34,7 @@
         .collect()
 }
 
-fn facts() -> Value {
+fn site() -> Value {
     json!({
         "az": "east", "balancers": 2, "me": 0, "period_us": 2000, "membership_mode": "push", "newer_key": [1],
         "classes": [{"name": "chat", "goal_time_us": 1500000, "deadline_us": 6000000, "idempotency": "safe",
@@ -69,7 +69,7 @@
 
 fn start(page: u64, reader: &str) -> Vec<Value> {
     vec![
-        json!(["attach", 7, facts()]),
+        json!(["attach", 7, site()]),
         catalog(page, reader),
         json!(["directory_update", "stale_copy", 1, page]),
     ]
