--- a/crates/router/src/core/clock.rs
+++ b/crates/router/src/core/clock.rs
@@ -5,8 +5,9 @@
 use cranetack_routing_policy::Micros;
 use tokio::time::Instant;
 
-/// The clock: microseconds of Unix time, read once from the system and then advanced monotonically, so that
-/// start times in the list can be compared and a step of the system's clock moves no deadline.
+/// A clock in microseconds of Unix time, read once from the system and then advanced monotonically,
+/// so that start times in the endpoint list can be compared and a step of the system's clock moves
+/// no deadline.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -25,25 +26,25 @@
         }
     }
 
-    /// Now.
+    /// The present point in time.
     pub fn now(&self) -> Micros {
         self.unix.saturating_add(micros(self.start.elapsed()))
     }
 
-    /// The point in time of an instant.
+    /// The point in time of an instant; one that has passed is now.
     pub fn at(&self, instant: Instant) -> Micros {
-        self.now()
-            .saturating_add(micros(instant.saturating_duration_since(Instant::now())))
+        let ahead = instant.saturating_duration_since(Instant::now());
+        self.now().saturating_add(micros(ahead))
     }
 
     /// The instant of a point in time; one that has passed is now.
     pub fn instant(&self, at: Micros) -> Instant {
-        Instant::now()
-            + Duration::from_micros(u64::try_from(at.saturating_sub(self.now())).unwrap_or(0))
+        let ahead = u64::try_from(at.saturating_sub(self.now())).unwrap_or(0);
+        Instant::now() + Duration::from_micros(ahead)
     }
 }
 
-/// A span in the module's unit.
+/// A span in the policy's unit.
 pub(super) fn micros(span: Duration) -> Micros {
     Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX)
 }
--- a/crates/router/src/core/guard/tests.rs
+++ b/crates/router/src/core/guard/tests.rs
@@ -7,7 +7,7 @@
 
 use super::*;
 
-fn member(zone: usize) -> EndpointSpec {
+fn endpoint(zone: usize) -> EndpointSpec {
     EndpointSpec {
         id: EndpointId(1),
         started_at: None,
@@ -19,42 +19,42 @@
     }
 }
 
-fn rule(effect: Idempotency) -> RetryRule {
+fn rule(idempotency: Idempotency) -> RetryRule {
     RetryRule::of(Some(&Class {
-        idempotency: effect,
+        idempotency,
         dedup_window: Some(1_000_000),
         ..Class::default()
     }))
 }
 
-/// Guards against a wrong decision of the module that reaches the wire.
+/// A wrong decision of the policy must not reach the wire.
 #[test]
-fn what_may_have_run_is_sent_and_refused_as_its_class_permits() {
-    let run = PossibleExecution::at(&member(0), 0);
-    let mut record = EffectRecord::default();
-    record.ended(Role::Prefill, Outcome::Cancelled, run);
-    record.ended(
+fn what_may_have_been_executed_is_retried_and_rejected_as_its_class_permits() {
+    let execution = PossibleExecution::at(&endpoint(0), 0);
+    let mut record = ExecutionRecord::default();
+    record.attempt_ended(Role::Prefill, Outcome::Cancelled, execution);
+    record.attempt_ended(
         Role::Decode,
         Outcome::Rejected(RejectReason::Overloaded),
-        run,
+        execution,
     );
     assert_eq!(
-        record.check_send(rule(Idempotency::NonIdempotent), &member(0), 10),
+        record.check_send(rule(Idempotency::NonIdempotent), &endpoint(0), 10),
         Ok(()),
-        "neither can have run"
+        "neither can have been executed"
     );
     assert_eq!(
-        record.check_refusal(rule(Idempotency::NonIdempotent), true),
-        Err(Breach::Refusal),
-        "one is out"
+        record.check_rejection(rule(Idempotency::NonIdempotent), true),
+        Err(Violation::Rejection),
+        "one is in flight"
     );
-    record.ended(
+    record.attempt_ended(
         Role::Decode,
         Outcome::ConnectionReset(ResetCause::InUse),
-        run,
+        execution,
     );
     let zone = rule(Idempotency::Keyed(KeyScope::Zone));
-    for (rule, zone, now, sends, refuses) in [
+    for (rule, zone, now, may_send, may_reject) in [
         (rule(Idempotency::Idempotent), 1, 10, true, true),
         (rule(Idempotency::NonIdempotent), 0, 10, false, false),
         (zone, 0, 10, true, false),
@@ -63,13 +63,13 @@
         (rule(Idempotency::Keyed(KeyScope::All)), 1, 10, true, true),
     ] {
         assert_eq!(
-            record.check_send(rule, &member(zone), now).is_ok(),
-            sends,
+            record.check_send(rule, &endpoint(zone), now).is_ok(),
+            may_send,
             "{rule:?} {zone} {now}"
         );
         assert_eq!(
-            record.check_refusal(rule, false).is_ok(),
-            refuses,
+            record.check_rejection(rule, false).is_ok(),
+            may_reject,
             "{rule:?}"
         );
     }
--- a/crates/router/src/core/handle.rs
+++ b/crates/router/src/core/handle.rs
@@ -9,24 +9,22 @@
 use super::messages::{CoreEvent, EndpointReport, IncomingRequest};
 use crate::exchange::{self, ResponseHandle};
 
-/// Through which the other parts tell the core what has happened. Cheap to clone.
+/// Sends events to the core. Cheap to clone.
 #[derive(Clone)]
 pub struct Handle {
     events: mpsc::UnboundedSender<CoreEvent>,
-    next: Rc<Cell<u32>>,
+    next_request: Rc<Cell<u32>>,
 }
 
 impl Handle {
-    /// A handle, and where its events come out.
+    /// A handle, and where its events are received.
     pub fn new() -> (Handle, mpsc::UnboundedReceiver<CoreEvent>) {
-        let (events, rx) = mpsc::unbounded_channel();
-        (
-            Handle {
-                events,
-                next: Rc::new(Cell::new(0)),
-            },
-            rx,
-        )
+        let (events, receiver) = mpsc::unbounded_channel();
+        let handle = Handle {
+            events,
+            next_request: Rc::new(Cell::new(0)),
+        };
+        (handle, receiver)
     }
 
     /// Sends the core an event. Once it has stopped, nobody needs to know.
@@ -34,20 +32,21 @@
         let _ = self.events.send(event);
     }
 
-    /// Asks how the module stands towards the servers; `None` once the core has stopped.
+    /// Asks for the policy's view of all endpoints; `None` once the core has stopped.
     pub async fn endpoint_reports(&self) -> Option<Vec<EndpointReport>> {
-        let (tx, rx) = oneshot::channel();
-        self.send(CoreEvent::EndpointReportsRequested(tx));
-        rx.await.ok()
+        let (reply, reports) = oneshot::channel();
+        self.send(CoreEvent::EndpointReportsRequested(reply));
+        reports.await.ok()
     }
 
-    /// Hands a request in.
+    /// Submits a request.
     pub fn submit(&self, request: IncomingRequest) -> ResponseHandle {
-        let id = RequestId(self.next.get());
-        self.next.set(id.0.wrapping_add(1));
+        let id = RequestId(self.next_request.get());
+        self.next_request.set(id.0.wrapping_add(1));
         let handle = self.clone();
-        let (response, responder) =
-            exchange::channel(move || handle.send(CoreEvent::ClientDisconnected(id)));
+        let (response, responder) = exchange::channel(move || {
+            handle.send(CoreEvent::ClientDisconnected(id));
+        });
         self.send(CoreEvent::RequestSubmitted {
             id,
             request,
--- a/crates/router/src/core/recorder.rs
+++ b/crates/router/src/core/recorder.rs
@@ -1,5 +1,7 @@
-//! The flight recorder: what happened to each open request, always on and bounded. It costs some bytes a request and is
-//! written to the log only when a rule is at stake: a fault that shows once in many runs can then be read from that run.
+//! The flight recorder: what happened to each open request, always on and bounded.
+//!
+//! It costs some bytes for each request and is logged only when a rule is at stake: a fault that
+//! shows once in many runs can then be read from that run.
 
 use std::fmt;
 use std::rc::Rc;
@@ -8,89 +10,90 @@
 
 use super::messages::{SlotReservation, WireTrace};
 
-/// Steps that are kept of one request: five attempts with a place and a release each are under half of it. What is
-/// beyond that is counted.
+/// The steps that are kept of one request: five attempts with a slot reservation and a release each
+/// are under half of it. Those beyond it are counted.
 const STEP_LIMIT: usize = 48;
+const MICROS_IN_MILLISECOND: f64 = 1_000.0;
 
 /// One thing that happened to a request.
 #[derive(Debug, Clone)]
 pub enum Step {
-    /// It was taken, with this long to go.
-    Taken {
-        /// Time until its client stops waiting (us).
+    /// It arrived.
+    Arrived {
+        /// The time until its client stops waiting (us).
         time_to_first_byte: Micros,
     },
-    /// An attempt was begun.
+    /// An attempt was made.
     Sent {
         /// Its number.
-        number: u32,
-        /// The server's name.
-        to: Rc<str>,
-        /// The server only reads prompts: the attempt has no effect.
-        reads: bool,
+        attempt: u32,
+        /// The endpoint's name.
+        endpoint: Rc<str>,
+        /// The endpoint only processes the prompt: the attempt has no effect.
+        prefill_only: bool,
     },
     /// An attempt was to be made and was not.
     NotSent {
         /// Its number.
-        number: u32,
-        /// The server.
-        to: EndpointId,
+        attempt: u32,
+        /// The endpoint.
+        endpoint: EndpointId,
         /// Why.
-        reason: NotSent,
+        reason: NotSentReason,
     },
     /// An attempt has ended.
-    Ended {
+    AttemptEnded {
         /// Its number.
-        number: u32,
-        /// How.
+        attempt: u32,
+        /// How it ended.
         outcome: Outcome,
         /// What was seen on its connection.
         wire: WireTrace,
     },
-    /// The first part of an answer has come.
-    Established {
+    /// The response to an attempt has begun to stream.
+    StreamStarted {
         /// The attempt's number.
-        number: u32,
+        attempt: u32,
     },
-    /// A place was asked for at a writer.
-    PlaceAsked {
-        /// The writer's name.
-        at: Rc<str>,
+    /// A slot was asked for at a decode endpoint.
+    SlotReservationSent {
+        /// The endpoint's name.
+        endpoint: Rc<str>,
     },
-    /// A writer has answered that.
-    PlaceAnswered {
-        /// What it said.
-        place: SlotReservation,
+    /// The decode endpoint has responded to that.
+    SlotReservationAnswered {
+        /// The outcome.
+        reservation: SlotReservation,
     },
-    /// What is held for it is let go.
-    Released,
-    /// An attempt is called off.
+    /// What is held for it is released.
+    StateReleased,
+    /// An attempt was cancelled.
     Cancelled {
         /// Its number.
-        number: u32,
+        attempt: u32,
     },
-    /// Its client has gone.
-    ClientGone,
-    /// It got its final answer.
-    Answered {
+    /// Its client has disconnected.
+    ClientDisconnected,
+    /// It got its final response.
+    Responded {
         /// Which.
-        answer: &'static str,
+        response: &'static str,
     },
 }
 
-/// Why an attempt that the module is_live was not made.
+/// Why an attempt that the policy wanted was not made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NotSent {
-    /// The request has its final answer.
-    Over,
-    /// Another attempt is out.
-    OneIsOut,
+pub enum NotSentReason {
+    /// The request has its final response.
+    RequestOver,
+    /// Another attempt is in flight.
+    AttemptInFlight,
     /// There were as many as the settings allow.
-    TooMany,
-    /// Its client does not wait any more.
-    Late,
-    /// The server is not in the list.
-    UnknownServer,
+    TooManyAttempts,
+    /// Its client waits no more.
+    PastDeadline,
+    /// The endpoint is not in the list.
+    UnknownEndpoint,
 }
 
 /// What happened to one request, in order.
@@ -110,10 +113,25 @@
         }
     }
 
+    /// Whether an attempt that could have an effect has been made.
+    pub fn has_tried(&self) -> bool {
+        self.effective_attempts().next().is_some()
+    }
+
     /// Whether an attempt that could have an effect has been made, besides the one of this number.
-    pub fn tried_before(&self, number: u32) -> bool {
-        let tried = |step: &Step| matches!(step, Step::Sent { number: n, reads: false, .. } if *n != number);
-        self.steps.iter().any(|(_, step)| tried(step))
+    pub fn has_tried_before(&self, number: u32) -> bool {
+        self.effective_attempts().any(|attempt| attempt != number)
+    }
+
+    fn effective_attempts(&self) -> impl Iterator<Item = u32> + '_ {
+        self.steps.iter().filter_map(|(_, step)| match step {
+            Step::Sent {
+                attempt,
+                prefill_only: false,
+                ..
+            } => Some(*attempt),
+            _ => None,
+        })
     }
 }
 
@@ -122,7 +140,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let began = self.steps.first().map_or(0, |(at, _)| *at);
         for (at, step) in &self.steps {
-            write!(f, "[{:.1} {step:?}] ", (at - began) as f64 / 1_000.0)?;
+            let elapsed_ms = (at - began) as f64 / MICROS_IN_MILLISECOND;
+            write!(f, "[{elapsed_ms:.1} {step:?}] ")?;
         }
         write!(f, "({} more)", self.dropped)
     }
--- /dev/null
+++ b/crates/router/src/core/requests.rs
@@ -0,0 +1,301 @@
+//! The table of requests, and the life of a request from its arrival to its one final response.
+
+use std::cell::Cell;
+use std::rc::Rc;
+
+use cranetack_routing_policy::idempotency::{PossibleExecution, RetryRule};
+use cranetack_routing_policy::{
+    EndpointId, Event, Idempotency, Micros, Outcome, PrefixId, RequestId, RequestSpec, Role,
+    SessionId,
+};
+
+use super::clock::micros;
+use super::endpoint::stable_hash;
+use super::guard::ExecutionRecord;
+use super::messages::{AttemptId, AttemptReport, IncomingRequest, Outbound};
+use super::recorder::{Step, Trace};
+use super::Core;
+use crate::exchange::{BodyStream, FinalResponse, Responder};
+
+/// A request that has no final response yet, or an attempt in flight.
+pub(super) struct Request {
+    pub(super) incoming: IncomingRequest,
+    arrived_at: Micros,
+    pub(super) deadline: Micros,
+    /// Present until the final response.
+    responder: Option<Responder>,
+    /// The rejection that is given as soon as the attempt in flight has ended.
+    pub(super) pending_rejection: Option<FinalResponse>,
+    pub(super) attempts: u32,
+    pub(super) in_flight: Option<AttemptInFlight>,
+    /// The policy has released what was held, and nothing has been sent since.
+    pub(super) is_released: bool,
+    pub(super) is_over: bool,
+    /// Seen by the attempt in flight, which may not have been written yet.
+    pub(super) is_live: Rc<Cell<bool>>,
+    pub(super) executions: ExecutionRecord,
+    pub(super) trace: Trace,
+}
+
+/// An attempt that has been handed to the upstream and has not ended.
+pub(super) struct AttemptInFlight {
+    pub(super) number: u32,
+    pub(super) role: Role,
+    pub(super) endpoint: EndpointId,
+    pub(super) sent_at: Micros,
+    /// What it is if it may have been executed.
+    pub(super) execution: PossibleExecution,
+    pub(super) is_streaming: bool,
+}
+
+impl Request {
+    fn new(incoming: IncomingRequest, responder: Responder, now: Micros) -> Request {
+        let deadline = now.saturating_add(micros(incoming.time_to_first_byte));
+        Request {
+            incoming,
+            arrived_at: now,
+            deadline,
+            responder: Some(responder),
+            pending_rejection: None,
+            attempts: 0,
+            in_flight: None,
+            is_released: false,
+            is_over: false,
+            is_live: Rc::new(Cell::new(true)),
+            executions: ExecutionRecord::default(),
+            trace: Trace::default(),
+        }
+    }
+
+    /// What the policy is told of it.
+    fn spec(&self, id: RequestId) -> RequestSpec {
+        let incoming = &self.incoming;
+        let session = incoming.session.as_deref();
+        let shared_prefix = incoming.shared_prefix.as_deref();
+        RequestSpec {
+            id,
+            class: incoming.class,
+            session: session.map(|session| SessionId(stable_hash(session))),
+            shared_prefix: shared_prefix.map(|prefix| PrefixId(stable_hash(prefix))),
+            deadline: self.deadline,
+            expected_duration: incoming.expected_duration.map(micros),
+            prompt_tokens: incoming.prompt_tokens,
+            shared_prefix_tokens: incoming.shared_prefix_tokens,
+            max_tokens: incoming.max_tokens,
+            is_retry: incoming.is_retry,
+            is_resumed: incoming.is_resumed,
+            allowed_kinds: incoming.allowed_kinds,
+        }
+    }
+
+    /// The attempt in flight whose response has not begun.
+    pub(super) fn waiting_attempt(&self) -> Option<&AttemptInFlight> {
+        self.in_flight
+            .as_ref()
+            .filter(|attempt| !attempt.is_streaming)
+    }
+
+    pub(super) fn streaming_attempt(&self) -> Option<&AttemptInFlight> {
+        self.in_flight
+            .as_ref()
+            .filter(|attempt| attempt.is_streaming)
+    }
+
+    /// Its response is in flight, and no rejection waits for that to end.
+    fn expects_stream(&self) -> bool {
+        !self.is_over && self.pending_rejection.is_none()
+    }
+}
+
+impl<O: Outbound> Core<O> {
+    pub(super) fn request_submitted(
+        &mut self,
+        id: RequestId,
+        incoming: IncomingRequest,
+        responder: Responder,
+    ) {
+        // What endpoints hold is held by the id on the wire, so two requests must not share one.
+        let is_duplicate = self
+            .requests
+            .values()
+            .any(|open| open.incoming.request_id == incoming.request_id);
+        if is_duplicate {
+            responder.respond(FinalResponse::DuplicateId);
+            return;
+        }
+        let now = self.clock.now();
+        let request = Request::new(incoming, responder, now);
+        let spec = request.spec(id);
+        let time_to_first_byte = spec.deadline - now;
+        tracing::debug!(
+            request_id = %request.incoming.request_id,
+            class = spec.class.0,
+            prompt_tokens = spec.prompt_tokens,
+            shared_prefix_tokens = spec.shared_prefix_tokens,
+            time_to_first_byte_us = time_to_first_byte,
+            is_retry = spec.is_retry,
+            is_resumed = spec.is_resumed,
+            session = request.incoming.session,
+            shared_prefix = request.incoming.shared_prefix,
+            "request arrived"
+        );
+        self.requests.insert(id, request);
+        self.note(id, Step::Arrived { time_to_first_byte });
+        self.decide(Event::RequestArrived(spec));
+    }
+
+    pub(super) fn client_disconnected(&mut self, id: RequestId) {
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(|request| !request.is_over)
+        {
+            self.note(id, Step::ClientDisconnected);
+            self.finish(id, None);
+            self.decide(Event::ClientDisconnected(id));
+        }
+        self.forget_if_done(id);
+    }
+
+    pub(super) fn stream_started(
+        &mut self,
+        attempt: AttemptId,
+        media_type: String,
+        body: BodyStream,
+    ) {
+        let now = self.clock.now();
+        let (id, number) = (attempt.request, attempt.number);
+        let request = self.requests.get_mut(&id);
+        let Some(request) = request.filter(|request| request.expects_stream()) else {
+            return;
+        };
+        let in_flight = request.in_flight.as_mut();
+        let Some(attempt) = in_flight.filter(|attempt| attempt.number == number) else {
+            return;
+        };
+        attempt.is_streaming = true;
+        let endpoint = attempt.endpoint;
+        let elapsed = now - attempt.sent_at;
+        request
+            .trace
+            .note(now, Step::StreamStarted { attempt: number });
+        // Nothing further is sent for it: its body need not be kept while the response streams.
+        request.incoming.message = Rc::default();
+        let request_id = &request.incoming.request_id;
+        tracing::debug!(%request_id, attempt = number, elapsed_us = elapsed, "stream started");
+        if let Some(responder) = request.responder.take() {
+            responder.respond(FinalResponse::Streaming { media_type, body });
+        }
+        self.decide(Event::StreamStarted {
+            id,
+            attempt: number,
+            endpoint,
+            elapsed,
+        });
+    }
+
+    pub(super) fn attempt_ended(&mut self, attempt: AttemptId, report: AttemptReport) {
+        let (id, number) = (attempt.request, attempt.number);
+        let now = self.clock.now();
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let in_flight = &mut request.in_flight;
+        let Some(attempt) = in_flight.take_if(|attempt| attempt.number == number) else {
+            return;
+        };
+        let AttemptReport {
+            outcome,
+            cached_tokens,
+            load,
+            wire,
+        } = report;
+        request.trace.note(
+            now,
+            Step::AttemptEnded {
+                attempt: number,
+                outcome,
+                wire,
+            },
+        );
+        request
+            .executions
+            .attempt_ended(attempt.role, outcome, attempt.execution);
+        if attempt.is_streaming {
+            self.finish(id, None);
+        } else if let Some(rejection) = request.pending_rejection.take() {
+            self.finish(id, Some(rejection));
+        }
+        if has_responded(outcome) {
+            self.endpoint_responded(attempt.endpoint);
+        }
+        let elapsed = self.clock.now() - attempt.sent_at;
+        let request = self.requests.get(&id);
+        let endpoint = self.endpoints.handle(attempt.endpoint);
+        if let (Some(request), Some(endpoint)) = (request, endpoint) {
+            tracing::debug!(
+                request_id = %request.incoming.request_id,
+                attempt = number,
+                endpoint = endpoint.name,
+                ?outcome,
+                cached_tokens,
+                elapsed_us = elapsed,
+                "attempt ended"
+            );
+        }
+        let client_done = request.is_none_or(|request| request.is_over);
+        self.decide(Event::AttemptEnded {
+            id,
+            attempt: number,
+            endpoint: attempt.endpoint,
+            outcome,
+            client_done,
+            elapsed,
+            load,
+        });
+    }
+
+    /// Ends a request: the only place that does. `None` where its client has the whole response or
+    /// is gone.
+    pub(super) fn finish(&mut self, id: RequestId, response: Option<FinalResponse>) {
+        let now = self.clock.now();
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        request.is_over = true;
+        request.is_live.set(false);
+        let name = response.as_ref().map_or("none", FinalResponse::name);
+        request.trace.note(now, Step::Responded { response: name });
+        let request_id = &request.incoming.request_id;
+        let elapsed = now - request.arrived_at;
+        tracing::debug!(%request_id, ?response, elapsed_us = elapsed, "request ended");
+        let rule = RetryRule::of(self.settings.classes.get(request.incoming.class.0));
+        let is_rejected = matches!(response, Some(FinalResponse::Rejected(_)));
+        if is_rejected && rule.idempotency() != Idempotency::Idempotent && request.trace.has_tried()
+        {
+            tracing::info!(%request_id, trace = %request.trace, "request rejected after an attempt");
+        }
+        if let (Some(responder), Some(response)) = (request.responder.take(), response) {
+            responder.respond(response);
+        }
+    }
+
+    /// Drops the record of a request that is over and has no attempt in flight.
+    pub(super) fn forget_if_done(&mut self, id: RequestId) {
+        let request = self.requests.get(&id);
+        if request.is_some_and(|request| request.is_over && request.in_flight.is_none()) {
+            self.requests.remove(&id);
+        }
+    }
+}
+
+/// Whether an outcome shows that the endpoint can be reached.
+fn has_responded(outcome: Outcome) -> bool {
+    matches!(
+        outcome,
+        Outcome::Completed
+            | Outcome::Prefilled { .. }
+            | Outcome::Rejected(_)
+            | Outcome::ServerError
+    )
+}
