--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-use crate::oracle::{Effect, Final, Rule};
+use crate::oracle::{Answer, Idempotency, Rule};
 use crate::routers::Router;
 use crate::scenario::{Plant, DEADLINES_MS};
 use crate::world::World;
@@ -88,15 +88,15 @@
     async fn ask(&mut self) {
         let world = self.world.clone();
         let effect = if world.chance(40) {
-            Effect::Unsafe
+            Idempotency::NonIdempotent
         } else {
-            Effect::Safe
+            Idempotency::Idempotent
         };
-        let deadline = DEADLINES_MS[usize::from(effect == Effect::Unsafe)];
+        let deadline = DEADLINES_MS[usize::from(effect == Idempotency::NonIdempotent)];
         let patience = world.draw(deadline / 2, deadline + 1);
         let id = format!("q{:08x}", world.number());
         let tokens = world.draw(200, 6_000);
-        let class = if effect == Effect::Unsafe {
+        let class = if effect == Idempotency::NonIdempotent {
             "order"
         } else {
             "chat"
@@ -127,18 +127,27 @@
                 }
             };
             match sent {
-                false => world
+                false => world.oracle.borrow_mut().request_sent(
+                    &id,
+                    router,
+                    effect,
+                    world.now(),
+                    Duration::from_millis(patience),
+                ),
+                true => world
                     .oracle
                     .borrow_mut()
-                    .sent(&id, router, effect, world.now(), patience),
-                true => world.oracle.borrow_mut().resent(&id, router, world.now()),
+                    .request_resent(&id, router, world.now()),
             }
             sent = true;
             let kills = self.routers[router].kills.get();
             let waits = Duration::from_millis(patience + 2_000);
             let note = |answer| {
                 if !world.plants(Plant::Lost) {
-                    world.oracle.borrow_mut().answer(&id, answer, world.now());
+                    world
+                        .oracle
+                        .borrow_mut()
+                        .request_answered(&id, answer, world.now());
                 }
             };
             let asked = exchange(stream, text.as_bytes(), note);
@@ -147,7 +156,12 @@
                 None => timeout(waits, asked).await.unwrap_or(Reply::Nothing),
             };
             match reply {
-                Reply::Left => return world.oracle.borrow_mut().client_left(&id, world.now()),
+                Reply::Left => {
+                    return world
+                        .oracle
+                        .borrow_mut()
+                        .client_disconnected(&id, world.now())
+                }
                 Reply::Answer(stream) => {
                     self.kept.extend(stream.map(|stream| (router, stream)));
                     return;
@@ -158,14 +172,17 @@
         }
         if sent {
             // Closed under it each time: nobody has taken it, or the oracle has seen that somebody did.
-            world.oracle.borrow_mut().client_left(&id, world.now());
+            world
+                .oracle
+                .borrow_mut()
+                .client_disconnected(&id, world.now());
         }
     }
 }
 
 /// Sends a request and takes the answer, of which `note` hears once it has begun. A stream is read to its end; where it
 /// breaks it was served all the same, as the rest would be asked for anew.
-async fn exchange(mut stream: TcpStream, request: &[u8], note: impl Fn(Final)) -> Reply {
+async fn exchange(mut stream: TcpStream, request: &[u8], note: impl Fn(Answer)) -> Reply {
     if stream.write_all(request).await.is_err() {
         return Reply::Nothing;
     }
@@ -199,11 +216,11 @@
     }
 }
 
-fn answer_of(said: &[u8]) -> Final {
+fn answer_of(said: &[u8]) -> Answer {
     match said.get(9..12) {
-        Some(b"200") => Final::Served,
-        Some(b"503" | b"429") => Final::Refused,
-        _ => Final::Failed,
+        Some(b"200") => Answer::Served,
+        Some(b"503" | b"429") => Answer::Rejected,
+        _ => Answer::Failed,
     }
 }
 
@@ -232,7 +249,7 @@
         world
             .oracle
             .borrow_mut()
-            .violate(Rule::Lost, world.now(), detail);
+            .report_violation(Rule::MissingAnswer, world.now(), detail);
     }
 }
 
--- a/crates/soak/src/directory.rs
+++ b/crates/soak/src/directory.rs
@@ -18,13 +18,13 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::sleep;
 
-use crate::oracle::{Millis, Role};
+use crate::oracle::Role;
 use crate::proxy::Proxy;
 use crate::scenario::Plant;
 use crate::world::World;
 
 /// A change counts as told after this, if the agent has it and can be reached.
-const TOLD_ANYWAY: Millis = 6_000;
+const TOLD_ANYWAY: Duration = Duration::from_secs(6);
 
 /// What the list says of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -109,8 +109,8 @@
     /// The version that it has, and since when it could be asked for it.
     version: watch::Sender<u64>,
     mood: Cell<Mood>,
-    reachable_since: Cell<Millis>,
-    had: RefCell<Vec<(u64, Millis)>>,
+    reachable_since: Cell<Duration>,
+    had: RefCell<Vec<(u64, Duration)>>,
     connections: RefCell<Vec<AbortHandle>>,
 }
 
@@ -169,7 +169,7 @@
         let reachable = self.mood.get() == Mood::Serves;
         let now = world.now();
         let due =
-            |(_, at): &(u64, Millis)| now >= (*at).max(self.reachable_since.get()) + TOLD_ANYWAY;
+            |(_, at): &(u64, Duration)| now >= (*at).max(self.reachable_since.get()) + TOLD_ANYWAY;
         let told = self
             .had
             .borrow()
@@ -187,7 +187,12 @@
         let mut oracle = world.oracle.borrow_mut();
         for (server, entry) in self.directory.entries.borrow().iter().enumerate() {
             if tells(entry.changed) {
-                oracle.told(self.router, server, entry.status == Status::Up, world.now());
+                oracle.router_notified(
+                    self.router,
+                    server,
+                    entry.status == Status::Up,
+                    world.now(),
+                );
             }
         }
     }
@@ -254,7 +259,7 @@
             // The oracle is told that all drain; the router is not.
             let mut oracle = world.oracle.borrow_mut();
             (0..self.proxies.len())
-                .for_each(|server| oracle.told(self.router, server, false, world.now()));
+                .for_each(|server| oracle.router_notified(self.router, server, false, world.now()));
         }
         *response.body_mut() = Full::new(list.to_string().into());
         response
@@ -269,7 +274,7 @@
         });
         let line = |(server, entry): (usize, &Entry)| {
             json!({"name": format!("s{server}"), "address": self.proxies[server].address.to_string(), "zone": "here",
-                "type": if entry.role == Role::Read { "reader" } else { "writer" }, "group": server % 2,
+                "type": if entry.role == Role::Prefill { "reader" } else { "writer" }, "group": server % 2,
                 "status": entry.status.word(), "weight": 1.0, "since_ms": entry.since_ms})
         };
         json!({"index": version, "snapshot": from.is_none(), "endpoints": lines.map(line).collect::<Vec<_>>()})
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -118,7 +118,7 @@
                 }
                 if buffer[..length].starts_with(ATTEMPT) {
                     let mut oracle = world.oracle.borrow_mut();
-                    oracle.attempt_begins(self.router, self.server.index, world.now());
+                    oracle.attempt_started(self.router, self.server.index, world.now());
                 }
                 if buffer[..length].starts_with(RELEASE) && world.plants(Plant::Held) {
                     let _ = to_router.try_write(b"HTTP/1.1 204 No Content\r\n\r\n");
--- a/crates/soak/src/routers.rs
+++ b/crates/soak/src/routers.rs
@@ -140,7 +140,7 @@
             let step = [0, 3_600, -3_600, 5, -5][world.draw(0, 5) as usize];
             command.env("SOAK_CLOCK_STEP_S", step.to_string());
         }
-        world.oracle.borrow_mut().router_starts(self.index);
+        world.oracle.borrow_mut().router_started(self.index);
         *self.child.borrow_mut() = Some(command.spawn()?);
         self.starts.set(self.starts.get() + 1);
         let ready = async {
@@ -156,7 +156,7 @@
             world
                 .oracle
                 .borrow_mut()
-                .violate(Rule::Crash, world.now(), detail);
+                .report_violation(Rule::Crash, world.now(), detail);
         }
         self.admitted.set(true);
         Ok(())
@@ -199,7 +199,7 @@
                 world
                     .oracle
                     .borrow_mut()
-                    .violate(Rule::Crash, world.now(), detail);
+                    .report_violation(Rule::Crash, world.now(), detail);
             }
         }
         self.busy.set(false);
@@ -217,7 +217,7 @@
             world
                 .oracle
                 .borrow_mut()
-                .violate(Rule::Crash, world.now(), detail);
+                .report_violation(Rule::Crash, world.now(), detail);
         }
         match ending {
             Ending::Orderly => {
@@ -232,17 +232,19 @@
                     Ok(status) => {
                         let detail =
                             format!("router {} ended with {status:?} after SIGTERM", self.index);
-                        world
-                            .oracle
-                            .borrow_mut()
-                            .violate(Rule::Crash, world.now(), detail);
+                        world.oracle.borrow_mut().report_violation(
+                            Rule::Crash,
+                            world.now(),
+                            detail,
+                        );
                     }
                     Err(_) => {
                         let detail = format!("router {} still ran at its end", self.index);
-                        world
-                            .oracle
-                            .borrow_mut()
-                            .violate(Rule::Crash, world.now(), detail);
+                        world.oracle.borrow_mut().report_violation(
+                            Rule::Crash,
+                            world.now(),
+                            detail,
+                        );
                         let _ = child.kill().await;
                     }
                 }
--- a/crates/soak/src/scenario.rs
+++ b/crates/soak/src/scenario.rs
@@ -10,7 +10,7 @@
 
 use crate::client::{bad_client, crowd, Client};
 use crate::directory::{Agent, Directory, Mood, Status};
-use crate::oracle::{Final, Limits, Oracle, Role, Rule, Violation};
+use crate::oracle::{Answer, Limits, Oracle, Role, Rule, Violation};
 use crate::proxy::Proxy;
 use crate::routers::{free_addresses, Ending, Router};
 use crate::server::Server;
@@ -57,11 +57,11 @@
     /// The rule that it breaks.
     pub fn rule(self) -> Rule {
         match self {
-            Plant::Lost => Rule::Lost,
-            Plant::Duplicate => Rule::Duplicate,
-            Plant::SecondCopy => Rule::SecondCopy,
-            Plant::Held => Rule::Held,
-            Plant::AfterClientLeft => Rule::AfterClientLeft,
+            Plant::Lost => Rule::MissingAnswer,
+            Plant::Duplicate => Rule::DuplicateExecution,
+            Plant::SecondCopy => Rule::ConcurrentAttempts,
+            Plant::Held => Rule::LeakedLease,
+            Plant::AfterClientLeft => Rule::AfterDisconnect,
             Plant::Deadline => Rule::Deadline,
             Plant::Drain => Rule::Drain,
             Plant::Crash => Rule::Crash,
@@ -150,7 +150,7 @@
         stage.routers[0].signal("-KILL");
     }
     let (begun, mut troubles) = (world.now(), 0);
-    while world.now() < begun + options.span.as_millis() as u64 {
+    while world.now() < begun + Duration::from_millis(options.span.as_millis() as u64) {
         sleep(Duration::from_millis(
             world.draw(TROUBLE_EVERY_MS.0, TROUBLE_EVERY_MS.1),
         ))
@@ -168,11 +168,12 @@
             world
                 .oracle
                 .borrow_mut()
-                .violate(Rule::Crash, world.now(), detail);
+                .report_violation(Rule::Crash, world.now(), detail);
         }
     }
     let oracle = world.oracle.borrow();
-    let answered = [Final::Served, Final::Refused, Final::Failed].map(|end| oracle.answered(end));
+    let answered =
+        [Answer::Served, Answer::Rejected, Answer::Failed].map(|end| oracle.count_answers(end));
     Ok(Report {
         answered,
         troubles,
@@ -188,22 +189,26 @@
             .agents
             .iter()
             .for_each(|agent| agent.count_as_told(&stage.world));
-        stage.world.oracle.borrow_mut().sweep(stage.world.now());
+        stage
+            .world
+            .oracle
+            .borrow_mut()
+            .check_overdue(stage.world.now());
     }
 }
 
 impl Stage {
     async fn build(options: &Rc<Options>) -> std::io::Result<Stage> {
         let limits = Limits {
-            drain_grace: DRAIN_GRACE_MS,
-            held: HELD_MS,
+            drain_grace: Duration::from_millis(DRAIN_GRACE_MS),
+            kv_lease_timeout: Duration::from_millis(HELD_MS),
             slow_start_calls: SLOW_START.0,
-            slow_start_window: SLOW_START.1,
+            slow_start_window: Duration::from_millis(SLOW_START.1),
         };
         let world = World::new(Oracle::new(limits), options.seed, options.plant);
         let roles: Vec<Role> = (0..options.servers[0])
-            .map(|_| Role::Read)
-            .chain((0..options.servers[1]).map(|_| Role::Write))
+            .map(|_| Role::Prefill)
+            .chain((0..options.servers[1]).map(|_| Role::Decode))
             .collect();
         let directory = Directory::new(&roles);
         let mut servers = Vec::new();
@@ -310,11 +315,11 @@
             let now = SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .unwrap_or_default();
-            if self.servers[server].role == Role::Read {
+            if self.servers[server].role == Role::Prefill {
                 self.world
                     .oracle
                     .borrow_mut()
-                    .server_starts(server, self.world.now());
+                    .server_started(server, self.world.now());
             }
             self.directory
                 .set(server, Status::Up, Some(now.as_millis() as u64));
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -18,7 +18,7 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::sleep;
 
-use crate::oracle::Role;
+use crate::oracle::{LeasedResource, ReceivedAttempt, Role};
 use crate::scenario::Plant;
 use crate::world::World;
 
@@ -59,7 +59,7 @@
             draining: Cell::default(),
             address: Cell::new(([127, 0, 0, 1], 1).into()),
             waiting: Cell::default(),
-            slots: Semaphore::new(SLOTS[usize::from(role == Role::Write)]),
+            slots: Semaphore::new(SLOTS[usize::from(role == Role::Decode)]),
             tasks: RefCell::default(),
         });
         server.listen(world).await?;
@@ -160,16 +160,20 @@
         let number = world.number();
         {
             let mut oracle = world.oracle.borrow_mut();
-            oracle.attempt_arrives(&id, number, self.index, self.role, world.now(), told);
+            let received = ReceivedAttempt {
+                request_id: &id,
+                number,
+                server: self.index,
+                role: self.role,
+                stated_time_left: Duration::from_millis(told),
+            };
+            oracle.attempt_received(&received, world.now());
             if world.plants(Plant::SecondCopy) || world.plants(Plant::Duplicate) {
-                oracle.attempt_arrives(
-                    &id,
-                    world.number(),
-                    self.index,
-                    self.role,
-                    world.now(),
-                    told,
-                );
+                let duplicate = ReceivedAttempt {
+                    number: world.number(),
+                    ..received
+                };
+                oracle.attempt_received(&duplicate, world.now());
             }
         }
         world
@@ -196,7 +200,7 @@
         connection: u64,
     ) -> (Response<Body>, bool) {
         let away = |status| {
-            world.oracle.borrow_mut().turned_away(id, self.role);
+            world.oracle.borrow_mut().attempt_rejected(id, self.role);
             (whole(status, "", true), true)
         };
         if self.draining.get() || self.waiting.get() >= QUEUE_LIMIT {
@@ -205,7 +209,7 @@
         let fails = world.chance(self.errors.get());
         let _waits = Waits::new(&self.waiting);
         match self.role {
-            Role::Read => {
+            Role::Prefill => {
                 let _reading = Listed::new(world, id, |world| &world.reading);
                 let _slot = self.slots.acquire().await;
                 sleep(Duration::from_millis(world.draw(20, 140))).await;
@@ -213,16 +217,18 @@
                     return (whole(StatusCode::INTERNAL_SERVER_ERROR, "", false), true);
                 }
                 world.states.borrow_mut().insert(id.to_owned(), self.index);
-                world
-                    .oracle
-                    .borrow_mut()
-                    .holds(id, self.index, false, world.now());
+                world.oracle.borrow_mut().lease_acquired(
+                    id,
+                    self.index,
+                    LeasedResource::KvState,
+                    world.now(),
+                );
                 (
                     whole(StatusCode::ACCEPTED, "{\"cached_tokens\":0}", false),
                     true,
                 )
             }
-            Role::Write => {
+            Role::Decode => {
                 if !world.states.borrow().contains_key(id) {
                     return away(StatusCode::GONE);
                 }
@@ -258,9 +264,9 @@
         let before = world.places.borrow_mut().insert(id.to_owned(), self.index);
         let mut oracle = world.oracle.borrow_mut();
         if let Some(before) = before {
-            oracle.releases(id, before, true, world.now());
+            oracle.lease_ended(id, before, LeasedResource::DecodeSlot, world.now());
         }
-        oracle.holds(id, self.index, true, world.now());
+        oracle.lease_acquired(id, self.index, LeasedResource::DecodeSlot, world.now());
         whole(StatusCode::OK, "", false)
     }
 }
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -4,12 +4,13 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::time::Duration;
 
 use rand_core::RngCore;
 use rand_pcg::Pcg32;
 use tokio::time::Instant;
 
-use crate::oracle::{Millis, Oracle};
+use crate::oracle::{LeasedResource, Oracle};
 use crate::scenario::Plant;
 
 /// An attempt that has arrived: its request and its number.
@@ -62,9 +63,10 @@
         })
     }
 
-    /// Milliseconds since the start.
-    pub fn now(&self) -> Millis {
-        Millis::try_from(self.began.elapsed().as_millis()).unwrap_or(Millis::MAX)
+    /// The time since the start, in whole milliseconds.
+    pub fn now(&self) -> Duration {
+        let millis = u64::try_from(self.began.elapsed().as_millis());
+        Duration::from_millis(millis.unwrap_or(u64::MAX))
     }
 
     /// A number that no other call gets.
@@ -93,7 +95,7 @@
         if let Some((id, number)) = self.attempts.borrow_mut().remove(&connection) {
             self.oracle
                 .borrow_mut()
-                .attempt_ends(&id, number, self.now());
+                .attempt_ended(&id, number, self.now());
         }
     }
 
@@ -109,21 +111,24 @@
         let mut oracle = self.oracle.borrow_mut();
         if !self.fetching.borrow().contains(id) {
             if let Some(server) = self.states.borrow_mut().remove(id) {
-                oracle.releases(id, server, false, self.now());
+                oracle.lease_ended(id, server, LeasedResource::KvState, self.now());
             }
         }
         if let Some(server) = self.places.borrow_mut().remove(id) {
-            oracle.releases(id, server, true, self.now());
+            oracle.lease_ended(id, server, LeasedResource::DecodeSlot, self.now());
         }
     }
 
     /// All that a server holds is lost with it.
     pub fn forget_server(&self, server: usize) {
         let mut oracle = self.oracle.borrow_mut();
-        for (held, place) in [(&self.states, false), (&self.places, true)] {
+        for (held, place) in [
+            (&self.states, LeasedResource::KvState),
+            (&self.places, LeasedResource::DecodeSlot),
+        ] {
             held.borrow_mut().retain(|id, at| {
                 if *at == server {
-                    oracle.releases(id, server, place, self.now());
+                    oracle.lease_ended(id, server, place, self.now());
                 }
                 *at != server
             });
--- a/crates/soak/tests/oracle.rs
+++ b/crates/soak/tests/oracle.rs
@@ -1,25 +1,57 @@
-//! The oracle against a planted fault of each kind, and against courses that keep the rules.
+//! The oracle: it reports each kind of violation, and nothing for sequences that keep the rules.
 
-use cranetack_soak::oracle::{Effect, Final, Limits, Millis, Oracle, Role, Rule};
+use std::time::Duration;
+
+use cranetack_soak::oracle::{
+    Answer, Idempotency, LeasedResource, Limits, Oracle, ReceivedAttempt, Role, Rule,
+};
 
 const LIMITS: Limits = Limits {
-    drain_grace: 250,
-    held: 300,
+    drain_grace: ms(250),
+    kv_lease_timeout: ms(300),
     slow_start_calls: 4.0,
-    slow_start_window: 3_000,
+    slow_start_window: ms(3_000),
 };
 
-/// An order that has been read at server 1, whose state waits there since 100 ms.
-fn read() -> Oracle {
+const fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
+}
+
+/// An attempt for request `a`.
+fn attempt(
+    number: u64,
+    server: usize,
+    role: Role,
+    stated_time_left: Duration,
+) -> ReceivedAttempt<'static> {
+    ReceivedAttempt {
+        request_id: "a",
+        number,
+        server,
+        role,
+        stated_time_left,
+    }
+}
+
+/// A non-idempotent request whose prompt was processed at server 1, which has kept the KV state
+/// since 100 ms.
+fn prefilled() -> Oracle {
     let mut oracle = Oracle::new(LIMITS);
-    oracle.sent("a", 0, Effect::Unsafe, 0, 5_000);
-    oracle.attempt_arrives("a", 1, 1, Role::Read, 10, 4_990);
-    oracle.holds("a", 1, false, 100);
-    oracle.attempt_ends("a", 1, 100);
+    oracle.request_sent("a", 0, Idempotency::NonIdempotent, ms(0), ms(5_000));
+    oracle.attempt_received(&attempt(1, 1, Role::Prefill, ms(4_990)), ms(10));
+    oracle.lease_acquired("a", 1, LeasedResource::KvState, ms(100));
+    oracle.attempt_ended("a", 1, ms(100));
     oracle
 }
 
-fn broken(oracle: &Oracle) -> Vec<Rule> {
+/// Decodes the request at server 2.
+fn decode(oracle: &mut Oracle) {
+    oracle.attempt_received(&attempt(2, 2, Role::Decode, ms(4_890)), ms(110));
+    oracle.lease_ended("a", 1, LeasedResource::KvState, ms(120));
+    oracle.attempt_ended("a", 2, ms(130));
+}
+
+fn broken_rules(oracle: &Oracle) -> Vec<Rule> {
     oracle
         .violations()
         .iter()
@@ -28,98 +60,135 @@
 }
 
 #[test]
-fn a_request_that_is_read_written_and_served_breaks_nothing() {
-    let mut oracle = read();
-    oracle.attempt_arrives("a", 2, 2, Role::Write, 110, 4_890);
-    oracle.releases("a", 1, false, 120);
-    oracle.answer("a", Final::Served, 200);
-    oracle.attempt_ends("a", 2, 900);
-    oracle.sweep(20_000);
-    assert_eq!(broken(&oracle), vec![]);
+fn a_request_that_is_prefilled_decoded_and_served_breaks_no_rule() {
+    let mut oracle = prefilled();
+    oracle.attempt_received(&attempt(2, 2, Role::Decode, ms(4_890)), ms(110));
+    oracle.lease_ended("a", 1, LeasedResource::KvState, ms(120));
+    oracle.request_answered("a", Answer::Served, ms(200));
+    oracle.attempt_ended("a", 2, ms(900));
+    oracle.check_overdue(ms(20_000));
+    assert_eq!(broken_rules(&oracle), vec![]);
 }
 
 #[test]
-fn an_order_that_was_turned_away_may_be_sent_again_and_refused() {
-    let mut oracle = read();
+fn a_non_idempotent_request_may_be_retried_and_rejected_after_a_rejected_attempt() {
+    let mut oracle = prefilled();
     for number in [2, 3] {
-        oracle.attempt_arrives("a", number, 2, Role::Write, 110, 4_890);
-        oracle.turned_away("a", Role::Write);
-        oracle.attempt_ends("a", number, 115);
+        oracle.attempt_received(&attempt(number, 2, Role::Decode, ms(4_890)), ms(110));
+        oracle.attempt_rejected("a", Role::Decode);
+        oracle.attempt_ended("a", number, ms(115));
+    }
+    oracle.lease_ended("a", 1, LeasedResource::KvState, ms(120));
+    oracle.request_answered("a", Answer::Rejected, ms(130));
+    oracle.check_overdue(ms(20_000));
+    assert_eq!(broken_rules(&oracle), vec![]);
+}
+
+/// One sequence of observations that breaks a rule.
+struct ViolationCase {
+    rule: Rule,
+    /// Breaks no rule.
+    before: fn(&mut Oracle),
+    /// Breaks the rule.
+    violation: fn(&mut Oracle),
+}
+
+const VIOLATION_CASES: [ViolationCase; 11] = [
+    ViolationCase {
+        rule: Rule::MissingAnswer,
+        before: decode,
+        violation: |oracle| oracle.check_overdue(ms(5_700)),
+    },
+    ViolationCase {
+        rule: Rule::MissingAnswer,
+        before: decode,
+        violation: |oracle| oracle.request_answered("a", Answer::ConnectionClosed, ms(200)),
+    },
+    ViolationCase {
+        rule: Rule::MissingAnswer,
+        before: decode,
+        violation: |oracle| oracle.request_answered("a", Answer::Failed, ms(5_700)),
+    },
+    ViolationCase {
+        rule: Rule::DuplicateExecution,
+        before: decode,
+        violation: |oracle| oracle.request_answered("a", Answer::Rejected, ms(200)),
+    },
+    ViolationCase {
+        rule: Rule::DuplicateExecution,
+        before: decode,
+        violation: |oracle| {
+            oracle.attempt_received(&attempt(3, 3, Role::Decode, ms(100)), ms(200));
+        },
+    },
+    ViolationCase {
+        rule: Rule::ConcurrentAttempts,
+        before: |oracle| {
+            oracle.attempt_received(&attempt(2, 2, Role::Prefill, ms(100)), ms(110));
+        },
+        violation: |oracle| {
+            oracle.attempt_received(&attempt(3, 3, Role::Prefill, ms(100)), ms(120));
+        },
+    },
+    ViolationCase {
+        rule: Rule::LeakedLease,
+        before: |_| (),
+        violation: |oracle| oracle.check_overdue(ms(900)),
+    },
+    ViolationCase {
+        rule: Rule::AfterDisconnect,
+        before: |oracle| oracle.client_disconnected("a", ms(110)),
+        violation: |oracle| {
+            oracle.attempt_received(&attempt(2, 2, Role::Decode, ms(100)), ms(400));
+        },
+    },
+    ViolationCase {
+        rule: Rule::Deadline,
+        before: |_| (),
+        violation: |oracle| {
+            oracle.attempt_received(&attempt(2, 2, Role::Decode, ms(4_500)), ms(1_000));
+        },
+    },
+    ViolationCase {
+        rule: Rule::Drain,
+        before: |oracle| oracle.router_notified(0, 2, false, ms(100)),
+        violation: |oracle| oracle.attempt_started(0, 2, ms(450)),
+    },
+    ViolationCase {
+        rule: Rule::SlowStart,
+        before: |oracle| oracle.server_started(2, ms(100)),
+        violation: exceed_slow_start_budget,
+    },
+];
+
+/// Fourteen requests for server 2, one a millisecond.
+fn exceed_slow_start_budget(oracle: &mut Oracle) {
+    for index in 0..14 {
+        let id = format!("s{index}");
+        oracle.request_sent(&id, 0, Idempotency::Idempotent, ms(100), ms(5_000));
+        let received = ReceivedAttempt {
+            request_id: &id,
+            ..attempt(10 + index, 2, Role::Prefill, ms(100))
+        };
+        oracle.attempt_received(&received, ms(100 + index));
     }
-    oracle.releases("a", 1, false, 120);
-    oracle.answer("a", Final::Refused, 130);
-    oracle.sweep(20_000);
-    assert_eq!(broken(&oracle), vec![]);
 }
 
 #[test]
-fn each_kind_of_fault_is_seen() {
-    type Plant = fn(&mut Oracle);
-    let written: Plant = |oracle| {
-        oracle.attempt_arrives("a", 2, 2, Role::Write, 110, 4_890);
-        oracle.releases("a", 1, false, 120);
-        oracle.attempt_ends("a", 2, 130);
-    };
-    let plants: [(Rule, Plant, Plant); 11] = [
-        (Rule::Lost, written, |o| o.sweep(5_700)),
-        (Rule::Lost, written, |o| o.answer("a", Final::Closed, 200)),
-        (Rule::Lost, written, |o| o.answer("a", Final::Failed, 5_700)),
-        (Rule::Duplicate, written, |o| {
-            o.answer("a", Final::Refused, 200)
-        }),
-        (Rule::Duplicate, written, |o| {
-            o.attempt_arrives("a", 3, 3, Role::Write, 200, 100)
-        }),
-        (
-            Rule::SecondCopy,
-            |o| o.attempt_arrives("a", 2, 2, Role::Read, 110, 100),
-            |o| {
-                o.attempt_arrives("a", 3, 3, Role::Read, 120, 100);
-            },
-        ),
-        (Rule::Held, |_| (), |o| o.sweep(900)),
-        (
-            Rule::AfterClientLeft,
-            |o| o.client_left("a", 110),
-            |o| {
-                o.attempt_arrives("a", 2, 2, Role::Write, 400, 100);
-            },
-        ),
-        (
-            Rule::Deadline,
-            |_| (),
-            |o| o.attempt_arrives("a", 2, 2, Role::Write, 1_000, 4_500),
-        ),
-        (
-            Rule::Drain,
-            |o| o.told(0, 2, false, 100),
-            |o| o.attempt_begins(0, 2, 450),
-        ),
-        (
-            Rule::SlowStart,
-            |o| o.server_starts(2, 100),
-            |o| {
-                (0..14).for_each(|at: Millis| {
-                    let id = format!("s{at}");
-                    o.sent(&id, 0, Effect::Safe, 100, 5_000);
-                    o.attempt_arrives(&id, 10 + at, 2, Role::Read, 100 + at, 100);
-                });
-            },
-        ),
-    ];
-    for (rule, before, plant) in plants {
-        let mut oracle = read();
-        before(&mut oracle);
-        assert_eq!(broken(&oracle), vec![], "{rule:?}");
-        plant(&mut oracle);
-        assert_eq!(broken(&oracle), vec![rule], "{rule:?}");
+fn each_kind_of_violation_is_reported() {
+    for case in VIOLATION_CASES {
+        let mut oracle = prefilled();
+        (case.before)(&mut oracle);
+        assert_eq!(broken_rules(&oracle), vec![], "{:?}", case.rule);
+        (case.violation)(&mut oracle);
+        assert_eq!(broken_rules(&oracle), vec![case.rule], "{:?}", case.rule);
     }
 }
 
 #[test]
-fn what_a_killed_router_had_taken_is_nobodys() {
-    let mut oracle = read();
+fn the_requests_of_a_killed_router_are_owed_no_answer() {
+    let mut oracle = prefilled();
     oracle.router_killed(0);
-    oracle.sweep(20_000);
-    assert_eq!(broken(&oracle), vec![]);
+    oracle.check_overdue(ms(20_000));
+    assert_eq!(broken_rules(&oracle), vec![]);
 }
