--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,7 +1,6 @@
-//! Clients: those that ask and wait, those that leave early, and those that do neither.
+//! Clients that send requests and wait for the answers, or disconnect early.
 
 use std::collections::HashMap;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -9,262 +8,276 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-use crate::oracle::{Answer, Idempotency, Rule};
-use crate::routers::Router;
-use crate::scenario::{Plant, DEADLINES_MS};
-use crate::world::World;
+use crate::injected_violation::InjectedViolation;
+use crate::oracle::{Answer, Idempotency};
+use crate::router_process::RouterProcess;
+use crate::router_settings::{class_deadline, class_name};
+use crate::run_state::RunState;
 
-/// Bad clients are answered or closed within this.
-const BAD_CLIENT: Duration = Duration::from_millis(3_000 + 200);
+/// Routers that a client tries for one request, as long as connections are closed without an
+/// answer.
+const MAX_SENDS: usize = 4;
+/// How long a connection to a router may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// How much longer than its deadline a client waits for an answer.
+const ANSWER_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
+/// Of 100 requests, how many are not idempotent.
+const NON_IDEMPOTENT_PERCENT: u64 = 40;
+/// Of 100 requests, how many are abandoned by a client that disconnects early.
+const DISCONNECT_PERCENT: u64 = 8;
+/// The end of the head of an HTTP message.
+const HEAD_END: &[u8] = b"\r\n\r\n";
+/// The end of a chunked body.
+const LAST_CHUNK: &[u8] = b"\r\n0\r\n\r\n";
 
-/// Whether a router says that it is ready.
-pub async fn is_up(address: SocketAddr) -> bool {
-    let asked = async {
-        let mut stream = TcpStream::connect(address).await.ok()?;
-        stream
-            .write_all(b"GET /up HTTP/1.1\r\nhost: app\r\nconnection: close\r\n\r\n")
-            .await
-            .ok()?;
-        let mut said = Vec::new();
-        let _ = stream.read_to_end(&mut said).await;
-        Some(said.starts_with(b"HTTP/1.1 200"))
-    };
-    timeout(Duration::from_millis(500), asked)
-        .await
-        .ok()
-        .flatten()
-        .unwrap_or(false)
-}
-
-/// One client: it asks, again and again, over connections that it keeps.
+/// A client that sends one request after another over pooled connections.
 pub struct Client {
-    world: Rc<World>,
-    routers: Vec<Rc<Router>>,
-    kept: HashMap<usize, TcpStream>,
+    state: Rc<RunState>,
+    routers: Vec<Rc<RouterProcess>>,
+    /// Idle connections, by router.
+    pool: HashMap<usize, TcpStream>,
     session: u64,
 }
 
-/// What came back over one connection.
-enum Reply {
-    /// An answer to its end; the connection, if it can be used again.
-    Answer(Option<TcpStream>),
-    /// Nothing: the connection was closed under the request.
-    Nothing,
-    /// The client had enough.
-    Left,
+/// A request as the client will send it.
+struct ClientRequest {
+    id: String,
+    idempotency: Idempotency,
+    deadline: Duration,
+    /// When the client disconnects, where it does not wait for the answer.
+    disconnects_after: Option<Duration>,
+    bytes: Vec<u8>,
+}
+
+/// What came of a request on one connection.
+enum Exchange {
+    /// It was answered. The connection, if it can be used again.
+    Answered(Option<TcpStream>),
+    /// The connection was closed without an answer.
+    ConnectionClosed,
+    /// The client disconnected.
+    Disconnected,
 }
 
 impl Client {
-    /// A client that has asked nothing yet.
-    pub fn new(world: Rc<World>, routers: Vec<Rc<Router>>) -> Client {
-        let session = world.number();
+    /// A client without connections.
+    pub fn new(state: Rc<RunState>, routers: Vec<Rc<RouterProcess>>) -> Client {
+        let session = state.next_number();
         Client {
-            world,
+            state,
             routers,
-            kept: HashMap::new(),
+            pool: HashMap::new(),
             session,
         }
     }
 
-    /// Asks until the run is over.
-    pub async fn run(mut self, pause_ms: u64) {
-        while !self.world.over.get() {
-            sleep(Duration::from_millis(self.world.draw(1, 2 * pause_ms))).await;
-            self.ask().await;
+    /// Sends requests until the run is finished, with up to twice this pause between them.
+    pub async fn run(mut self, mean_pause_ms: u64) {
+        while !self.state.finished.get() {
+            sleep(self.state.draw_millis(1, 2 * mean_pause_ms)).await;
+            self.send_request().await;
         }
     }
 
-    fn pick(&self) -> Option<usize> {
-        let up: Vec<usize> = self
+    fn pick_router(&self) -> Option<usize> {
+        let candidates: Vec<usize> = self
             .routers
             .iter()
-            .filter(|r| r.admitted.get())
-            .map(|r| r.index)
+            .filter(|router| router.in_rotation.get())
+            .map(|router| router.index)
             .collect();
-        up.get(self.world.draw(0, up.len().max(1) as u64) as usize)
-            .copied()
+        let pick = self.state.draw(0, candidates.len().max(1) as u64);
+        candidates.get(pick as usize).copied()
     }
 
-    async fn ask(&mut self) {
-        let world = self.world.clone();
-        let effect = if world.chance(40) {
+    fn draw_request(&self) -> ClientRequest {
+        let state = &self.state;
+        let idempotency = if state.chance(NON_IDEMPOTENT_PERCENT) {
             Idempotency::NonIdempotent
         } else {
             Idempotency::Idempotent
         };
-        let deadline = DEADLINES_MS[usize::from(effect == Idempotency::NonIdempotent)];
-        let patience = world.draw(deadline / 2, deadline + 1);
-        let id = format!("q{:08x}", world.number());
-        let tokens = world.draw(200, 6_000);
-        let class = if effect == Idempotency::NonIdempotent {
-            "order"
-        } else {
-            "chat"
-        };
+        let longest_ms = class_deadline(idempotency).as_millis() as u64;
+        let deadline_ms = state.draw(longest_ms / 2, longest_ms + 1);
+        let id = format!("q{:08x}", state.next_number());
+        let tokens = state.draw(200, 6_000);
+        let class = class_name(idempotency);
+        let session = self.session;
         let body = "x".repeat(tokens as usize * 2);
         let text = format!(
-            "POST /v1/chat/completions HTTP/1.1\r\nhost: app\r\nx-request-id: {id}\r\nx-class: {class}\r\n\
-             x-key: k{}\r\nx-deadline-ms: {patience}\r\nx-extras: prompt_len={tokens},max_out=40\r\n\
-             content-length: {}\r\n\r\n{body}",
-            self.session,
+            "POST /v1/chat/completions HTTP/1.1\r\nhost: app\r\nx-request-id: {id}\r\n\
+             x-class: {class}\r\nx-key: k{session}\r\nx-deadline-ms: {deadline_ms}\r\n\
+             x-extras: prompt_len={tokens},max_out=40\r\ncontent-length: {}\r\n\r\n{body}",
             body.len()
         );
-        let leaves = world
-            .chance(8)
-            .then(|| Duration::from_millis(world.draw(1, 700)));
+        let disconnects = state.chance(DISCONNECT_PERCENT);
+        ClientRequest {
+            id,
+            idempotency,
+            deadline: Duration::from_millis(deadline_ms),
+            disconnects_after: disconnects.then(|| state.draw_millis(1, 700)),
+            bytes: text.into_bytes(),
+        }
+    }
+
+    /// Sends one request, to another router each time that the connection is closed without an
+    /// answer.
+    async fn send_request(&mut self) {
+        let state = self.state.clone();
+        let request = self.draw_request();
         let mut sent = false;
-        for _ in 0..4 {
-            let Some(router) = self.pick() else { return };
-            let stream = match self.kept.remove(&router) {
-                Some(stream) => stream,
-                None => {
-                    let connect = TcpStream::connect(self.routers[router].address);
-                    let Ok(Ok(stream)) = timeout(Duration::from_secs(1), connect).await else {
-                        continue;
-                    };
-                    let _ = stream.set_nodelay(true);
-                    stream
-                }
+        for _ in 0..MAX_SENDS {
+            let Some(router) = self.pick_router() else {
+                return;
             };
-            match sent {
-                false => world.oracle.borrow_mut().request_sent(
-                    &id,
-                    router,
-                    effect,
-                    world.now(),
-                    Duration::from_millis(patience),
-                ),
-                true => world
-                    .oracle
-                    .borrow_mut()
-                    .request_resent(&id, router, world.now()),
-            }
+            let Some(stream) = self.connect(router).await else {
+                continue;
+            };
+            self.report_sent(&request, router, sent);
             sent = true;
-            let kills = self.routers[router].kills.get();
-            let waits = Duration::from_millis(patience + 2_000);
-            let note = |answer| {
-                if !world.plants(Plant::Lost) {
-                    world
-                        .oracle
-                        .borrow_mut()
-                        .request_answered(&id, answer, world.now());
+            let kills_before = self.routers[router].kill_count.get();
+            match self.exchange(stream, &request).await {
+                Exchange::Answered(stream) => {
+                    if let Some(stream) = stream {
+                        self.pool.insert(router, stream);
+                    }
+                    return;
                 }
-            };
-            let asked = exchange(stream, text.as_bytes(), note);
-            let reply = match leaves {
-                Some(span) => timeout(span, asked).await.unwrap_or(Reply::Left),
-                None => timeout(waits, asked).await.unwrap_or(Reply::Nothing),
-            };
-            match reply {
-                Reply::Left => {
-                    return world
-                        .oracle
-                        .borrow_mut()
-                        .client_disconnected(&id, world.now())
+                Exchange::Disconnected => {
+                    let mut oracle = state.oracle.borrow_mut();
+                    return oracle.client_disconnected(&request.id, state.now());
                 }
-                Reply::Answer(stream) => {
-                    self.kept.extend(stream.map(|stream| (router, stream)));
-                    return;
+                Exchange::ConnectionClosed => {
+                    if self.routers[router].kill_count.get() != kills_before {
+                        break;
+                    }
                 }
-                Reply::Nothing if self.routers[router].kills.get() != kills => break,
-                Reply::Nothing => {}
             }
         }
         if sent {
-            // Closed under it each time: nobody has taken it, or the oracle has seen that somebody did.
-            world
-                .oracle
-                .borrow_mut()
-                .client_disconnected(&id, world.now());
+            // No router has taken the request, or the oracle has seen that one did.
+            let mut oracle = state.oracle.borrow_mut();
+            oracle.client_disconnected(&request.id, state.now());
+        }
+    }
+
+    /// A pooled connection to a router, or a new one.
+    async fn connect(&mut self, router: usize) -> Option<TcpStream> {
+        if let Some(stream) = self.pool.remove(&router) {
+            return Some(stream);
+        }
+        let connecting = TcpStream::connect(self.routers[router].address);
+        let stream = timeout(CONNECT_TIMEOUT, connecting).await.ok()?.ok()?;
+        let _ = stream.set_nodelay(true);
+        Some(stream)
+    }
+
+    fn report_sent(&self, request: &ClientRequest, router: usize, sent_before: bool) {
+        let now = self.state.now();
+        let mut oracle = self.state.oracle.borrow_mut();
+        if sent_before {
+            oracle.request_resent(&request.id, router, now);
+        } else {
+            oracle.request_sent(
+                &request.id,
+                router,
+                request.idempotency,
+                now,
+                request.deadline,
+            );
+        }
+    }
+
+    /// Sends a request over a connection and waits for the answer, or disconnects early.
+    async fn exchange(&self, stream: TcpStream, request: &ClientRequest) -> Exchange {
+        let state = &self.state;
+        let report_answer = |answer| {
+            if !state.injects(InjectedViolation::MissingAnswer) {
+                let mut oracle = state.oracle.borrow_mut();
+                oracle.request_answered(&request.id, answer, state.now());
+            }
+        };
+        let exchange = send_and_receive(stream, &request.bytes, report_answer);
+        match request.disconnects_after {
+            Some(span) => timeout(span, exchange)
+                .await
+                .unwrap_or(Exchange::Disconnected),
+            None => timeout(request.deadline + ANSWER_TIMEOUT_MARGIN, exchange)
+                .await
+                .unwrap_or(Exchange::ConnectionClosed),
         }
     }
 }
 
-/// Sends a request and takes the answer, of which `note` hears once it has begun. A stream is read to its end; where it
-/// breaks it was served all the same, as the rest would be asked for anew.
-async fn exchange(mut stream: TcpStream, request: &[u8], note: impl Fn(Answer)) -> Reply {
+/// Sends a request and reads the answer to its end. `report_answer` is called once the head has
+/// arrived: a stream that breaks off later was served all the same, as a client would ask for the
+/// rest with a new request.
+async fn send_and_receive(
+    mut stream: TcpStream,
+    request: &[u8],
+    report_answer: impl Fn(Answer),
+) -> Exchange {
     if stream.write_all(request).await.is_err() {
-        return Reply::Nothing;
+        return Exchange::ConnectionClosed;
     }
-    let (mut said, mut begun) = (Vec::new(), false);
+    let mut received = Vec::new();
+    let mut reported = false;
     loop {
-        match stream.read_buf(&mut said).await {
-            Ok(0) | Err(_) if !begun => return Reply::Nothing,
-            Ok(0) | Err(_) => return Reply::Answer(None),
+        match stream.read_buf(&mut received).await {
+            Ok(0) | Err(_) if !reported => return Exchange::ConnectionClosed,
+            Ok(0) | Err(_) => return Exchange::Answered(None),
             Ok(_) => {}
         }
-        let Some(head) = said.windows(4).position(|four| four == b"\r\n\r\n") else {
+        let Some(head) = head_of(&received) else {
             continue;
         };
-        if !begun {
-            note(answer_of(&said));
-            begun = true;
+        if !reported {
+            report_answer(answer_of(&received));
+            reported = true;
         }
-        let text = String::from_utf8_lossy(&said[..head]).to_ascii_lowercase();
-        let length = text
-            .split("content-length: ")
-            .nth(1)
-            .and_then(|rest| rest.lines().next()?.parse().ok());
-        let whole = match length {
-            Some(length) => said.len() >= head + 4 + usize::clone(&length),
-            None => said.ends_with(b"\r\n0\r\n\r\n"),
-        };
-        if whole {
-            let kept = !text.contains("connection: close");
-            return Reply::Answer(kept.then_some(stream));
+        if is_complete(&received, &head) {
+            let reusable = !head.text.contains("connection: close");
+            return Exchange::Answered(reusable.then_some(stream));
         }
     }
 }
 
-fn answer_of(said: &[u8]) -> Answer {
-    match said.get(9..12) {
-        Some(b"200") => Answer::Served,
-        Some(b"503" | b"429") => Answer::Rejected,
-        _ => Answer::Failed,
-    }
+/// The head of an HTTP message.
+struct Head {
+    /// Its text in lower case, without the empty line at its end.
+    text: String,
+    /// Where the body begins.
+    body_start: usize,
 }
 
-/// A client that sends half of a request, or nothing of use, and stays: it must be answered or closed in time.
-pub async fn bad_client(world: Rc<World>, router: Rc<Router>) {
-    let Ok(mut stream) = TcpStream::connect(router.address).await else {
-        return;
-    };
-    let begun = match world.draw(0, 3) {
-        0 => "POST /v1/chat/completions HTTP/1.1\r\nhost: a",
-        1 => "POST /v1/chat/completions HTTP/1.1\r\nhost: app\r\ncontent-length: 500\r\n\r\nhalf of it",
-        _ => "\u{7f}\r\nnonsense\r\n\r\n",
-    };
-    if stream.write_all(begun.as_bytes()).await.is_err() {
-        return;
-    }
-    let mut said = Vec::new();
-    let closed = timeout(BAD_CLIENT, stream.read_to_end(&mut said))
-        .await
-        .is_ok();
-    if !closed && said.is_empty() && router.runs() {
-        let detail = format!(
-            "router {} neither answered nor closed a bad client",
-            router.index
-        );
-        world
-            .oracle
-            .borrow_mut()
-            .report_violation(Rule::MissingAnswer, world.now(), detail);
+/// The head, once all of it has arrived.
+fn head_of(received: &[u8]) -> Option<Head> {
+    let length = received
+        .windows(HEAD_END.len())
+        .position(|window| window == HEAD_END)?;
+    Some(Head {
+        text: String::from_utf8_lossy(&received[..length]).to_ascii_lowercase(),
+        body_start: length + HEAD_END.len(),
+    })
+}
+
+/// Whether the body has arrived to its end.
+fn is_complete(received: &[u8], head: &Head) -> bool {
+    let content_length: Option<usize> = head
+        .text
+        .split("content-length: ")
+        .nth(1)
+        .and_then(|rest| rest.lines().next()?.parse().ok());
+    match content_length {
+        Some(length) => received.len() >= head.body_start + length,
+        None => received.ends_with(LAST_CHUNK),
     }
 }
 
-/// Clients that connect and say nothing for a while.
-pub async fn crowd(router: Rc<Router>, count: usize, span: Duration) {
-    let mut idle = Vec::new();
-    for _ in 0..count {
-        if let Ok(Ok(stream)) = timeout(
-            Duration::from_millis(200),
-            TcpStream::connect(router.address),
-        )
-        .await
-        {
-            idle.push(stream);
-        }
+fn answer_of(received: &[u8]) -> Answer {
+    match received.get(9..12) {
+        Some(b"200") => Answer::Served,
+        Some(b"503" | b"429") => Answer::Rejected,
+        _ => Answer::Failed,
     }
-    sleep(span).await;
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,15 +1,26 @@
-//! The soak as a program: one run for each seed, one line a run, and what was broken.
+//! The soak as a program: one run for each seed, with one line for each run and its violations.
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 
 use clap::Parser;
-use cranetack_soak::oracle::Rule;
-use cranetack_soak::scenario::{run, Options, Plant};
+use cranetack_soak::error::SoakError;
+use cranetack_soak::injected_violation::InjectedViolation;
+use cranetack_soak::options::{RunOptions, RunReport};
+use cranetack_soak::run::run;
 use tokio::task::LocalSet;
 
-/// Runs real routers through overlapping troubles and checks the rules of the protocol.
+/// The most routers of a run.
+const MAX_ROUTERS: usize = 40;
+/// Prefill servers of a run.
+const PREFILL_SERVERS: usize = 4;
+/// Decode servers of a run.
+const DECODE_SERVERS: usize = 5;
+/// Violations of a run that are printed.
+const PRINTED_VIOLATIONS: usize = 12;
+
+/// Runs real routers through overlapping faults and checks the rules of the protocol.
 #[derive(Parser)]
 #[command(name = "soak", version)]
 struct Cli {
@@ -28,7 +39,7 @@
     /// Which system calls fail.
     #[arg(long, default_value = "accept,connect,socket,wait,short,file")]
     faults: String,
-    /// Where files and logs go.
+    /// Where configuration files and logs go.
     #[arg(long, default_value = "target/soak")]
     folder: PathBuf,
     /// The first seed.
@@ -37,19 +48,48 @@
     /// How many seeds.
     #[arg(long, default_value_t = 4)]
     seeds: u64,
-    /// How long troubles begin for, in each run (s).
+    /// For how long new faults begin in each run (s).
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// Routers.
+    /// The number of routers.
     #[arg(long, default_value_t = 10)]
     routers: usize,
-    /// A fault that the stand-ins make on purpose: the run passes if the oracle notices it.
-    #[arg(long)]
-    plant: Option<Plant>,
+    /// A violation to cause on purpose: the run passes if the oracle reports it.
+    #[arg(long = "plant", value_name = "PLANT")]
+    injected_violation: Option<InjectedViolation>,
+}
+
+impl Cli {
+    fn run_options(&self, seed: u64) -> Result<RunOptions, SoakError> {
+        let shim = if self.plain {
+            None
+        } else {
+            Some(absolute(&self.shim)?)
+        };
+        Ok(RunOptions {
+            program: absolute(&self.program)?,
+            shim,
+            syscall_faults: self.faults.clone(),
+            folder: self.folder.join(seed.to_string()),
+            seed,
+            routers: self.routers.clamp(1, MAX_ROUTERS),
+            prefill_servers: PREFILL_SERVERS,
+            decode_servers: DECODE_SERVERS,
+            fault_span: Duration::from_secs(self.seconds),
+            injected_violation: self.injected_violation,
+        })
+    }
+}
+
+fn absolute(path: &Path) -> Result<PathBuf, SoakError> {
+    path.canonicalize().map_err(|source| SoakError::File {
+        path: path.to_owned(),
+        source,
+    })
 }
 
 fn main() -> ExitCode {
-    match soak(&Cli::parse()) {
+    match run_seeds(&Cli::parse()) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
@@ -59,52 +99,50 @@
     }
 }
 
-/// Whether all runs kept the rules, or broke the one that was planted.
-fn soak(cli: &Cli) -> std::io::Result<bool> {
+/// Runs all seeds. Returns whether all runs passed.
+fn run_seeds(cli: &Cli) -> Result<bool, SoakError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .build()?;
-    let (mut passed, mut broken) = (0, 0);
+        .build()
+        .map_err(SoakError::Runtime)?;
+    let mut passed = 0;
+    let mut failed = 0;
     for seed in cli.seed..cli.seed + cli.seeds {
-        let options = Options {
-            program: cli.program.canonicalize()?,
-            shim: if cli.plain {
-                None
-            } else {
-                Some(cli.shim.canonicalize()?)
-            },
-            faults: cli.faults.clone(),
-            folder: cli.folder.join(seed.to_string()),
-            seed,
-            routers: cli.routers.clamp(1, 40),
-            servers: [4, 5],
-            span: Duration::from_secs(cli.seconds),
-            plant: cli.plant,
-        };
+        let options = cli.run_options(seed)?;
         let _ = std::fs::remove_dir_all(&options.folder);
         let report = LocalSet::new().block_on(&runtime, run(options))?;
-        let [served, refused, failed] = report.answered;
-        let count = report.violations.len();
-        println!(
-            "seed {seed}: served {served}, refused {refused}, failed {failed}, troubles {}, broken {count}",
-            report.troubles
-        );
-        report
-            .violations
-            .iter()
-            .take(12)
-            .for_each(|violation| println!("    {violation}"));
-        let rules: Vec<Rule> = report
+        print_report(seed, &report);
+        if has_passed(&report, cli.injected_violation) {
+            passed += 1;
+        } else {
+            failed += 1;
+        }
+    }
+    println!("soak: {passed} passed, {failed} failed");
+    Ok(failed == 0)
+}
+
+/// Whether all rules were kept or, in a run with an injected violation, its rule was broken.
+fn has_passed(report: &RunReport, injected: Option<InjectedViolation>) -> bool {
+    match injected {
+        None => report.violations.is_empty(),
+        Some(injected) => report
             .violations
             .iter()
-            .map(|violation| violation.rule)
-            .collect();
-        let right = cli
-            .plant
-            .map_or(rules.is_empty(), |plant| rules.contains(&plant.rule()));
-        passed += usize::from(right);
-        broken += usize::from(!right);
+            .any(|violation| violation.rule == injected.rule()),
+    }
+}
+
+fn print_report(seed: u64, report: &RunReport) {
+    println!(
+        "seed {seed}: served {}, rejected {}, failed {}, faults {}, violations {}",
+        report.served,
+        report.rejected,
+        report.failed,
+        report.faults,
+        report.violations.len()
+    );
+    for violation in report.violations.iter().take(PRINTED_VIOLATIONS) {
+        println!("    {violation}");
     }
-    println!("soak: {passed} passed, {broken} failed");
-    Ok(broken == 0)
 }
--- a/crates/soak/src/oracle/after_disconnect.rs
+++ b/crates/soak/src/oracle/after_disconnect.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use super::request::RequestRecord;
+use super::limits::OBSERVATION_SLACK;
+use super::request::{ReceivedAttempt, RequestRecord};
 use super::violation::{Rule, Violation};
-use super::{ReceivedAttempt, OBSERVATION_SLACK};
 
 /// A router may start an attempt for this long after the client has closed its connection, as the
 /// close takes time to reach it.
--- a/crates/soak/src/oracle/concurrent_attempts.rs
+++ b/crates/soak/src/oracle/concurrent_attempts.rs
@@ -2,9 +2,8 @@
 
 use std::time::Duration;
 
-use super::request::RequestRecord;
+use super::request::{ReceivedAttempt, RequestRecord};
 use super::violation::{Rule, Violation};
-use super::ReceivedAttempt;
 
 /// No other attempt may be in flight when one arrives.
 pub(super) fn check(
--- a/crates/soak/src/oracle/deadline.rs
+++ b/crates/soak/src/oracle/deadline.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use super::request::RequestRecord;
+use super::limits::OBSERVATION_SLACK;
+use super::request::{ReceivedAttempt, RequestRecord};
 use super::violation::{Rule, Violation};
-use super::{ReceivedAttempt, OBSERVATION_SLACK};
 
 /// A router may be held up for this long between reading its clock and writing the deadline.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(150);
--- a/crates/soak/src/oracle/drain.rs
+++ b/crates/soak/src/oracle/drain.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
+use super::limits::Limits;
 use super::violation::{Rule, Violation};
-use super::Limits;
 
 /// Each limit of the settings is this much longer on real sockets.
 const SOCKET_DELAY: Duration = Duration::from_millis(50);
--- a/crates/soak/src/oracle/duplicate_execution.rs
+++ b/crates/soak/src/oracle/duplicate_execution.rs
@@ -2,9 +2,8 @@
 
 use std::time::Duration;
 
-use super::request::{Answer, Idempotency, RequestRecord, Role};
+use super::request::{Answer, Idempotency, ReceivedAttempt, RequestRecord, Role};
 use super::violation::{Rule, Violation};
-use super::ReceivedAttempt;
 
 fn violation(at: Duration, detail: String) -> Violation {
     Violation {
--- a/crates/soak/src/oracle/leaked_lease.rs
+++ b/crates/soak/src/oracle/leaked_lease.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
+use super::limits::{Limits, OBSERVATION_SLACK};
 use super::request::RequestRecord;
 use super::violation::{Rule, Violation};
-use super::{Limits, OBSERVATION_SLACK};
 
 /// Leases may last this much longer than the settings say.
 const LEASE_TOLERANCE: Duration = Duration::from_millis(300);
--- a/crates/soak/src/oracle/missing_answer.rs
+++ b/crates/soak/src/oracle/missing_answer.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
+use super::limits::OBSERVATION_SLACK;
 use super::request::{Answer, RequestRecord};
 use super::violation::{Rule, Violation};
-use super::OBSERVATION_SLACK;
 
 /// A final answer still counts for this long after the deadline.
 const LATE_ANSWER_TOLERANCE: Duration = Duration::from_millis(500);
--- a/crates/soak/src/oracle/mod.rs
+++ b/crates/soak/src/oracle/mod.rs
@@ -8,6 +8,7 @@
 mod drain;
 mod duplicate_execution;
 mod leaked_lease;
+mod limits;
 mod missing_answer;
 mod request;
 mod slow_start;
@@ -20,41 +21,10 @@
 use request::RequestRecord;
 use slow_start::SlowStartWindows;
 
-pub use request::{Answer, Idempotency, LeasedResource, Role};
+pub use limits::Limits;
+pub use request::{Answer, Idempotency, LeasedResource, ReceivedAttempt, Role};
 pub use violation::{Rule, Violation};
 
-/// How far apart two observations of the same event may be reported, as all fake clients and
-/// servers share one busy thread.
-const OBSERVATION_SLACK: Duration = Duration::from_millis(120);
-
-/// The limits of the routers' settings that the rules use.
-#[derive(Debug, Clone, Copy)]
-pub struct Limits {
-    /// New attempts must stop within this after a router was notified of a drain.
-    pub drain_grace: Duration,
-    /// KV state and decode slots must be used or released within this.
-    pub kv_lease_timeout: Duration,
-    /// Attempts that a server in slow start accepts within the window.
-    pub slow_start_calls: f64,
-    /// How long slow start lasts.
-    pub slow_start_window: Duration,
-}
-
-/// An attempt whose last byte has reached a running server.
-#[derive(Debug, Clone, Copy)]
-pub struct ReceivedAttempt<'a> {
-    /// The request that it belongs to.
-    pub request_id: &'a str,
-    /// Its number, unique in the run.
-    pub number: u64,
-    /// The server that received it.
-    pub server: usize,
-    /// What the server is asked to do.
-    pub role: Role,
-    /// The time left until the deadline, as the router stated it in the request.
-    pub stated_time_left: Duration,
-}
-
 /// Checks the rules and collects the violations. All times count from the start of the run.
 #[derive(Debug)]
 pub struct Oracle {
--- a/crates/soak/src/oracle/request.rs
+++ b/crates/soak/src/oracle/request.rs
@@ -1,4 +1,4 @@
-//! What has been observed of one request.
+//! What has been observed of one request and its attempts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -43,6 +43,21 @@
     ConnectionClosed,
 }
 
+/// An attempt whose last byte has reached a running server.
+#[derive(Debug, Clone, Copy)]
+pub struct ReceivedAttempt<'a> {
+    /// The request that it belongs to.
+    pub request_id: &'a str,
+    /// Its number, unique in the run.
+    pub number: u64,
+    /// The server that received it.
+    pub server: usize,
+    /// What the server is asked to do.
+    pub role: Role,
+    /// The time left until the deadline, as the router stated it in the request.
+    pub stated_time_left: Duration,
+}
+
 /// One request as the fake clients and servers observed it.
 #[derive(Debug)]
 pub(super) struct RequestRecord {
--- a/crates/soak/src/oracle/slow_start.rs
+++ b/crates/soak/src/oracle/slow_start.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
+use super::limits::Limits;
 use super::violation::{Rule, Violation};
-use super::Limits;
 
 /// Below this many expected attempts chance weighs more, and the budget is wider.
 const FEW_ATTEMPTS: f64 = 30.0;
--- /dev/null
+++ b/crates/soak/src/router_process.rs
@@ -0,0 +1,325 @@
+//! The routers: processes of the program under test, with their configuration, signals and logs.
+
+use std::cell::{Cell, RefCell};
+use std::fs;
+use std::io;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::process::Stdio;
+use std::rc::Rc;
+use std::time::Duration;
+
+use serde_json::json;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::process::{Child, Command};
+use tokio::time::{sleep, timeout};
+
+use crate::discovery_server::DiscoveryServer;
+use crate::error::SoakError;
+use crate::options::RunOptions;
+use crate::oracle::Rule;
+use crate::router_settings::router_settings;
+use crate::run_state::RunState;
+
+/// A router must end within this after SIGTERM: the longest that it may drain, and some time more.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3_000 + 700);
+/// A router must be ready within this after its start.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
+/// How often a starting router is asked whether it is ready.
+const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How long a router may take to answer whether it is ready.
+const READINESS_TIMEOUT: Duration = Duration::from_millis(500);
+/// Texts in a log that say that something is wrong inside a router.
+const ALARMS: [&str; 3] = ["panicked", "a decision failed", "a rule is broken"];
+/// The most characters of a log line that are reported.
+const ALARM_LENGTH: usize = 600;
+/// By how many seconds the wall clock of a router may be wrong.
+const CLOCK_STEPS_S: [i64; 5] = [0, 3_600, -3_600, 5, -5];
+
+/// How a process is ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Shutdown {
+    /// SIGTERM, and SIGKILL if it does not end in time.
+    Graceful,
+    /// SIGKILL.
+    Kill,
+}
+
+/// A signal that is sent with the program `kill`.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Signal {
+    /// Ends the process at once.
+    Kill,
+    /// Asks it to shut down.
+    Terminate,
+    /// Asks it to read its configuration again.
+    HangUp,
+    /// Pauses it.
+    Stop,
+    /// Lets it go on.
+    Continue,
+}
+
+impl Signal {
+    fn option(self) -> &'static str {
+        match self {
+            Signal::Kill => "-KILL",
+            Signal::Terminate => "-TERM",
+            Signal::HangUp => "-HUP",
+            Signal::Stop => "-STOP",
+            Signal::Continue => "-CONT",
+        }
+    }
+
+    fn send(self, process: &str) {
+        let _ = std::process::Command::new("kill")
+            .args([self.option(), process])
+            .status();
+    }
+}
+
+/// A router that is started, ended and started again under one name and address.
+pub struct RouterProcess {
+    /// Its index in the run.
+    pub index: usize,
+    /// Where clients connect.
+    pub address: SocketAddr,
+    /// Whether clients choose it for new requests.
+    pub in_rotation: Cell<bool>,
+    /// How often it was killed. What was sent to it before a kill may have been read, and no client
+    /// sends it again.
+    pub kill_count: Cell<u32>,
+    discovery: Rc<DiscoveryServer>,
+    peers: Vec<SocketAddr>,
+    options: Rc<RunOptions>,
+    child: RefCell<Option<Child>>,
+    start_count: Cell<u32>,
+    /// Which address of its discovery server the configuration names.
+    discovery_address: Cell<usize>,
+    restarting: Cell<bool>,
+}
+
+impl RouterProcess {
+    /// A router that does not run yet.
+    pub fn new(
+        index: usize,
+        address: SocketAddr,
+        discovery: Rc<DiscoveryServer>,
+        peers: Vec<SocketAddr>,
+        options: Rc<RunOptions>,
+    ) -> Rc<RouterProcess> {
+        Rc::new(RouterProcess {
+            index,
+            address,
+            in_rotation: Cell::default(),
+            kill_count: Cell::default(),
+            discovery,
+            peers,
+            options,
+            child: RefCell::default(),
+            start_count: Cell::default(),
+            discovery_address: Cell::default(),
+            restarting: Cell::default(),
+        })
+    }
+
+    fn file(&self, extension: &str) -> PathBuf {
+        let name = format!("r{}.{extension}", self.index);
+        self.options.folder.join(name)
+    }
+
+    fn write_config(&self) -> io::Result<()> {
+        let discovery = self.discovery.addresses[self.discovery_address.get()];
+        let seed = self.options.seed * 1_000 + u64::from(self.start_count.get());
+        let peers: Vec<String> = self.peers.iter().map(SocketAddr::to_string).collect();
+        let config = json!({
+            "name": format!("r{}", self.index),
+            "listen": self.address.to_string(),
+            "discovery": discovery.to_string(),
+            "seed": format!("{seed:x}"),
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
+            "peer_listen": self.peers[self.index].to_string(),
+            "peers": peers,
+            "known": self.discovery.snapshot(),
+            "settings": router_settings(self.index, self.peers.len()),
+        });
+        // In place, as an operator's tool may do it: the router can read half of the file.
+        fs::write(self.file("json"), config.to_string())
+    }
+
+    fn command(&self, state: &RunState) -> io::Result<Command> {
+        let log = fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.file("log"))?;
+        let mut command = Command::new(&self.options.program);
+        command
+            .arg("serve")
+            .env("PROXY_CONFIG", self.file("json"))
+            .stdin(Stdio::null())
+            .stdout(log.try_clone()?)
+            .stderr(log)
+            .kill_on_drop(true);
+        if let Some(shim) = &self.options.shim {
+            let seed = self.options.seed * 64 + self.index as u64;
+            let step = CLOCK_STEPS_S[state.draw(0, CLOCK_STEPS_S.len() as u64) as usize];
+            command
+                .env("LD_PRELOAD", shim)
+                .env("SOAK_FAULTS_SEED", seed.to_string())
+                .env("SOAK_FAULTS", &self.options.syscall_faults)
+                .env("SOAK_CLOCK_STEP_S", step.to_string());
+        }
+        Ok(command)
+    }
+
+    fn spawn(&self, state: &RunState) -> io::Result<()> {
+        self.write_config()?;
+        let mut command = self.command(state)?;
+        state.oracle.borrow_mut().router_started(self.index);
+        *self.child.borrow_mut() = Some(command.spawn()?);
+        Ok(())
+    }
+
+    /// Starts the process and waits until it is ready.
+    pub async fn start(&self, state: &RunState) -> Result<(), SoakError> {
+        self.spawn(state).map_err(|source| SoakError::StartRouter {
+            router: self.index,
+            source,
+        })?;
+        self.start_count.set(self.start_count.get() + 1);
+        let ready = async {
+            while !is_ready(self.address).await {
+                sleep(READINESS_POLL_INTERVAL).await;
+            }
+        };
+        if timeout(STARTUP_TIMEOUT, ready).await.is_err() {
+            let detail = format!(
+                "router {} was not ready within {STARTUP_TIMEOUT:?}",
+                self.index
+            );
+            state.report_violation(Rule::Crash, detail);
+        }
+        self.in_rotation.set(true);
+        Ok(())
+    }
+
+    /// Sends the process a signal.
+    pub fn signal(&self, signal: Signal) {
+        let id = self.child.borrow().as_ref().and_then(Child::id);
+        if let Some(id) = id {
+            signal.send(&id.to_string());
+        }
+    }
+
+    /// Writes the other address of the discovery server into the configuration and has the router
+    /// read it again.
+    pub fn reload_with_other_discovery_address(&self) {
+        self.discovery_address.set(1 - self.discovery_address.get());
+        let _ = self.write_config();
+        self.signal(Signal::HangUp);
+    }
+
+    /// Pauses the process for a while.
+    pub async fn pause(&self, span: Duration) {
+        self.signal(Signal::Stop);
+        sleep(span).await;
+        self.signal(Signal::Continue);
+    }
+
+    /// Ends the process and starts it again after a while. Does nothing during another restart.
+    pub async fn restart(&self, state: &RunState, shutdown: Shutdown, downtime: Duration) {
+        if self.restarting.replace(true) {
+            return;
+        }
+        self.end(state, shutdown).await;
+        sleep(downtime).await;
+        if !state.finished.get() {
+            if let Err(error) = self.start(state).await {
+                state.report_violation(Rule::Crash, error.to_string());
+            }
+        }
+        self.restarting.set(false);
+    }
+
+    /// Ends the process.
+    pub async fn end(&self, state: &RunState, shutdown: Shutdown) {
+        let Some(mut child) = self.child.borrow_mut().take() else {
+            return;
+        };
+        // Before the check, as a process that has ended has no id any more.
+        let id = child.id().map(|id| id.to_string()).unwrap_or_default();
+        if let Some(status) = child.try_wait().ok().flatten() {
+            let detail = format!("router {} had ended by itself: {status}", self.index);
+            state.report_violation(Rule::Crash, detail);
+        }
+        match shutdown {
+            Shutdown::Graceful => self.end_gracefully(state, child, &id).await,
+            Shutdown::Kill => self.kill(state, child).await,
+        }
+    }
+
+    async fn end_gracefully(&self, state: &RunState, mut child: Child, id: &str) {
+        Signal::Terminate.send(id);
+        // The load balancer in front of the routers notices a shutdown with a delay.
+        sleep(state.draw_millis(100, 400)).await;
+        self.in_rotation.set(false);
+        match timeout(SHUTDOWN_TIMEOUT, child.wait()).await {
+            Ok(Ok(status)) if status.success() => {}
+            Ok(status) => {
+                let detail = format!("router {} ended with {status:?} after SIGTERM", self.index);
+                state.report_violation(Rule::Crash, detail);
+            }
+            Err(_) => {
+                let detail = format!("router {} still ran at its end", self.index);
+                state.report_violation(Rule::Crash, detail);
+                let _ = child.kill().await;
+            }
+        }
+    }
+
+    async fn kill(&self, state: &RunState, mut child: Child) {
+        self.in_rotation.set(false);
+        // Before the signal, as clients may see the closed connections first.
+        self.kill_count.set(self.kill_count.get() + 1);
+        state.oracle.borrow_mut().router_killed(self.index);
+        let _ = child.kill().await;
+    }
+
+    /// Whether the process runs.
+    pub fn is_running(&self) -> bool {
+        self.child.borrow().is_some()
+    }
+
+    /// The lines of its log that say that something is wrong inside it.
+    pub fn alarms(&self) -> Vec<String> {
+        alarms(&self.file("log"))
+    }
+}
+
+fn alarms(log: &Path) -> Vec<String> {
+    let text = fs::read_to_string(log).unwrap_or_default();
+    text.lines()
+        .filter(|line| ALARMS.iter().any(|alarm| line.contains(alarm)))
+        .map(|line| line.chars().take(ALARM_LENGTH).collect())
+        .collect()
+}
+
+/// Whether the router at an address says that it is ready.
+async fn is_ready(address: SocketAddr) -> bool {
+    let answer = async {
+        let mut stream = TcpStream::connect(address).await.ok()?;
+        stream
+            .write_all(b"GET /up HTTP/1.1\r\nhost: app\r\nconnection: close\r\n\r\n")
+            .await
+            .ok()?;
+        let mut received = Vec::new();
+        let _ = stream.read_to_end(&mut received).await;
+        Some(received.starts_with(b"HTTP/1.1 200"))
+    };
+    timeout(READINESS_TIMEOUT, answer)
+        .await
+        .ok()
+        .flatten()
+        .unwrap_or(false)
+}
--- /dev/null
+++ b/crates/soak/src/router_settings.rs
@@ -0,0 +1,112 @@
+//! The settings of the routers under test, and the limits that follow from them.
+
+use std::time::Duration;
+
+use serde_json::{json, Value};
+
+use crate::oracle::{Idempotency, Limits, Role};
+
+/// The longest that clients of class `chat` wait.
+const CHAT_DEADLINE: Duration = Duration::from_millis(2_500);
+/// The longest that clients of class `order` wait. No class has a longer deadline.
+pub const ORDER_DEADLINE: Duration = Duration::from_millis(4_000);
+/// KV state and decode slots must be used or released within this.
+const KV_LEASE_TIMEOUT: Duration = Duration::from_millis(300);
+/// No new attempts may start once this has passed after the notification of a drain.
+const DRAIN_GRACE: Duration = Duration::from_millis(250);
+/// How long a prefill server is in slow start.
+const SLOW_START_WINDOW: Duration = Duration::from_millis(3_000);
+/// Attempts that a prefill server accepts in slow start: 4 times the 26 % of its 4 slots that it
+/// has then, at 80 ms an attempt.
+const SLOW_START_CALLS: f64 = 156.0;
+
+/// The limits that the oracle checks.
+pub const LIMITS: Limits = Limits {
+    drain_grace: DRAIN_GRACE,
+    kv_lease_timeout: KV_LEASE_TIMEOUT,
+    slow_start_calls: SLOW_START_CALLS,
+    slow_start_window: SLOW_START_WINDOW,
+};
+
+/// The name of the request class with this idempotency.
+pub fn class_name(idempotency: Idempotency) -> &'static str {
+    match idempotency {
+        Idempotency::Idempotent => "chat",
+        Idempotency::NonIdempotent => "order",
+    }
+}
+
+/// The deadline of the request class with this idempotency.
+pub fn class_deadline(idempotency: Idempotency) -> Duration {
+    match idempotency {
+        Idempotency::Idempotent => CHAT_DEADLINE,
+        Idempotency::NonIdempotent => ORDER_DEADLINE,
+    }
+}
+
+/// The name of the server type with this role in the settings and in the endpoint list.
+pub fn server_type(role: Role) -> &'static str {
+    match role {
+        Role::Prefill => "reader",
+        Role::Decode => "writer",
+    }
+}
+
+fn micros(span: Duration) -> u64 {
+    span.as_micros() as u64
+}
+
+fn class(idempotency: Idempotency) -> Value {
+    let idempotency_name = match idempotency {
+        Idempotency::Idempotent => "safe",
+        Idempotency::NonIdempotent => "unsafe",
+    };
+    json!({
+        "name": class_name(idempotency),
+        "idempotency": idempotency_name,
+        "goal_time_us": 1_000_000,
+        "deadline_us": micros(class_deadline(idempotency)),
+        "points": 1.0,
+        "stream": true,
+    })
+}
+
+/// The settings of one router, as its configuration file holds them.
+pub fn router_settings(router_index: usize, router_count: usize) -> Value {
+    json!({
+        "az": "here",
+        "period_us": 4_000,
+        "zones": ["here"],
+        "kinds": [server_type(Role::Prefill), server_type(Role::Decode)],
+        "balancers": router_count,
+        "me": router_index,
+        "classes": [class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)],
+        "allowed": {
+            "cancelling": true,
+            "probing": true,
+            "retry_after": true,
+            "max_retry_after_us": 1_000_000,
+            "max_attempts": 5,
+            "connect_timeout_us": 250_000,
+            "idle_close_us": 15_000_000,
+            "peers": true,
+        },
+        "domain": {
+            "ahead": true,
+            "pin_limit_us": micros(KV_LEASE_TIMEOUT),
+            "stage_of_kind": ["read", "write"],
+            "resume": true,
+            "report_x0": "share of memory that is held",
+            "report_x1": "thousands of prompt tokens waiting to be read or fetched",
+        },
+        "rules": {
+            "answer_slack_us": 16_000,
+            "drain_grace_us": micros(DRAIN_GRACE),
+            "fall_multiple": 4.0,
+            "fall_us": micros(SLOW_START_WINDOW),
+            "start_capacity": 0.26,
+            "warm_up_us": 12_000_000,
+        },
+        "report": {"how": "pull", "columns": ["latency_ms", "x0", "x1"]},
+    })
+}
