--- /dev/null
+++ b/crates/bench/src/environment.rs
@@ -0,0 +1,71 @@
+//! The test environment: a router between clients and fake servers.
+
+use std::path::Path;
+use std::rc::Rc;
+use std::time::Duration;
+
+use cranetack_testkit::{line, Behaviour, Discovery, Worker};
+
+use crate::router_process::RouterProcess;
+
+/// The number of fake servers.
+const SERVERS: usize = 2;
+/// Requests that a fake server processes at once.
+const SLOTS_PER_SERVER: usize = 2;
+
+/// A router and its fake servers.
+pub(crate) struct TestEnvironment {
+    pub(crate) servers: Vec<Rc<Worker>>,
+    pub(crate) router: RouterProcess,
+    _discovery: Rc<Discovery>,
+}
+
+impl TestEnvironment {
+    /// Starts the router of the version in a folder, with its inference file after an edit.
+    pub(crate) async fn start(
+        name: &str,
+        folder: &Path,
+        edit: impl Fn(String) -> String,
+    ) -> std::io::Result<TestEnvironment> {
+        let mut servers = Vec::new();
+        for _ in 0..SERVERS {
+            let server = Worker::start(SLOTS_PER_SERVER, Behaviour::Answer).await;
+            server.quiet.set(true);
+            server.pause.set(Duration::ZERO);
+            servers.push(server);
+        }
+        let endpoints = servers
+            .iter()
+            .map(|server| line(server, "mixed", "up"))
+            .collect();
+        let discovery = Discovery::start(endpoints).await;
+        let inference_file = std::fs::read_to_string(folder.join("deploy/inference.toml"))?;
+        let router = RouterProcess::start(
+            name,
+            &folder.join("target/release/cranetack"),
+            &edit(inference_file),
+            discovery.address,
+        )
+        .await?;
+        Ok(TestEnvironment {
+            servers,
+            router,
+            _discovery: discovery,
+        })
+    }
+
+    /// How long the servers take for a request: a fixed time, and a time for each KiB of its body.
+    pub(crate) fn set_service_time(&self, fixed: Duration, per_kib: Duration) {
+        for server in &self.servers {
+            server.takes.set(fixed);
+            server.takes_by_kib.set(per_kib);
+        }
+    }
+
+    /// Lets every `interval`th request at each server fail; 0 for none.
+    pub(crate) fn set_failure_interval(&self, interval: usize) {
+        for server in &self.servers {
+            server.fails_every.set(interval);
+        }
+    }
+}
