--- a/crates/conformance/src/check.rs
+++ b/crates/conformance/src/check.rs
@@ -1,176 +1,124 @@
 //! Whether an answer is as expected. No I/O.
 
-use http::HeaderMap;
 use serde_json::Value;
 
-use crate::Expect;
+use crate::answer::Answer;
+use crate::case::Expect;
 
-/// An answer.
-#[derive(Debug, Clone)]
-pub struct Answer {
-    /// Its status.
-    pub status: u16,
-    /// Its headers.
-    pub headers: HeaderMap,
-    /// What came of its body.
-    pub body: Vec<u8>,
-    /// Whether the body broke off.
-    pub broken: bool,
-}
-
-/// The most of a body that is shown.
-const SHOWN: usize = 200;
+/// The most characters of a body that a problem shows.
+const SHOWN_LENGTH: usize = 200;
 
-/// What is not as expected.
+/// All that is not as expected.
 pub fn check(expect: &Expect, answer: &Answer) -> Vec<String> {
+    let body = String::from_utf8_lossy(&answer.body);
+    let shown: String = body.chars().take(SHOWN_LENGTH).collect();
     let mut problems = Vec::new();
-    let text = String::from_utf8_lossy(&answer.body);
-    let shown: String = text.chars().take(SHOWN).collect();
     if !expect.status.contains(&answer.status) {
-        problems.push(format!(
-            "status {}, not {:?}: {shown}",
-            answer.status, expect.status
-        ));
-    }
-    for (name, value) in &expect.headers {
-        match answer
-            .headers
-            .get(name)
-            .map(|v| String::from_utf8_lossy(v.as_bytes()))
-        {
-            None => problems.push(format!("no header {name}")),
-            Some(have) if value != "*" && have != value.as_str() => {
-                problems.push(format!("header {name} is {have:?}, not {value:?}"));
-            }
-            Some(_) => {}
-        }
+        let status = answer.status;
+        problems.push(format!("status {status}, not {:?}: {shown}", expect.status));
     }
-    if !expect.json.is_empty() {
-        match serde_json::from_str::<Value>(&text) {
-            Ok(json) => problems.extend(
-                expect
-                    .json
-                    .iter()
-                    .filter_map(|(at, value)| place(&json, at, value)),
-            ),
-            Err(error) => problems.push(format!("not JSON ({error}): {shown}")),
-        }
-    }
-    let lacking = expect
-        .holds
-        .iter()
-        .filter(|word| !text.contains(word.as_str()));
-    problems.extend(lacking.map(|word| format!("{word:?} is not in it: {shown}")));
-    let held = expect
-        .lacks
-        .iter()
-        .filter(|word| text.contains(word.as_str()));
-    problems.extend(held.map(|word| format!("{word:?} is in it")));
-    if expect.broken != answer.broken {
-        problems.push(format!(
-            "the answer {}",
-            if answer.broken {
-                "broke off"
-            } else {
-                "ended as if whole"
-            }
-        ));
+    check_headers(expect, answer, &mut problems);
+    check_json(expect, &body, &shown, &mut problems);
+    check_texts(expect, &body, &shown, &mut problems);
+    if expect.truncated != answer.truncated {
+        let end = if answer.truncated {
+            "broke off"
+        } else {
+            "ended as if whole"
+        };
+        problems.push(format!("the answer {end}"));
     }
     problems
 }
 
-/// What is wrong at a place.
-fn place(json: &Value, at: &str, expected: &Value) -> Option<String> {
-    let (found, length);
-    let have = match at.strip_suffix("/#") {
-        Some(list) => {
-            length = json
-                .pointer(list)
-                .and_then(Value::as_array)
-                .map(|l| Value::from(l.len()));
-            length.as_ref()
+fn check_headers(expect: &Expect, answer: &Answer, problems: &mut Vec<String>) {
+    for (name, expected) in &expect.headers {
+        let Some(value) = answer.headers.get(name) else {
+            problems.push(format!("no header {name}"));
+            continue;
+        };
+        let value = String::from_utf8_lossy(value.as_bytes());
+        if expected != "*" && value != expected.as_str() {
+            problems.push(format!("header {name} is {value:?}, not {expected:?}"));
         }
-        None => {
-            found = json.pointer(at);
-            found
+    }
+}
+
+fn check_json(expect: &Expect, body: &str, shown: &str, problems: &mut Vec<String>) {
+    if expect.json.is_empty() {
+        return;
+    }
+    let json: Value = match serde_json::from_str(body) {
+        Ok(json) => json,
+        Err(error) => {
+            problems.push(format!("not JSON ({error}): {shown}"));
+            return;
         }
     };
-    let fits = match (expected.as_str(), have) {
-        (Some("<absent>"), have) => have.is_none(),
-        (Some("<text>"), Some(have)) => have.is_string(),
-        (Some("<number>"), Some(have)) => have.is_number(),
-        (Some("<list>"), Some(have)) => have.is_array(),
-        (Some("<object>"), Some(have)) => have.is_object(),
-        (Some("<null>"), Some(have)) => have.is_null(),
-        (_, Some(have)) => same(have, expected),
-        (_, None) => false,
-    };
-    let have = have.map_or("nothing".to_owned(), ToString::to_string);
-    (!fits).then(|| format!("{at} is {have}, not {expected}"))
+    for (pointer, expected) in &expect.json {
+        let found = look_up(&json, pointer);
+        if !is_expected(found.as_ref(), expected) {
+            let found = found.map_or("nothing".to_owned(), |value| value.to_string());
+            problems.push(format!("{pointer} is {found}, not {expected}"));
+        }
+    }
 }
 
-/// Numbers are the same whichever way they are written.
-fn same(have: &Value, expected: &Value) -> bool {
-    match (have.as_f64(), expected.as_f64()) {
-        (Some(a), Some(b)) => a == b,
-        _ => match (have, expected) {
-            (Value::Array(a), Value::Array(b)) => {
-                a.len() == b.len() && a.iter().zip(b).all(|(a, b)| same(a, b))
-            }
-            (a, b) => a == b,
-        },
+fn check_texts(expect: &Expect, body: &str, shown: &str, problems: &mut Vec<String>) {
+    for text in &expect.contains {
+        if !body.contains(text.as_str()) {
+            problems.push(format!("{text:?} is not in it: {shown}"));
+        }
+    }
+    for text in &expect.excludes {
+        if body.contains(text.as_str()) {
+            problems.push(format!("{text:?} is in it"));
+        }
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use serde_json::json;
-
-    use super::*;
+/// The value at a JSON pointer or, where the pointer ends in `/#`, the length of the list there.
+fn look_up(json: &Value, pointer: &str) -> Option<Value> {
+    match pointer.strip_suffix("/#") {
+        Some(list) => {
+            let list = json.pointer(list)?.as_array()?;
+            Some(Value::from(list.len()))
+        }
+        None => json.pointer(pointer).cloned(),
+    }
+}
 
-    fn problems(expect: Value, body: &str, broken: bool) -> Vec<String> {
-        let expect: Expect = serde_json::from_value(expect).unwrap();
-        let mut headers = HeaderMap::new();
-        headers.insert("retry-after", "1".parse().unwrap());
-        check(
-            &expect,
-            &Answer {
-                status: 503,
-                headers,
-                body: body.into(),
-                broken,
-            },
-        )
+fn is_expected(found: Option<&Value>, expected: &Value) -> bool {
+    if expected == "<absent>" {
+        return found.is_none();
     }
+    let Some(found) = found else {
+        return false;
+    };
+    match expected.as_str() {
+        Some("<text>") => found.is_string(),
+        Some("<number>") => found.is_number(),
+        Some("<list>") => found.is_array(),
+        Some("<object>") => found.is_object(),
+        Some("<null>") => found.is_null(),
+        _ => are_equal(found, expected),
+    }
+}
 
-    #[test]
-    fn an_answer_that_fits_has_no_problem_and_each_difference_is_one() {
-        let body = r#"{"a": [1, {"b": "x"}], "n": null}"#;
-        let fits = json!({"status": [503], "headers": {"Retry-After": "*"}, "holds": ["\"b\""], "lacks": ["c"],
-            "json": {"/a/#": 2, "/a/0": 1.0, "/a/1/b": "<text>", "/n": "<null>", "/z": "<absent>", "/a": "<list>"}});
-        assert_eq!(problems(fits, body, false), Vec::<String>::new());
-        for (expect, count) in [
-            (json!({"status": [200]}), 1),
-            (
-                json!({"status": [503], "headers": {"x": "*", "Retry-After": "2"}}),
-                2,
-            ),
-            (
-                json!({"status": [503], "json": {"/a/#": 1, "/a/0": "1", "/n": "<absent>", "/q": 1}}),
-                4,
-            ),
-            (json!({"status": [503], "holds": ["zz"], "lacks": ["a"]}), 2),
-            (json!({"status": [503], "broken": true}), 1),
-        ] {
-            assert_eq!(
-                problems(expect.clone(), body, false).len(),
-                count,
-                "{expect}"
-            );
-        }
-        assert_eq!(
-            problems(json!({"status": [503], "json": {"/a": 1}}), "<html>", true).len(),
-            2
-        );
+/// Whether two values are equal. Numbers are equal whichever way they are written.
+fn are_equal(found: &Value, expected: &Value) -> bool {
+    if let (Some(found), Some(expected)) = (found.as_f64(), expected.as_f64()) {
+        return found == expected;
     }
+    if let (Value::Array(found), Value::Array(expected)) = (found, expected) {
+        return found.len() == expected.len()
+            && found
+                .iter()
+                .zip(expected)
+                .all(|(found, expected)| are_equal(found, expected));
+    }
+    found == expected
 }
+
+#[cfg(test)]
+mod tests;
