--- a/crates/syscall-fault-shim/tests/program.rs
+++ b/crates/syscall-fault-shim/tests/program.rs
@@ -1,6 +1,8 @@
-//! The router's program while system calls fail as Linux documents. The library under test is preloaded into it.
+//! The router's program while system calls fail as Linux documents. The library under test is
+//! preloaded into it.
 
-use std::path::PathBuf;
+use std::net::{SocketAddr, TcpListener};
+use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
@@ -9,89 +11,111 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// A router's process; ends with the test.
-struct Program(Child);
+/// A router must be ready within this after its start.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(8);
+/// A request must be answered within this.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
+/// The deadline that a request states.
+const DEADLINE_MS: u32 = 5_000;
 
-impl Drop for Program {
+/// A router's process. Dropping it ends the process.
+struct RouterProcess(Child);
+
+impl Drop for RouterProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// What cargo has built: the test itself is among libraries, one folder below programs.
-fn built() -> (PathBuf, PathBuf) {
-    let folder = std::env::current_exe()
-        .unwrap()
-        .parent()
-        .unwrap()
-        .to_owned();
-    let (program, library) = (
-        folder.join("../cranetack"),
-        folder.join("libcranetack_syscall_fault_shim.so"),
-    );
-    assert!(
-        program.exists() && library.exists(),
-        "{program:?} and {library:?} are needed"
-    );
-    (program, library)
+/// What cargo has built.
+struct BuiltFiles {
+    program: PathBuf,
+    library: PathBuf,
 }
 
-/// Starts a router with these calls failing, between a reader and a writer, and asks it so many times.
-async fn serves_all(faults: &str, requests: usize) {
-    let (reader, writer) = (
-        Worker::start(4, Behaviour::Read).await,
-        Worker::start(4, Behaviour::Answer).await,
-    );
-    let discovery = Discovery::start(vec![
-        line(&reader, "reader", "up"),
-        line(&writer, "writer", "up"),
-    ])
-    .await;
-    let listen = std::net::TcpListener::bind("127.0.0.1:0")
-        .unwrap()
-        .local_addr()
-        .unwrap();
-    let path = std::env::temp_dir().join(format!(
-        "cranetack-shim-{faults}-{}.json",
-        std::process::id()
-    ));
-    let config = json!({"name": "r0", "listen": listen.to_string(), "seed": "7", "limits": {"sockets": 128},
-        "discovery": discovery.address.to_string(), "settings": settings()});
-    std::fs::write(&path, config.to_string()).unwrap();
-    let (program, library) = built();
-    let program = Command::new(program)
+impl BuiltFiles {
+    /// Finds them beside the test itself, which is among the libraries, one folder below the
+    /// programs.
+    fn find() -> BuiltFiles {
+        let test = std::env::current_exe().unwrap();
+        let folder = test.parent().unwrap();
+        let built = BuiltFiles {
+            program: folder.join("../cranetack"),
+            library: folder.join("libcranetack_syscall_fault_shim.so"),
+        };
+        assert!(
+            built.program.exists() && built.library.exists(),
+            "{:?} and {:?} are needed",
+            built.program,
+            built.library
+        );
+        built
+    }
+}
+
+fn start_router(config: &Path, faults: &str) -> RouterProcess {
+    let built = BuiltFiles::find();
+    let child = Command::new(built.program)
         .arg("serve")
-        .env("PROXY_CONFIG", &path)
-        .env("LD_PRELOAD", library)
+        .env("PROXY_CONFIG", config)
+        .env("LD_PRELOAD", built.library)
         .env("SOAK_FAULTS_SEED", "7")
         .env("SOAK_FAULTS", faults)
         .stdout(Stdio::null())
         .spawn();
-    let _program = Program(program.unwrap());
-    let ready = async {
-        while TcpStream::connect(listen).await.is_err()
-            || Client::connect(listen).await.get("/up").await.0 != 200
-        {
-            sleep(Duration::from_millis(5)).await;
-        }
-    };
-    timeout(Duration::from_secs(8), ready).await.expect("ready");
-    let mut client = Client::connect(listen).await;
-    for n in 0..requests {
-        let asked = timeout(
-            Duration::from_secs(6),
-            client.ask(&format!("a{n}"), "chat", 5_000),
-        )
-        .await;
-        let (status, _, body) = asked.unwrap_or_else(|_| panic!("request {n} hangs"));
-        assert_eq!((status, body.is_some()), (200, true), "request {n}");
+    RouterProcess(child.unwrap())
+}
+
+async fn wait_until_ready(address: SocketAddr) {
+    while TcpStream::connect(address).await.is_err()
+        || Client::connect(address).await.get("/up").await.0 != 200
+    {
+        sleep(Duration::from_millis(5)).await;
+    }
+}
+
+/// Starts a router with these calls failing, between a prefill and a decode server, and sends it
+/// so many requests: all must be served.
+async fn assert_all_served(faults: &str, requests: usize) {
+    let prefill = Worker::start(4, Behaviour::Read).await;
+    let decode = Worker::start(4, Behaviour::Answer).await;
+    let discovery = Discovery::start(vec![
+        line(&prefill, "reader", "up"),
+        line(&decode, "writer", "up"),
+    ])
+    .await;
+    let free_port = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = free_port.local_addr().unwrap();
+    drop(free_port);
+    let file_name = format!("cranetack-shim-{faults}-{}.json", std::process::id());
+    let config_path = std::env::temp_dir().join(file_name);
+    let config = json!({
+        "name": "r0",
+        "listen": address.to_string(),
+        "seed": "7",
+        "limits": {"sockets": 128},
+        "discovery": discovery.address.to_string(),
+        "settings": settings(),
+    });
+    std::fs::write(&config_path, config.to_string()).unwrap();
+    let _router = start_router(&config_path, faults);
+    timeout(STARTUP_TIMEOUT, wait_until_ready(address))
+        .await
+        .expect("ready");
+    let mut client = Client::connect(address).await;
+    for index in 0..requests {
+        let id = format!("a{index}");
+        let answer = timeout(ANSWER_TIMEOUT, client.ask(&id, "chat", DEADLINE_MS)).await;
+        let (status, _, body) = answer.unwrap_or_else(|_| panic!("request {index} hangs"));
+        assert_eq!((status, body.is_some()), (200, true), "request {index}");
     }
-    std::fs::remove_file(&path).unwrap();
+    std::fs::remove_file(&config_path).unwrap();
 }
 
-/// Guards against connections that hang after a read or write that was short though more could pass.
+/// After a short read or write more bytes can be ready at once: the connection must not wait for a
+/// readiness event that does not come.
 #[test]
-fn short_reads_and_writes_cost_no_request() {
-    run(serves_all("short", 60));
+fn short_reads_and_writes_fail_no_request() {
+    run(assert_all_served("short", 60));
 }
