--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -1,17 +1,16 @@
-//! Clients of a router.
+//! A client of a router.
 
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use http::Request;
+use http::{HeaderMap, Request};
 use http_body_util::{BodyExt, Full};
 use hyper_util::rt::TokioIo;
 use serde_json::Value;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, AbortHandle};
 
-/// A client's connection; dropping it closes it.
+/// A client with one connection. Dropping it closes the connection.
 pub struct Client {
     sender: hyper::client::conn::http1::SendRequest<Full<Bytes>>,
     driver: AbortHandle,
@@ -24,6 +23,7 @@
 }
 
 impl Client {
+    /// Connects to a router.
     pub async fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).await.unwrap();
         stream.set_nodelay(true).unwrap();
@@ -34,6 +34,7 @@
         Client { sender, driver }
     }
 
+    /// Sends a GET request; returns status and body.
     pub async fn get(&mut self, path: &str) -> (u16, Bytes) {
         let request = Request::get(path)
             .header("host", "app")
@@ -43,48 +44,36 @@
         (status, body.unwrap())
     }
 
-    /// Sends a request; the body is `None` where it broke off.
-    pub async fn send(
-        &mut self,
-        request: Request<Full<Bytes>>,
-    ) -> (u16, http::HeaderMap, Option<Bytes>) {
+    /// Sends a request; returns status, headers and body. The body is `None` where the connection
+    /// ended before it was complete.
+    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> (u16, HeaderMap, Option<Bytes>) {
         self.sender.ready().await.unwrap();
-        let answer = self.sender.send_request(request).await.unwrap();
-        let (status, headers) = (answer.status().as_u16(), answer.headers().clone());
-        (
-            status,
-            headers,
-            answer
-                .into_body()
-                .collect()
-                .await
-                .ok()
-                .map(|b| b.to_bytes()),
-        )
+        let response = self.sender.send_request(request).await.unwrap();
+        let (head, body) = response.into_parts();
+        let body = body.collect().await.ok().map(|body| body.to_bytes());
+        (head.status.as_u16(), head.headers, body)
     }
 
-    /// Posts JSON on the second front.
+    /// Posts JSON to the inference API; returns status and body.
     pub async fn post(&mut self, path: &str, body: Value) -> (u16, Value) {
-        let body = Full::from(body.to_string());
         let request = Request::post(path)
             .header("host", "app")
-            .body(body)
+            .body(Full::from(body.to_string()))
             .unwrap();
         let (status, _, body) = self.send(request).await;
-        let body = body.expect("whole");
-        (
-            status,
-            serde_json::from_slice(&body).unwrap_or_else(|_| String::from_utf8_lossy(&body).into()),
-        )
+        let body = body.expect("a complete body");
+        let json =
+            serde_json::from_slice(&body).unwrap_or_else(|_| String::from_utf8_lossy(&body).into());
+        (status, json)
     }
 
-    /// Asks on the platform's front.
+    /// Sends a chat to the platform API; returns status, headers and body, like [`Client::send`].
     pub async fn ask(
         &mut self,
         id: &str,
         class: &str,
         deadline_ms: u32,
-    ) -> (u16, http::HeaderMap, Option<Bytes>) {
+    ) -> (u16, HeaderMap, Option<Bytes>) {
         let request = Request::post("/v1/chat/completions")
             .header("host", "app")
             .header("x-request-id", id)
@@ -96,40 +85,3 @@
         self.send(request.unwrap()).await
     }
 }
-
-/// A client that sends what it likes.
-pub struct Raw(TcpStream);
-
-impl Raw {
-    pub async fn connect(address: SocketAddr) -> Raw {
-        Raw(TcpStream::connect(address).await.unwrap())
-    }
-
-    pub async fn send(&mut self, text: &str) {
-        self.0.write_all(text.as_bytes()).await.unwrap();
-    }
-
-    /// Sends all of this while what is said is read, and gives what was said until the router closes.
-    pub async fn exchange(&mut self, parts: &[&[u8]]) -> String {
-        let (mut reads, mut writes) = self.0.split();
-        let mut said = Vec::new();
-        let sending = async {
-            for part in parts {
-                // A router that refuses may close before all is sent.
-                if writes.write_all(part).await.is_err() {
-                    return;
-                }
-            }
-        };
-        let (_, _) = tokio::join!(sending, reads.read_to_end(&mut said));
-        String::from_utf8_lossy(&said).into_owned()
-    }
-
-    /// All that is said until the router closes the connection.
-    pub async fn until_closed(&mut self) -> String {
-        let mut said = Vec::new();
-        // A close with something unread on the other side comes as an error.
-        let _ = self.0.read_to_end(&mut said).await;
-        String::from_utf8_lossy(&said).into_owned()
-    }
-}
--- /dev/null
+++ b/crates/testkit/src/endpoint_entry.rs
@@ -0,0 +1,19 @@
+//! Entries of the endpoint list.
+
+use std::net::SocketAddr;
+
+use serde_json::{json, Value};
+
+/// The entry of a server at an address, with its type and status as they are on the wire.
+pub fn line_at(address: SocketAddr, server_type: &str, status: &str) -> Value {
+    json!({
+        "name": format!("w{}", address.port()),
+        "address": address.to_string(),
+        "zone": "here",
+        "type": server_type,
+        "group": 0,
+        "status": status,
+        "weight": 1.0,
+        "since_ms": 0,
+    })
+}
--- /dev/null
+++ b/crates/testkit/src/fake_server/streams.rs
@@ -0,0 +1,52 @@
+//! Streamed answers of a fake server.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use hyper::body::Frame;
+use tokio::sync::mpsc;
+use tokio::task::spawn_local;
+use tokio::time::sleep;
+
+use crate::response::{event_stream, Reply};
+
+/// The first event of a chat stream.
+pub const EVENT: &str = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"oqvh\"}}]}\n\n";
+/// The last event of a chat stream but one.
+pub const FINISH: &str =
+    "data: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n";
+/// The last event of a chat stream.
+pub const DONE: &str = "data: [DONE]\n\n";
+
+/// The length of the text of an event in an endless stream.
+const LARGE_EVENT_LENGTH: usize = 8_000;
+
+/// Streams events with a pause before each. An error closes the connection.
+pub(super) fn stream_events(pause: Duration, events: Vec<Result<Bytes, std::io::Error>>) -> Reply {
+    let (sender, frames) = mpsc::channel(1);
+    spawn_local(async move {
+        for event in events {
+            if !pause.is_zero() {
+                sleep(pause).await;
+            }
+            if sender.send(event.map(Frame::data)).await.is_err() {
+                return;
+            }
+        }
+    });
+    event_stream(frames)
+}
+
+/// Streams large events until the connection is closed, and drops `guard` then.
+pub(super) fn stream_endlessly<Guard: 'static>(guard: Guard) -> Reply {
+    let (sender, frames) = mpsc::channel(1);
+    spawn_local(async move {
+        let _guard = guard;
+        let content = "x".repeat(LARGE_EVENT_LENGTH);
+        let event =
+            format!("data: {{\"choices\":[{{\"delta\":{{\"content\":\"{content}\"}}}}]}}\n\n");
+        let event = Bytes::from(event);
+        while sender.send(Ok(Frame::data(event.clone()))).await.is_ok() {}
+    });
+    event_stream(frames)
+}
--- /dev/null
+++ b/crates/testkit/src/raw_client.rs
@@ -0,0 +1,46 @@
+//! A client that sends any bytes.
+
+use std::net::SocketAddr;
+
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+
+/// A client that sends any bytes.
+pub struct Raw(TcpStream);
+
+impl Raw {
+    /// Connects to a router.
+    pub async fn connect(address: SocketAddr) -> Raw {
+        Raw(TcpStream::connect(address).await.unwrap())
+    }
+
+    /// Sends a text.
+    pub async fn send(&mut self, text: &str) {
+        self.0.write_all(text.as_bytes()).await.unwrap();
+    }
+
+    /// Sends all parts while reading, and returns all that was received until the router closed
+    /// the connection.
+    pub async fn exchange(&mut self, parts: &[&[u8]]) -> String {
+        let (mut reader, mut writer) = self.0.split();
+        let mut received = Vec::new();
+        let sending = async {
+            for part in parts {
+                // A router that rejects the request may close before all is sent.
+                if writer.write_all(part).await.is_err() {
+                    return;
+                }
+            }
+        };
+        let (_, _) = tokio::join!(sending, reader.read_to_end(&mut received));
+        String::from_utf8_lossy(&received).into_owned()
+    }
+
+    /// Returns all that is received until the router closes the connection.
+    pub async fn until_closed(&mut self) -> String {
+        let mut received = Vec::new();
+        // A close with something unread on the other side is an error here.
+        let _ = self.0.read_to_end(&mut received).await;
+        String::from_utf8_lossy(&received).into_owned()
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/response.rs
@@ -0,0 +1,53 @@
+//! Responses of the fake servers.
+
+use std::convert::Infallible;
+use std::pin::Pin;
+use std::task::{Context, Poll};
+
+use bytes::Bytes;
+use http::{Response, StatusCode};
+use http_body_util::combinators::UnsyncBoxBody;
+use http_body_util::{BodyExt, Full};
+use hyper::body::{Body, Frame};
+use tokio::sync::mpsc;
+
+/// A response of a fake server.
+pub type Reply = Response<UnsyncBoxBody<Bytes, std::io::Error>>;
+
+/// A frame of a streamed body, or the error that ends its connection.
+pub(crate) type FrameResult = Result<Frame<Bytes>, std::io::Error>;
+
+/// A JSON response with a body of known length.
+pub(crate) fn complete(status: StatusCode, body: Bytes) -> Reply {
+    let body = Full::new(body)
+        .map_err(|never: Infallible| match never {})
+        .boxed_unsync();
+    Response::builder()
+        .status(status)
+        .header("content-type", "application/json")
+        .body(body)
+        .unwrap()
+}
+
+/// A stream of events whose frames come through a channel. It ends when the sender is dropped.
+pub(crate) fn event_stream(frames: mpsc::Receiver<FrameResult>) -> Reply {
+    Response::builder()
+        .header("content-type", "text/event-stream")
+        .body(ChannelBody(frames).boxed_unsync())
+        .unwrap()
+}
+
+/// A body whose frames come through a channel.
+struct ChannelBody(mpsc::Receiver<FrameResult>);
+
+impl Body for ChannelBody {
+    type Data = Bytes;
+    type Error = std::io::Error;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<FrameResult>> {
+        self.0.poll_recv(context)
+    }
+}
--- a/crates/testkit/tests/known_red.rs
+++ b/crates/testkit/tests/known_red.rs
@@ -1,12 +1,12 @@
-//! The list of tests that may fail: what `.ci/test` makes of it, with a stand-in for cargo.
+//! How `.ci/test` treats the list of tests that may fail, with a fake cargo.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// Knows three tests, of which `red` fails, and fails as a whole unless that is left out.
-const CARGO: &str = r#"#!/usr/bin/env bash
+/// A fake cargo with three tests, of which `red` fails. A run of all fails unless it is left out.
+const FAKE_CARGO: &str = r#"#!/usr/bin/env bash
 case "$*" in
     *--list) printf 'red: test\nb::green: test\nc: test\n' ;;
     *"--exact --skip"*) [[ "$*" == *"--skip red"* ]] ;;
@@ -16,35 +16,36 @@
 esac
 "#;
 
-fn run(name: &str, list: Option<&str>) -> Output {
+/// Runs the script with this list, or without one, in a folder of this name.
+fn run_script(name: &str, list: Option<&str>) -> Output {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     fs::create_dir_all(&folder).unwrap();
     let cargo = folder.join("cargo");
-    fs::write(&cargo, CARGO).unwrap();
+    fs::write(&cargo, FAKE_CARGO).unwrap();
     fs::set_permissions(&cargo, fs::Permissions::from_mode(0o755)).unwrap();
-    let known = folder.join("KNOWN-RED.txt");
+    let known_red = folder.join("KNOWN-RED.txt");
     match list {
-        Some(list) => fs::write(&known, list).unwrap(),
-        None => drop(fs::remove_file(&known)),
+        Some(list) => fs::write(&known_red, list).unwrap(),
+        None => drop(fs::remove_file(&known_red)),
     }
     let script = concat!(env!("CARGO_MANIFEST_DIR"), "/../../.ci/test");
     Command::new("bash")
         .arg(script)
         .env("CARGO", cargo)
-        .env("KNOWN_RED", known)
+        .env("KNOWN_RED", known_red)
         .output()
         .unwrap()
 }
 
 #[test]
-fn a_listed_test_is_passed_over_and_printed_with_its_outcome() {
-    let listed = run(
+fn a_listed_test_is_skipped_and_printed_with_its_outcome() {
+    let listed = run_script(
         "listed",
         Some("red | a fault | issue 7\nb::green | mended | issue 8\n"),
     );
     assert!(listed.status.success(), "{listed:?}");
-    let said = String::from_utf8_lossy(&listed.stdout).into_owned();
-    let lines: Vec<_> = said
+    let output = String::from_utf8_lossy(&listed.stdout).into_owned();
+    let lines: Vec<_> = output
         .lines()
         .filter(|l| l.starts_with("known red"))
         .collect();
@@ -58,12 +59,12 @@
 #[test]
 fn a_failing_test_that_is_not_listed_fails() {
     for list in [None, Some(""), Some("c | another fault | issue 7\n")] {
-        assert!(!run("unlisted", list).status.success(), "{list:?}");
+        assert!(!run_script("unlisted", list).status.success(), "{list:?}");
     }
 }
 
 #[test]
-fn a_list_that_is_too_long_malformed_or_names_no_test_fails_and_says_why() {
+fn a_list_that_is_too_long_malformed_or_names_an_unknown_test_fails_with_the_reason() {
     for (list, word) in [
         (
             "red | a | 1\nc | b | 2\nb::green | c | 3\nred | d | 4\n",
@@ -75,11 +76,11 @@
         ("# red | a fault | issue 7\n", "not of the form"),
         ("re | a fault | issue 7\n", "no test of the name re"),
     ] {
-        let refused = run("refused", Some(list));
-        let said = String::from_utf8_lossy(&refused.stderr).into_owned();
+        let refused = run_script("refused", Some(list));
+        let output = String::from_utf8_lossy(&refused.stderr).into_owned();
         assert!(
-            !refused.status.success() && said.contains(word),
-            "{list:?}: {said}"
+            !refused.status.success() && output.contains(word),
+            "{list:?}: {output}"
         );
     }
 }
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,23 +1,32 @@
-//! A toy service on loopback with which a newcomer can try the router: discovery on 127.0.0.1:8500 and two
-//! workers that read prompts and answer them. It serves until it is stopped.
+//! Example servers on loopback, to try the router with: discovery on 127.0.0.1:8500 and two servers
+//! that process prompts and generate answers. They serve until the program is stopped.
 
 use std::time::Duration;
 
 use cranetack_testkit::{line, Behaviour, Discovery, Worker};
 
+/// Where the example configuration expects discovery.
+const DISCOVERY_ADDRESS: &str = "127.0.0.1:8500";
+/// The number of servers.
+const SERVERS: usize = 2;
+/// Requests that a server processes at once.
+const SLOTS_PER_SERVER: usize = 4;
+/// How long a request takes.
+const SERVICE_TIME: Duration = Duration::from_millis(20);
+
 fn main() -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let mut lines = Vec::new();
-        for _ in 0..2 {
-            let worker = Worker::start(4, Behaviour::Answer).await;
-            worker.takes.set(Duration::from_millis(20));
-            println!("a worker on {}", worker.address);
-            lines.push(line(&worker, "mixed", "up"));
+        let mut entries = Vec::new();
+        for _ in 0..SERVERS {
+            let server = Worker::start(SLOTS_PER_SERVER, Behaviour::Answer).await;
+            server.takes.set(SERVICE_TIME);
+            println!("a server on {}", server.address);
+            entries.push(line(&server, "mixed", "up"));
         }
-        let discovery = Discovery::start_at("127.0.0.1:8500", lines).await;
+        let discovery = Discovery::start_at(DISCOVERY_ADDRESS, entries).await;
         println!(
             "discovery on {}; start the router with `make run`",
             discovery.address
