--- a/crates/bench/src/environment.rs
+++ b/crates/bench/src/environment.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cranetack_testkit::{line, Behaviour, Discovery, Worker};
+use cranetack_testkit::{endpoint_entry, Behaviour, FakeDiscovery, FakeServer};
 
 use crate::router_process::RouterProcess;
 
@@ -15,9 +15,9 @@
 
 /// A router and its fake servers.
 pub(crate) struct TestEnvironment {
-    pub(crate) servers: Vec<Rc<Worker>>,
+    pub(crate) servers: Vec<Rc<FakeServer>>,
     pub(crate) router: RouterProcess,
-    _discovery: Rc<Discovery>,
+    _discovery: Rc<FakeDiscovery>,
 }
 
 impl TestEnvironment {
@@ -29,16 +29,16 @@
     ) -> std::io::Result<TestEnvironment> {
         let mut servers = Vec::new();
         for _ in 0..SERVERS {
-            let server = Worker::start(SLOTS_PER_SERVER, Behaviour::Answer).await;
-            server.quiet.set(true);
-            server.pause.set(Duration::ZERO);
+            let server = FakeServer::start(SLOTS_PER_SERVER, Behaviour::Answer).await;
+            server.recording_disabled.set(true);
+            server.event_interval.set(Duration::ZERO);
             servers.push(server);
         }
         let endpoints = servers
             .iter()
-            .map(|server| line(server, "mixed", "up"))
+            .map(|server| endpoint_entry(server, "mixed", "up"))
             .collect();
-        let discovery = Discovery::start(endpoints).await;
+        let discovery = FakeDiscovery::start(endpoints).await;
         let inference_file = std::fs::read_to_string(folder.join("deploy/inference.toml"))?;
         let router = RouterProcess::start(
             name,
@@ -57,15 +57,15 @@
     /// How long the servers take for a request: a fixed time, and a time for each KiB of its body.
     pub(crate) fn set_service_time(&self, fixed: Duration, per_kib: Duration) {
         for server in &self.servers {
-            server.takes.set(fixed);
-            server.takes_by_kib.set(per_kib);
+            server.service_time.set(fixed);
+            server.service_time_per_kib.set(per_kib);
         }
     }
 
     /// Lets every `interval`th request at each server fail; 0 for none.
     pub(crate) fn set_failure_interval(&self, interval: usize) {
         for server in &self.servers {
-            server.fails_every.set(interval);
+            server.failure_interval.set(interval);
         }
     }
 }
--- a/crates/bench/src/scenarios/cancellation.rs
+++ b/crates/bench/src/scenarios/cancellation.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use cranetack_testkit::Worker;
+use cranetack_testkit::FakeServer;
 use rand::Rng;
 use rand_pcg::Pcg64;
 use serde_json::Value;
@@ -46,9 +46,9 @@
 }
 
 impl SlotRecord {
-    fn observe(&self, server: &Worker) {
+    fn observe(&self, server: &FakeServer) {
         let record = self.clone();
-        *server.on_began.borrow_mut() = Some(Box::new(move |id, _| {
+        *server.on_request_started.borrow_mut() = Some(Box::new(move |id, _| {
             *record
                 .occupied
                 .borrow_mut()
@@ -56,7 +56,7 @@
                 .or_default() += 1;
         }));
         let record = self.clone();
-        *server.on_freed.borrow_mut() = Some(Box::new(move |id| {
+        *server.on_slot_released.borrow_mut() = Some(Box::new(move |id| {
             let request = request_of(id).to_owned();
             record
                 .released_at
@@ -100,8 +100,8 @@
     }
     sleep(LAST_ROUND_SETTLE).await;
     for server in &environment.servers {
-        *server.on_began.borrow_mut() = None;
-        *server.on_freed.borrow_mut() = None;
+        *server.on_request_started.borrow_mut() = None;
+        *server.on_slot_released.borrow_mut() = None;
     }
     Cancellation {
         release_p99_ms: latencies.quantile_ms(0.99),
--- a/crates/bench/src/scenarios/duplicate_execution.rs
+++ b/crates/bench/src/scenarios/duplicate_execution.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cranetack_testkit::Worker;
+use cranetack_testkit::FakeServer;
 use serde_json::{json, Value};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -47,14 +47,14 @@
     let concurrent = environment
         .servers
         .iter()
-        .filter(|server| server.most_at_once.get() > 1)
+        .filter(|server| server.max_concurrent_attempts.get() > 1)
         .count();
     Ok(sent_twice + concurrent)
 }
 
 /// Counts the documents of each request that a server begins.
-fn count_documents(server: &Worker, sent: SendCounts) {
-    *server.on_began.borrow_mut() = Some(Box::new(move |_, body| {
+fn count_documents(server: &FakeServer, sent: SendCounts) {
+    *server.on_request_started.borrow_mut() = Some(Box::new(move |_, body| {
         let body: Value = serde_json::from_slice(body).unwrap_or_default();
         let documents = body["documents"].as_array().into_iter().flatten();
         for document in documents.filter_map(Value::as_str) {
--- a/crates/bench/src/scenarios/large_bodies.rs
+++ b/crates/bench/src/scenarios/large_bodies.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cranetack_testkit::Raw;
+use cranetack_testkit::RawClient;
 use serde_json::json;
 use tokio::task::spawn_local;
 
@@ -57,7 +57,7 @@
 /// Sends one body and returns the status, or 0 without one. A router that rejects the body may
 /// close the connection before all of it is sent.
 async fn send(address: SocketAddr, index: usize, body: Rc<str>) -> u16 {
-    let mut client = Raw::connect(address).await;
+    let mut client = RawClient::connect(address).await;
     let head = format!(
         "POST {RERANK_PATH} HTTP/1.1\r\nhost: app\r\nx-request-id: m{index}\r\n\
          connection: close\r\ncontent-length: {}\r\n\r\n",
--- a/crates/router/src/upstream/calls/tests.rs
+++ b/crates/router/src/upstream/calls/tests.rs
@@ -1,7 +1,7 @@
 //! Short calls while servers do not answer, on a paused clock.
 
 use cranetack_settings::Report;
-use cranetack_testkit::{run_paused, Behaviour, ManualServer, Seen, Worker};
+use cranetack_testkit::{run_paused, Behaviour, FakeServer, ManualServer, Observation};
 
 use super::*;
 use crate::core::Handle;
@@ -45,14 +45,17 @@
             )));
             silent.push(server);
         }
-        let worker = Worker::start(1, Behaviour::Answer).await;
+        let worker = FakeServer::start(1, Behaviour::Answer).await;
         endpoints.push(Rc::new(Endpoint::new("worker", worker.address)));
         let began = Instant::now();
         shared().let_go("q1".into(), endpoints).await;
         assert!(worker
-            .seen
+            .observations
             .borrow()
-            .contains(&Seen::Room("DELETE".to_owned(), "q1".to_owned())));
+            .contains(&Observation::SlotCall {
+                method: "DELETE".to_owned(),
+                id: "q1".to_owned()
+            }));
         assert!(began.elapsed() <= 250 * MS, "{:?}", began.elapsed());
     });
 }
--- a/crates/router/src/upstream/model.rs
+++ b/crates/router/src/upstream/model.rs
@@ -15,7 +15,7 @@
 use crate::core::{AttemptId, AttemptReport, AttemptSpec, CoreEvent, Endpoint, Handle, Outbound};
 use cranetack_routing_policy::{ConnectFailure, Outcome, RequestId};
 use cranetack_settings::Report;
-use cranetack_testkit::{run_paused, Behaviour, Worker};
+use cranetack_testkit::{run_paused, Behaviour, FakeServer};
 
 const MOST: usize = 3;
 const KEEP: Duration = Duration::from_secs(5);
@@ -64,7 +64,7 @@
 struct Pair {
     pool: ConnectionPool,
     endpoints: [Endpoint; 2],
-    workers: [Rc<Worker>; 2],
+    workers: [Rc<FakeServer>; 2],
     out: Vec<(PooledConnection, Known)>,
     idle: Vec<Known>,
 }
@@ -102,7 +102,7 @@
             }
             Step::Close(n) if n < self.out.len() => self.out.remove(n).0.close().await,
             Step::Cut(endpoint) => {
-                self.workers[endpoint].cut();
+                self.workers[endpoint].close_connections();
                 let known = self.out.iter_mut().map(|(_, k)| k).chain(&mut self.idle);
                 known
                     .filter(|k| k.endpoint == endpoint)
@@ -178,8 +178,8 @@
     let checked = runner.run(&prop::collection::vec(step(), 1..40), |steps| {
         run_paused(async {
             let [a, b] = [
-                Worker::start(8, Behaviour::Answer).await,
-                Worker::start(8, Behaviour::Answer).await,
+                FakeServer::start(8, Behaviour::Answer).await,
+                FakeServer::start(8, Behaviour::Answer).await,
             ];
             let mut pair = Pair {
                 pool: ConnectionPool::new(MOST, Duration::from_millis(250), 2 * KEEP),
@@ -201,7 +201,7 @@
 #[test]
 fn an_attempt_without_a_connection_ends_when_what_is_held_can_wait_no_longer() {
     run_paused(async {
-        let worker = Worker::start(1, Behaviour::Answer).await;
+        let worker = FakeServer::start(1, Behaviour::Answer).await;
         let (handle, mut events) = Handle::new();
         let options = Options {
             connection_limit: 1,
--- a/crates/router/src/upstream/pool/tests.rs
+++ b/crates/router/src/upstream/pool/tests.rs
@@ -1,13 +1,13 @@
 use std::io::Write;
 
 use super::*;
-use cranetack_testkit::{run, run_paused, Behaviour, Worker};
+use cranetack_testkit::{run, run_paused, Behaviour, FakeServer};
 
 /// Guards against descriptors and buffers held for connections that a burst has left behind.
 #[test]
 fn few_connections_are_kept_to_a_worker() {
     run(async {
-        let worker = Worker::start(1, Behaviour::Answer).await;
+        let worker = FakeServer::start(1, Behaviour::Answer).await;
         let endpoint = Endpoint::new("a", worker.address);
         let pool = ConnectionPool::new(9, Duration::from_secs(1), Duration::from_secs(60));
         let until = Instant::now() + Duration::from_secs(9);
--- a/crates/router/tests/batches.rs
+++ b/crates/router/tests/batches.rs
@@ -7,7 +7,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use common::{line, run, Bed, Behaviour, Client, Raw, Seen, Worker, EVENT, FINISH};
+use common::{
+    endpoint_entry, run, Bed, Behaviour, Client, FakeServer, Observation, RawClient, EVENT, FINISH,
+};
 use http::{HeaderMap, Request};
 use serde_json::{json, Value};
 use tokio::task::spawn_local;
@@ -19,8 +21,11 @@
 /// The front's file with rerank served as a class that must not run twice.
 const UNSAFE: [(&str, &str); 1] = [("class = \"rerank\"", "class = \"order\"")];
 
-async fn bed(workers: &[&Worker], edits: &[(&str, &str)]) -> Bed {
-    let lines = workers.iter().map(|w| line(w, "mixed", "up")).collect();
+async fn bed(workers: &[&FakeServer], edits: &[(&str, &str)]) -> Bed {
+    let lines = workers
+        .iter()
+        .map(|w| endpoint_entry(w, "mixed", "up"))
+        .collect();
     Bed::start_front(lines, edits).await
 }
 
@@ -58,12 +63,12 @@
     "least_tokens = 256\nmost_tokens = 256",
 )];
 
-fn begun(worker: &Worker) -> Vec<String> {
-    let of = |s: &Seen| match s {
-        Seen::Began(_, id) => Some(id.clone()),
+fn begun(worker: &FakeServer) -> Vec<String> {
+    let of = |s: &Observation| match s {
+        Observation::RequestStarted { id, .. } => Some(id.clone()),
         _ => None,
     };
-    worker.seen.borrow().iter().filter_map(of).collect()
+    worker.observations.borrow().iter().filter_map(of).collect()
 }
 
 fn scores(answer: &Value) -> usize {
@@ -74,8 +79,8 @@
 fn a_worker_that_dies_in_slice_7_of_9_costs_that_slice_alone() {
     run(async {
         let workers = [
-            Worker::start(4, Behaviour::Answer).await,
-            Worker::start(4, Behaviour::Answer).await,
+            FakeServer::start(4, Behaviour::Answer).await,
+            FakeServer::start(4, Behaviour::Answer).await,
         ];
         let bed = bed(&[&workers[0], &workers[1]], &FIXED).await;
         // Before its answer it breaks off: the module sends that slice again. In its answer: the front asks again.
@@ -83,7 +88,9 @@
             json!({"does": "break", "on": 6, "times": 1}),
             json!({"spoils": "missing", "on": 6}),
         ] {
-            workers.iter().for_each(|w| w.seen.borrow_mut().clear());
+            workers
+                .iter()
+                .for_each(|w| w.observations.borrow_mut().clear());
             let (status, _, answer) =
                 post(&bed, RERANK, &[("x-request-id", "d7")], &nine(toy)).await;
             assert_eq!((status, scores(&answer)), (200, 18));
@@ -92,7 +99,7 @@
             ids.sort();
             ids.dedup();
             assert!(ids.len() >= 9 && sent <= 11, "{sent} sends of {ids:?}");
-            assert!(workers.iter().all(|w| w.most_at_once.get() <= 1));
+            assert!(workers.iter().all(|w| w.max_concurrent_attempts.get() <= 1));
         }
     });
 }
@@ -100,7 +107,7 @@
 #[test]
 fn spoilt_answers_are_never_passed_on_and_repeated_only_where_permitted() {
     run(async {
-        let worker = Worker::start(4, Behaviour::Answer).await;
+        let worker = FakeServer::start(4, Behaviour::Answer).await;
         let safe = bed(&[&worker], &[]).await;
         let once = bed(&[&worker], &UNSAFE).await;
         let body = |toy: Value| json!({"model": "m", "query": "q", "documents": ["1 a", "2 b"], "toy": toy});
@@ -115,7 +122,7 @@
             .await;
             assert_eq!((status, scores(&answer)), (200, 2), "{spoils}");
             // Always spoilt: a failure in the end, and one attempt alone where it must not run twice.
-            worker.seen.borrow_mut().clear();
+            worker.observations.borrow_mut().clear();
             let (status, _, answer) =
                 post(&once, RERANK, &[], &body(json!({"spoils": spoils}))).await;
             assert_eq!(
@@ -143,7 +150,7 @@
         );
         // Breaks and failures of an unsafe class are final too.
         for does in ["break", "error"] {
-            worker.seen.borrow_mut().clear();
+            worker.observations.borrow_mut().clear();
             let (status, ..) = post(&once, RERANK, &[], &body(json!({"does": does}))).await;
             assert_eq!((status, begun(&worker).len()), (502, 1), "{does}");
         }
@@ -154,12 +161,12 @@
 fn a_worker_that_drains_between_two_slices_gets_none_of_the_rest() {
     run(async {
         let (a, b) = (
-            Worker::start(4, Behaviour::Answer).await,
-            Worker::start(4, Behaviour::Answer).await,
+            FakeServer::start(4, Behaviour::Answer).await,
+            FakeServer::start(4, Behaviour::Answer).await,
         );
         [&a, &b]
             .iter()
-            .for_each(|w| w.takes.set(Duration::from_millis(60)));
+            .for_each(|w| w.service_time.set(Duration::from_millis(60)));
         let bed = bed(&[&a, &b], &FIXED).await;
         let asked = {
             let address = bed.inference;
@@ -171,12 +178,12 @@
             })
         };
         let first = tokio::select! {
-            () = a.until(|seen| seen.len() > 1) => [&a, &b],
-            () = b.until(|seen| seen.len() > 1) => [&b, &a],
+            () = a.wait_until(|seen| seen.len() > 1) => [&a, &b],
+            () = b.wait_until(|seen| seen.len() > 1) => [&b, &a],
         };
         bed.discovery.publish(vec![
-            line(first[0], "mixed", "draining"),
-            line(first[1], "mixed", "up"),
+            endpoint_entry(first[0], "mixed", "draining"),
+            endpoint_entry(first[1], "mixed", "up"),
         ]);
         tokio::time::sleep(Duration::from_millis(250)).await;
         let before = begun(first[0]).len();
@@ -191,7 +198,7 @@
 #[test]
 fn where_every_worker_refuses_a_batch_is_refused_and_told_when_to_come_back() {
     run(async {
-        let worker = Worker::start(4, Behaviour::Full).await;
+        let worker = FakeServer::start(4, Behaviour::Reject).await;
         let bed = bed(
             &[&worker],
             &[("deadline_ms = 10000", "deadline_ms = 60000")],
@@ -217,8 +224,8 @@
 #[test]
 fn a_cancel_frees_its_place_within_300_ms_in_every_stage() {
     run(async {
-        let worker = Worker::start(1, Behaviour::Hang).await;
-        worker.takes.set(Duration::from_millis(30));
+        let worker = FakeServer::start(1, Behaviour::Hang).await;
+        worker.service_time.set(Duration::from_millis(30));
         let bed = bed(&[&worker], &[("at_once = 8", "at_once = 1")]).await;
         let address = bed.inference;
         let ask = |id: &'static str, toy: Value| {
@@ -228,15 +235,18 @@
             let request = request.body(nine(toy).to_string().into()).unwrap();
             spawn_local(async move { Client::connect(address).await.send(request).await.0 })
         };
-        let count = |seen: &[Seen], id: &str| {
+        let count = |seen: &[Observation], id: &str| {
             seen.iter()
-                .filter(|s| matches!(s, Seen::Began(_, of) if of.split('.').next() == Some(id)))
+                .filter(|s| {
+                    matches!(s, Observation::RequestStarted { id: of, .. }
+                        if of.split('.').next() == Some(id))
+                })
                 .count()
         };
         for stage in ["in a slice", "queued", "between slices"] {
             let mut best = Duration::MAX;
             for _ in 0..4 {
-                worker.seen.borrow_mut().clear();
+                worker.observations.borrow_mut().clear();
                 // Between slices: the first of them is answered, and the next waits for the turn of another batch.
                 let first = if stage == "between slices" {
                     json!({"does": "answer", "on": 0})
@@ -249,15 +259,15 @@
                     Some(ask("gone", first))
                 };
                 if gone.is_some() {
-                    worker.until(|seen| count(seen, "gone") == 1).await;
+                    worker.wait_until(|seen| count(seen, "gone") == 1).await;
                 }
                 let holds = ask("holds", json!({}));
                 if stage != "in a slice" {
-                    worker.until(|seen| count(seen, "holds") == 1).await;
+                    worker.wait_until(|seen| count(seen, "holds") == 1).await;
                 }
                 let gone = gone.unwrap_or_else(|| ask("gone", json!({})));
                 tokio::time::sleep(Duration::from_millis(20)).await;
-                let begun = count(&worker.seen.borrow(), "gone");
+                let begun = count(&worker.observations.borrow(), "gone");
                 assert_eq!(begun, usize::from(stage != "queued"), "{stage}");
                 let mut cut = Instant::now();
                 gone.abort();
@@ -267,23 +277,26 @@
                     tokio::time::sleep(Duration::from_millis(20)).await;
                     cut = Instant::now();
                     holds.abort();
-                    worker.until(|seen| count(seen, "next") == 1).await;
+                    worker.wait_until(|seen| count(seen, "next") == 1).await;
                     next.abort();
                 } else {
-                    worker.until(|seen| count(seen, "holds") == 1).await;
+                    worker.wait_until(|seen| count(seen, "holds") == 1).await;
                     holds.abort();
                 }
                 best = best.min(cut.elapsed());
                 assert_eq!(
-                    count(&worker.seen.borrow(), "gone"),
+                    count(&worker.observations.borrow(), "gone"),
                     begun,
                     "nothing more is sent for it: {stage}"
                 );
-                let began = |s: &&Seen| matches!(s, Seen::Began(..));
-                let all = worker.seen.borrow().iter().filter(began).count();
+                let began = |s: &&Observation| matches!(s, Observation::RequestStarted { .. });
+                let all = worker.observations.borrow().iter().filter(began).count();
                 worker
-                    .until(|seen| {
-                        seen.iter().filter(|s| matches!(s, Seen::Freed(_))).count() >= all
+                    .wait_until(|seen| {
+                        seen.iter()
+                            .filter(|s| matches!(s, Observation::SlotReleased { .. }))
+                            .count()
+                            >= all
                     })
                     .await;
             }
@@ -296,28 +309,36 @@
 #[test]
 fn a_cancel_while_the_client_reads_nothing_frees_its_place_within_300_ms() {
     run(async {
-        let worker = Worker::start(4, Behaviour::StreamOn).await;
+        let worker = FakeServer::start(4, Behaviour::StreamEndlessly).await;
         let bed = bed(&[&worker], &[]).await;
-        let freed = |seen: &[Seen]| seen.iter().filter(|s| matches!(s, Seen::Freed(_))).count();
+        let freed = |seen: &[Observation]| {
+            seen.iter()
+                .filter(|s| matches!(s, Observation::SlotReleased { .. }))
+                .count()
+        };
         let body =
             json!({"model": "m", "stream": true, "messages": [{"role": "user", "content": "x"}]})
                 .to_string();
         let mut best = Duration::MAX;
         for _ in 0..4 {
-            worker.seen.borrow_mut().clear();
-            let mut raw = Raw::connect(bed.inference).await;
+            worker.observations.borrow_mut().clear();
+            let mut raw = RawClient::connect(bed.inference).await;
             let length = body.len();
             raw.send(&format!(
                 "POST {CHAT} HTTP/1.1\r\nhost: app\r\ncontent-length: {length}\r\n\r\n{body}"
             ))
             .await;
             // All buffers on the way are full by then, and the worker waits to go on.
-            worker.until(|seen| freed(seen) == 1).await;
+            worker.wait_until(|seen| freed(seen) == 1).await;
             tokio::time::sleep(Duration::from_millis(300)).await;
-            assert_eq!(freed(&worker.seen.borrow()), 1, "the stream is still there");
+            assert_eq!(
+                freed(&worker.observations.borrow()),
+                1,
+                "the stream is still there"
+            );
             let cut = Instant::now();
             drop(raw);
-            worker.until(|seen| freed(seen) == 2).await;
+            worker.wait_until(|seen| freed(seen) == 2).await;
             best = best.min(cut.elapsed());
         }
         assert!(best < Duration::from_millis(300), "{best:?}");
@@ -328,7 +349,7 @@
 #[test]
 fn what_a_cancelled_request_claims_is_given_back() {
     run(async {
-        let worker = Worker::start(4, Behaviour::Answer).await;
+        let worker = FakeServer::start(4, Behaviour::Answer).await;
         let small = [
             ("held_bytes = 67108864", "held_bytes = 4000000"),
             ("body_bytes = 16777216", "body_bytes = 3000000"),
@@ -336,15 +357,15 @@
         let bed = bed(&[&worker], &small).await;
         let head = format!("POST {RERANK} HTTP/1.1\r\nhost: app\r\ncontent-length: 3000000\r\n");
         for _ in 0..5 {
-            let mut arriving = Raw::connect(bed.inference).await;
+            let mut arriving = RawClient::connect(bed.inference).await;
             arriving.send(&format!("{head}\r\n{{")).await;
             tokio::time::sleep(Duration::from_millis(20)).await;
             // No room for a second one: told before its body is read, and not told to go on.
-            let mut second = Raw::connect(bed.inference).await;
+            let mut second = RawClient::connect(bed.inference).await;
             second
                 .send(&format!("{head}expect: 100-continue\r\n\r\n"))
                 .await;
-            let said = second.until_closed().await;
+            let said = second.read_until_closed().await;
             assert!(
                 said.starts_with("HTTP/1.1 503 ") && said.contains("retry-after: "),
                 "{said}"
@@ -359,7 +380,7 @@
                 .collect();
             let body = json!({"model": "m", "query": "q", "documents": documents, "return_documents": true});
             let body = body.to_string();
-            let mut reads_not = Raw::connect(bed.inference).await;
+            let mut reads_not = RawClient::connect(bed.inference).await;
             reads_not
                 .send(&format!(
                     "POST {RERANK} HTTP/1.1\r\nhost: app\r\ncontent-length: {}\r\n\r\n{body}",
@@ -378,7 +399,7 @@
 #[test]
 fn streams_count_in_the_account_until_they_end() {
     run(async {
-        let worker = Worker::start(8, Behaviour::Answer).await;
+        let worker = FakeServer::start(8, Behaviour::Answer).await;
         let small = [
             ("held_bytes = 67108864", "held_bytes = 140000"),
             ("body_bytes = 16777216", "body_bytes = 100000"),
@@ -394,7 +415,12 @@
             })
             .collect();
         worker
-            .until(|seen| seen.iter().filter(|s| matches!(s, Seen::Began(..))).count() == 2)
+            .wait_until(|seen| {
+                seen.iter()
+                    .filter(|s| matches!(s, Observation::RequestStarted { .. }))
+                    .count()
+                    == 2
+            })
             .await;
         let (status, headers, answer) = post(&bed, CHAT, &[], &chat(1)).await;
         assert_eq!(
@@ -412,7 +438,7 @@
 #[test]
 fn slow_senders_and_slow_readers_are_cut() {
     run(async {
-        let worker = Worker::start(4, Behaviour::Answer).await;
+        let worker = FakeServer::start(4, Behaviour::Answer).await;
         let waits = [
             ("body_wait_ms = 10000", "body_wait_ms = 400"),
             ("read_wait_ms = 30000", "read_wait_ms = 300"),
@@ -420,7 +446,7 @@
             ("most_tokens = 65536", "most_tokens = 9000000"),
         ];
         let bed = bed(&[&worker], &waits).await;
-        let mut slow = Raw::connect(bed.inference).await;
+        let mut slow = RawClient::connect(bed.inference).await;
         slow.send(&format!(
             "POST {RERANK} HTTP/1.1\r\nhost: app\r\ncontent-length: 16000000\r\n\r\n"
         ))
@@ -433,7 +459,7 @@
             }
         };
         let _ = tokio::time::timeout(Duration::from_millis(350), dripping).await;
-        let said = slow.until_closed().await;
+        let said = slow.read_until_closed().await;
         assert!(
             said.starts_with("HTTP/1.1 408 ") && said.contains("x-request-id: "),
             "{said}"
@@ -445,17 +471,17 @@
         let body =
             json!({"model": "m", "query": "q", "documents": documents, "return_documents": true})
                 .to_string();
-        let mut reads_not = Raw::connect(bed.inference).await;
+        let mut reads_not = RawClient::connect(bed.inference).await;
         let length = body.len();
         reads_not
             .send(&format!(
                 "POST {RERANK} HTTP/1.1\r\nhost: app\r\ncontent-length: {length}\r\n\r\n{body}"
             ))
             .await;
-        worker.until(|seen| seen.len() > 1).await;
+        worker.wait_until(|seen| seen.len() > 1).await;
         tokio::time::sleep(Duration::from_millis(1_500)).await;
         assert!(
-            reads_not.until_closed().await.len() < length,
+            reads_not.read_until_closed().await.len() < length,
             "it was cut before all was written"
         );
     });
@@ -464,7 +490,7 @@
 #[test]
 fn bodies_are_read_as_they_are_encoded_within_the_bound() {
     run(async {
-        let worker = Worker::start(4, Behaviour::Answer).await;
+        let worker = FakeServer::start(4, Behaviour::Answer).await;
         let bed = bed(&[&worker], &[]).await;
         let gzip = |data: &[u8]| {
             let mut encoder =
@@ -532,8 +558,8 @@
 #[test]
 fn a_batchs_id_is_its_own_while_it_is_open_and_every_answer_bears_one() {
     run(async {
-        let worker = Worker::start(4, Behaviour::Answer).await;
-        worker.takes.set(Duration::from_millis(30));
+        let worker = FakeServer::start(4, Behaviour::Answer).await;
+        worker.service_time.set(Duration::from_millis(30));
         let bed = bed(&[&worker], &FIXED).await;
         let id = [("x-request-id", "same")];
         let address = bed.inference;
@@ -544,7 +570,7 @@
             let request = request.body(nine(json!({})).to_string().into()).unwrap();
             Client::connect(address).await.send(request).await.0
         });
-        worker.until(|seen| seen.len() > 6).await;
+        worker.wait_until(|seen| seen.len() > 6).await;
         for path in [RERANK, CHAT] {
             let (status, headers, answer) = post(&bed, path, &id, &nine(json!({}))).await;
             assert_eq!(
@@ -562,7 +588,7 @@
         let (status, headers, _) = post(&bed, "/nowhere", &[], &json!({})).await;
         assert!(status == 404 && !headers["x-request-id"].is_empty());
         // A deadline of 1 ms.
-        worker.takes.set(Duration::from_millis(100));
+        worker.service_time.set(Duration::from_millis(100));
         for (path, body) in [
             (EMBEDDINGS, json!({"model": "m", "input": "x"})),
             (
@@ -597,7 +623,7 @@
 #[test]
 fn a_stream_that_breaks_ends_with_the_error_and_a_whole_answer_is_whole_or_none() {
     run(async {
-        let worker = Worker::start(4, Behaviour::Answer).await;
+        let worker = FakeServer::start(4, Behaviour::Answer).await;
         let bed = bed(&[&worker], &[]).await;
         let chat = |stream: bool, toy: Value| json!({"model": "m", "stream": stream, "messages": [{"role": "user", "content": "x"}], "toy": toy});
         for toy in [
@@ -605,13 +631,13 @@
             json!({"spoils": "missing"}),
         ] {
             let body = chat(true, toy.clone()).to_string();
-            let mut raw = Raw::connect(bed.inference).await;
+            let mut raw = RawClient::connect(bed.inference).await;
             raw.send(&format!(
                 "POST {CHAT} HTTP/1.1\r\nhost: app\r\ncontent-length: {}\r\n\r\n{body}",
                 body.len()
             ))
             .await;
-            let said = raw.until_closed().await;
+            let said = raw.read_until_closed().await;
             assert!(
                 said.starts_with("HTTP/1.1 200 ") && said.contains(EVENT),
                 "{said}"
@@ -655,8 +681,8 @@
 #[test]
 fn a_router_that_is_told_to_end_finishes_its_batches() {
     run(async {
-        let worker = Worker::start(4, Behaviour::Answer).await;
-        worker.takes.set(Duration::from_millis(40));
+        let worker = FakeServer::start(4, Behaviour::Answer).await;
+        worker.service_time.set(Duration::from_millis(40));
         let mut bed = bed(&[&worker], &FIXED).await;
         let address = bed.inference;
         let asked = spawn_local(async move {
@@ -665,7 +691,7 @@
                 .post(RERANK, nine(json!({})))
                 .await
         });
-        worker.until(|seen| seen.len() > 4).await;
+        worker.wait_until(|seen| seen.len() > 4).await;
         bed.stop.take().unwrap().send(()).unwrap();
         let (status, answer) = asked.await.unwrap();
         assert_eq!((status, scores(&answer)), (200, 18));
@@ -679,8 +705,8 @@
 #[test]
 fn a_short_batch_is_served_while_long_ones_run() {
     run(async {
-        let worker = Worker::start(1, Behaviour::Answer).await;
-        worker.takes.set(Duration::from_millis(3));
+        let worker = FakeServer::start(1, Behaviour::Answer).await;
+        worker.service_time.set(Duration::from_millis(3));
         // All the time they need: on a busy machine they would be refused by their pace, and so be finished.
         let edits = [FIXED[0], ("deadline_ms = 10000", "deadline_ms = 600000")];
         let bed = bed(&[&worker], &edits).await;
@@ -696,7 +722,7 @@
                 })
             })
             .collect();
-        worker.until(|seen| seen.len() > 40).await;
+        worker.wait_until(|seen| seen.len() > 40).await;
         let (status, ..) = post(
             &bed,
             RERANK,
@@ -707,6 +733,6 @@
         assert_eq!(status, 200);
         assert!(long.iter().all(|l| !l.is_finished()));
         long.iter().for_each(|l| l.abort());
-        let _: Rc<Worker> = worker;
+        let _: Rc<FakeServer> = worker;
     });
 }
--- a/crates/router/tests/client_model.rs
+++ b/crates/router/tests/client_model.rs
@@ -80,7 +80,7 @@
         let server = ManualServer::start().await;
         let mut settings = settings();
         settings["domain"]["ahead"] = false.into();
-        let bed = Bed::start_set(vec![server.line("mixed", "up")], None, settings).await;
+        let bed = Bed::start_set(vec![server.endpoint_entry("mixed", "up")], None, settings).await;
         Model {
             server,
             bed,
@@ -163,7 +163,7 @@
         let client = self.clients[attempt.client]
             .as_mut()
             .expect("its attempt ended with it");
-        let said = timeout(SOON, client.connection.until(LAST_CHUNK))
+        let said = timeout(SOON, client.connection.read_until(LAST_CHUNK))
             .await
             .expect("an answer");
         assert!(
@@ -186,7 +186,7 @@
             .position(|attempt| attempt.client == number)
             .expect("it is there");
         let mut attempt = self.attempts.remove(at).expect("it is there");
-        timeout(SOON, attempt.connection.end())
+        timeout(SOON, attempt.connection.read_to_end())
             .await
             .expect("the attempt is called off");
     }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -16,7 +16,7 @@
 
 /// A router under test.
 pub struct Bed {
-    pub discovery: Rc<Discovery>,
+    pub discovery: Rc<FakeDiscovery>,
     /// Tells the router that discovery has moved.
     pub moves: watch::Sender<SocketAddr>,
     pub platform: SocketAddr,
@@ -75,7 +75,7 @@
         settings: Value,
         file: &str,
     ) -> Bed {
-        let discovery = Discovery::start(lines).await;
+        let discovery = FakeDiscovery::start(lines).await;
         let config = json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
             "seed": "7", "limits": {"sockets": 64}, "settings": settings});
         let config = Config::parse(config.to_string().as_bytes()).unwrap();
--- a/crates/router/tests/conform.rs
+++ b/crates/router/tests/conform.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{line, Bed, Behaviour, Worker};
+use common::{endpoint_entry, Bed, Behaviour, FakeServer};
 use cranetack_conformance::{cases, run, Base, CASES};
 
 /// Longer than any single test may take: these are hundreds.
@@ -18,11 +18,16 @@
         .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let workers = [
-            Worker::start(4, Behaviour::Answer).await,
-            Worker::start(4, Behaviour::Answer).await,
+            FakeServer::start(4, Behaviour::Answer).await,
+            FakeServer::start(4, Behaviour::Answer).await,
         ];
-        let bed =
-            Bed::start_shipped(workers.iter().map(|w| line(w, "mixed", "up")).collect()).await;
+        let bed = Bed::start_shipped(
+            workers
+                .iter()
+                .map(|w| endpoint_entry(w, "mixed", "up"))
+                .collect(),
+        )
+        .await;
         let base = Base::new(&format!("http://{}", bed.inference), None).unwrap();
         let cases = cases(CASES).unwrap();
         let ran = tokio::time::timeout(ALL, run(&base, &cases, |_| ()))
--- a/crates/router/tests/control.rs
+++ b/crates/router/tests/control.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use common::{line, run, Bed, Behaviour, Worker};
+use common::{endpoint_entry, run, Bed, Behaviour, FakeServer};
 use envoy_types::pb::envoy::config::core::v3::HealthStatus;
 use envoy_types::pb::envoy::config::endpoint::v3::lb_endpoint::HostIdentifier;
 use envoy_types::pb::envoy::config::endpoint::v3::ClusterLoadAssignment;
@@ -104,10 +104,14 @@
 fn another_proxy_learns_of_servers_and_of_one_that_drains() {
     run(async {
         let (a, b) = (
-            Worker::start(1, Behaviour::Answer).await,
-            Worker::start(1, Behaviour::Answer).await,
+            FakeServer::start(1, Behaviour::Answer).await,
+            FakeServer::start(1, Behaviour::Answer).await,
         );
-        let bed = Bed::start(vec![line(&a, "mixed", "up"), line(&b, "mixed", "up")]).await;
+        let bed = Bed::start(vec![
+            endpoint_entry(&a, "mixed", "up"),
+            endpoint_entry(&b, "mixed", "up"),
+        ])
+        .await;
         let [a_port, b_port] = [&a, &b].map(|w| u32::from(w.address.port()));
         let mut proxy = Proxy::connect(&bed).await;
         let clusters = proxy.next().await;
@@ -125,15 +129,18 @@
                 *s == BTreeMap::from([(a_port, healthy), (b_port, healthy)])
             })
             .await;
-        bed.discovery
-            .publish(vec![line(&a, "mixed", "draining"), line(&b, "mixed", "up")]);
+        bed.discovery.publish(vec![
+            endpoint_entry(&a, "mixed", "draining"),
+            endpoint_entry(&b, "mixed", "up"),
+        ]);
         let draining = i32::from(HealthStatus::Draining);
         proxy
             .until("mixed", |s| {
                 *s == BTreeMap::from([(a_port, draining), (b_port, healthy)])
             })
             .await;
-        bed.discovery.publish(vec![line(&b, "mixed", "up")]);
+        bed.discovery
+            .publish(vec![endpoint_entry(&b, "mixed", "up")]);
         proxy
             .until("mixed", |s| *s == BTreeMap::from([(b_port, healthy)]))
             .await;
--- a/crates/router/tests/discovery.rs
+++ b/crates/router/tests/discovery.rs
@@ -4,13 +4,13 @@
 
 use std::time::Duration;
 
-use common::{line, run, settings, Behaviour, Client, Discovery, Worker};
+use common::{endpoint_entry, run, settings, Behaviour, Client, FakeDiscovery, FakeServer};
 use cranetack_router::config::Config;
 use cranetack_router::{Extras, Router};
 use serde_json::{json, Value};
 use tokio::task::spawn_local;
 
-fn config(discovery: &Discovery, routers: u32, known: &Value) -> Config {
+fn config(discovery: &FakeDiscovery, routers: u32, known: &Value) -> Config {
     let mut settings = settings();
     settings["balancers"] = json!(routers);
     let file = json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
@@ -23,10 +23,10 @@
 #[test]
 fn a_restarted_router_asks_for_what_has_changed_since_its_last_list() {
     run(async {
-        let worker = Worker::start(4, Behaviour::Answer).await;
-        let discovery = Discovery::start(vec![line(&worker, "mixed", "up")]).await;
-        let known =
-            json!({"index": 1, "snapshot": true, "endpoints": [line(&worker, "mixed", "up")]});
+        let worker = FakeServer::start(4, Behaviour::Answer).await;
+        let discovery = FakeDiscovery::start(vec![endpoint_entry(&worker, "mixed", "up")]).await;
+        let entry = endpoint_entry(&worker, "mixed", "up");
+        let known = json!({"index": 1, "snapshot": true, "endpoints": [entry]});
         let router = Router::bind(config(&discovery, 100, &known), Extras::default())
             .await
             .unwrap();
@@ -34,8 +34,8 @@
         spawn_local(router.serve(std::future::pending()));
         let mut client = Client::connect(address).await;
         while client.get("/up").await.0 != 200 {}
-        assert_eq!(client.ask("r0", "chat", 5_000).await.0, 200);
-        let calls = discovery.calls.borrow();
+        assert_eq!(client.send_chat("r0", "chat", 5_000).await.0, 200);
+        let calls = discovery.queries.borrow();
         assert_eq!(calls[0], "from=1&hold_ms=0");
         let hold = |call: &String| {
             call.strip_prefix("from=1&hold_ms=")
@@ -54,13 +54,13 @@
 #[test]
 fn one_of_many_routers_that_is_refused_does_not_ask_again_soon() {
     run(async {
-        let discovery = Discovery::start(vec![]).await;
-        discovery.busy.set(true);
+        let discovery = FakeDiscovery::start(vec![]).await;
+        discovery.overloaded.set(true);
         let router = Router::bind(config(&discovery, 100, &Value::Null), Extras::default())
             .await
             .unwrap();
         spawn_local(router.serve(std::future::pending()));
         tokio::time::sleep(Duration::from_millis(400)).await;
-        assert_eq!(discovery.calls.borrow().len(), 1);
+        assert_eq!(discovery.queries.borrow().len(), 1);
     });
 }
--- a/crates/router/tests/inference.rs
+++ b/crates/router/tests/inference.rs
@@ -4,7 +4,9 @@
 
 use std::time::{Duration, Instant};
 
-use common::{line, run, Bed, Behaviour, Client, Seen, Worker, DONE, EVENT, FINISH};
+use common::{
+    endpoint_entry, run, Bed, Behaviour, Client, FakeServer, Observation, DONE, EVENT, FINISH,
+};
 use serde_json::{json, Value};
 
 fn chat() -> Value {
@@ -16,27 +18,27 @@
 #[test]
 fn a_rerank_of_hundreds_of_candidates_does_not_starve_chat() {
     run(async {
-        let worker = Worker::start(1, Behaviour::Answer).await;
-        worker.takes_by_kib.set(Duration::from_millis(12));
-        let bed = Bed::start(vec![line(&worker, "mixed", "up")]).await;
+        let worker = FakeServer::start(1, Behaviour::Answer).await;
+        worker.service_time_per_kib.set(Duration::from_millis(12));
+        let bed = Bed::start(vec![endpoint_entry(&worker, "mixed", "up")]).await;
         let documents: Vec<String> = (0..400)
             .map(|i| format!("{} {}", (i * 7) % 400, "x".repeat(76)))
             .collect();
         let mut client = Client::connect(bed.inference).await;
         let body = json!({"model": "any", "query": "gasket", "documents": documents, "top_n": 5});
         let rerank = tokio::task::spawn_local(async move { client.post("/v1/rerank", body).await });
-        worker.until(|seen| seen.len() > 4).await;
+        worker.wait_until(|seen| seen.len() > 4).await;
         for _ in 0..3 {
-            let before = worker.seen.borrow().len();
+            let before = worker.observations.borrow().len();
             let mut client = Client::connect(bed.inference).await;
             let (status, answer) = client.post("/v1/chat/completions", chat()).await;
             assert_eq!(
                 (status, answer),
                 (200, json!(format!("{EVENT}{FINISH}{DONE}")))
             );
-            let seen = worker.seen.borrow();
+            let seen = worker.observations.borrow();
             let began = seen[before..].iter().filter_map(|s| match s {
-                Seen::Began(path, _) => Some(path.as_str()),
+                Observation::RequestStarted { path, .. } => Some(path.as_str()),
                 _ => None,
             });
             let between = began.take_while(|path| *path == "/v1/rerank").count();
@@ -61,9 +63,9 @@
             399,
             "results are numbered as the client's documents"
         );
-        assert!(worker.began("/v1/rerank") > 20);
+        assert!(worker.count_started("/v1/rerank") > 20);
         assert_eq!(
-            worker.most_at_once.get(),
+            worker.max_concurrent_attempts.get(),
             1,
             "one attempt out for each request"
         );
@@ -75,8 +77,8 @@
 #[test]
 fn an_embeddings_batch_cut_off_by_a_cancel_frees_its_place_within_300_ms() {
     run(async {
-        let worker = Worker::start(1, Behaviour::Hang).await;
-        let bed = Bed::start(vec![line(&worker, "mixed", "up")]).await;
+        let worker = FakeServer::start(1, Behaviour::Hang).await;
+        let bed = Bed::start(vec![endpoint_entry(&worker, "mixed", "up")]).await;
         let mut best = Duration::MAX;
         for n in 1..=5 {
             let mut client = Client::connect(bed.inference).await;
@@ -84,12 +86,22 @@
             let asked =
                 tokio::task::spawn_local(async move { client.post("/v1/embeddings", body).await });
             worker
-                .until(|seen| seen.iter().filter(|s| matches!(s, Seen::Began(..))).count() == n)
+                .wait_until(|seen| {
+                    seen.iter()
+                        .filter(|s| matches!(s, Observation::RequestStarted { .. }))
+                        .count()
+                        == n
+                })
                 .await;
             let cut = Instant::now();
             asked.abort();
             worker
-                .until(|seen| seen.iter().filter(|s| matches!(s, Seen::Freed(_))).count() == n)
+                .wait_until(|seen| {
+                    seen.iter()
+                        .filter(|s| matches!(s, Observation::SlotReleased { .. }))
+                        .count()
+                        == n
+                })
                 .await;
             best = best.min(cut.elapsed());
         }
@@ -115,10 +127,14 @@
 fn a_draining_worker_is_sent_nothing_new() {
     run(async {
         let (a, b) = (
-            Worker::start(8, Behaviour::Answer).await,
-            Worker::start(8, Behaviour::Answer).await,
+            FakeServer::start(8, Behaviour::Answer).await,
+            FakeServer::start(8, Behaviour::Answer).await,
         );
-        let bed = Bed::start(vec![line(&a, "mixed", "up"), line(&b, "mixed", "up")]).await;
+        let bed = Bed::start(vec![
+            endpoint_entry(&a, "mixed", "up"),
+            endpoint_entry(&b, "mixed", "up"),
+        ])
+        .await;
         let ask = |count: usize| async move {
             for _ in 0..count {
                 let mut client = Client::connect(bed.inference).await;
@@ -129,20 +145,20 @@
             }
         };
         ask(3).await;
-        let [leaves, stays] = if a.began("/v1/embeddings") > 0 {
+        let [leaves, stays] = if a.count_started("/v1/embeddings") > 0 {
             [&a, &b]
         } else {
             [&b, &a]
         };
         bed.discovery.publish(vec![
-            line(leaves, "mixed", "draining"),
-            line(stays, "mixed", "up"),
+            endpoint_entry(leaves, "mixed", "draining"),
+            endpoint_entry(stays, "mixed", "up"),
         ]);
         tokio::time::sleep(Duration::from_millis(250)).await;
-        let before = [leaves, stays].map(|w| w.began("/v1/embeddings"));
+        let before = [leaves, stays].map(|w| w.count_started("/v1/embeddings"));
         ask(12).await;
         assert_eq!(
-            [leaves, stays].map(|w| w.began("/v1/embeddings")),
+            [leaves, stays].map(|w| w.count_started("/v1/embeddings")),
             [before[0], before[1] + 12]
         );
     });
@@ -151,8 +167,8 @@
 #[test]
 fn errors_have_the_interfaces_form() {
     run(async {
-        let worker = Worker::start(1, Behaviour::Full).await;
-        let bed = Bed::start(vec![line(&worker, "mixed", "up")]).await;
+        let worker = FakeServer::start(1, Behaviour::Reject).await;
+        let bed = Bed::start(vec![endpoint_entry(&worker, "mixed", "up")]).await;
         let mut client = Client::connect(bed.inference).await;
         let good = json!({"model": "any", "input": "a"});
         for (path, body, status, code, param) in [
@@ -182,8 +198,8 @@
             (503, &json!("server_error"))
         );
         // One that is silent until the deadline.
-        let worker = Worker::start(1, Behaviour::Hang).await;
-        let bed = Bed::start(vec![line(&worker, "mixed", "up")]).await;
+        let worker = FakeServer::start(1, Behaviour::Hang).await;
+        let bed = Bed::start(vec![endpoint_entry(&worker, "mixed", "up")]).await;
         let mut client = Client::connect(bed.inference).await;
         let request = http::Request::post("/v1/embeddings")
             .header("host", "app")
--- a/crates/router/tests/platform.rs
+++ b/crates/router/tests/platform.rs
@@ -6,30 +6,35 @@
 use std::time::Duration;
 
 use common::{
-    line, run, scripted, settings, Bed, Behaviour, Client, Discovery, Raw, Seen, Worker, DONE,
-    EVENT, FINISH,
+    endpoint_entry, run, settings, start_scripted_server, Bed, Behaviour, Client, FakeDiscovery,
+    FakeServer, Observation, RawClient, ScriptedServer, DONE, EVENT, FINISH,
 };
 use tokio::task::spawn_local;
 
 const CHAT: &str = "/v1/chat/completions";
 
-async fn pair(writes: Behaviour) -> (Rc<Worker>, Rc<Worker>, Bed) {
-    let reader = Worker::start(8, Behaviour::Read).await;
-    let writer = Worker::start(8, writes).await;
+async fn pair(writes: Behaviour) -> (Rc<FakeServer>, Rc<FakeServer>, Bed) {
+    let reader = FakeServer::start(8, Behaviour::Prefill).await;
+    let writer = FakeServer::start(8, writes).await;
     let bed = Bed::start(vec![
-        line(&reader, "reader", "up"),
-        line(&writer, "writer", "up"),
+        endpoint_entry(&reader, "reader", "up"),
+        endpoint_entry(&writer, "writer", "up"),
     ])
     .await;
     (reader, writer, bed)
 }
 
-fn rooms(worker: &Worker, method: &str, id: &str) -> usize {
+fn rooms(worker: &FakeServer, method: &str, id: &str) -> usize {
     worker
-        .seen
+        .observations
         .borrow()
         .iter()
-        .filter(|s| **s == Seen::Room(method.to_owned(), id.to_owned()))
+        .filter(|s| {
+            **s == Observation::SlotCall {
+                method: method.to_owned(),
+                id: id.to_owned(),
+            }
+        })
         .count()
 }
 
@@ -37,11 +42,11 @@
 fn a_prompt_is_read_and_its_answer_written_with_a_place_asked_for() {
     run(async {
         let (reader, writer, bed) = pair(Behaviour::Answer).await;
-        reader.takes.set(Duration::from_millis(30));
+        reader.service_time.set(Duration::from_millis(30));
         let mut client = Client::connect(bed.platform).await;
         // One connection serves request after request.
         for id in ["a1", "a2"] {
-            let (status, headers, body) = client.ask(id, "order", 5_000).await;
+            let (status, headers, body) = client.send_chat(id, "order", 5_000).await;
             assert_eq!(
                 (status, &headers["content-type"]),
                 (200, &"text/event-stream".parse().unwrap())
@@ -49,7 +54,10 @@
             assert_eq!(body.unwrap(), format!("{EVENT}{FINISH}{DONE}"));
             assert_eq!(rooms(&writer, "POST", id), 1);
         }
-        assert_eq!((reader.began(CHAT), writer.began(CHAT)), (2, 2));
+        assert_eq!(
+            (reader.count_started(CHAT), writer.count_started(CHAT)),
+            (2, 2)
+        );
     });
 }
 
@@ -58,13 +66,13 @@
 #[test]
 fn a_connection_that_breaks_after_the_last_byte_ends_an_unsafe_request() {
     run(async {
-        let (_reader, writer, bed) = pair(Behaviour::Break).await;
+        let (_reader, writer, bed) = pair(Behaviour::CloseConnection).await;
         let mut client = Client::connect(bed.platform).await;
-        let (status, _, _) = client.ask("b1", "order", 5_000).await;
-        assert_eq!((status, writer.began(CHAT)), (502, 1));
-        let (status, _, _) = client.ask("b2", "chat", 5_000).await;
+        let (status, _, _) = client.send_chat("b1", "order", 5_000).await;
+        assert_eq!((status, writer.count_started(CHAT)), (502, 1));
+        let (status, _, _) = client.send_chat("b2", "chat", 5_000).await;
         assert_eq!(
-            (status, writer.began(CHAT)),
+            (status, writer.count_started(CHAT)),
             (503, 3),
             "four attempts are two reads and two answers"
         );
@@ -75,10 +83,10 @@
 #[test]
 fn a_broken_stream_is_passed_on_as_broken() {
     run(async {
-        let (_reader, writer, bed) = pair(Behaviour::BreakStream).await;
+        let (_reader, writer, bed) = pair(Behaviour::TruncateStream).await;
         let mut client = Client::connect(bed.platform).await;
-        let (status, _, body) = client.ask("c1", "chat", 5_000).await;
-        assert_eq!((status, body, writer.began(CHAT)), (200, None, 1));
+        let (status, _, body) = client.send_chat("c1", "chat", 5_000).await;
+        assert_eq!((status, body, writer.count_started(CHAT)), (200, None, 1));
     });
 }
 
@@ -104,11 +112,14 @@
         format!("{}40\r\ndata: ", chunked(&[])),
     ] {
         run(async {
-            let reader = Worker::start(8, Behaviour::Read).await;
-            let (writer, asked) = scripted("writer", vec![script.clone()]).await;
-            let bed = Bed::start(vec![line(&reader, "reader", "up"), writer]).await;
+            let reader = FakeServer::start(8, Behaviour::Prefill).await;
+            let ScriptedServer {
+                entry: writer,
+                request_count: asked,
+            } = start_scripted_server("writer", vec![script.clone()]).await;
+            let bed = Bed::start(vec![endpoint_entry(&reader, "reader", "up"), writer]).await;
             let mut client = Client::connect(bed.platform).await;
-            let (status, ..) = client.ask("n1", "order", 60_000).await;
+            let (status, ..) = client.send_chat("n1", "order", 60_000).await;
             assert_eq!((status, asked.get()), (502, 1), "{script:.60?}");
         });
     }
@@ -125,12 +136,14 @@
         "4",
     ] {
         run(async {
-            let reader = Worker::start(8, Behaviour::Read).await;
-            let (writer, asked) =
-                scripted("writer", vec![chunked(&[EVENT]), spoilt.to_owned()]).await;
-            let bed = Bed::start(vec![line(&reader, "reader", "up"), writer]).await;
+            let reader = FakeServer::start(8, Behaviour::Prefill).await;
+            let ScriptedServer {
+                entry: writer,
+                request_count: asked,
+            } = start_scripted_server("writer", vec![chunked(&[EVENT]), spoilt.to_owned()]).await;
+            let bed = Bed::start(vec![endpoint_entry(&reader, "reader", "up"), writer]).await;
             let mut client = Client::connect(bed.platform).await;
-            let (status, _, body) = client.ask("o1", "chat", 60_000).await;
+            let (status, _, body) = client.send_chat("o1", "chat", 60_000).await;
             assert_eq!((status, body, asked.get()), (200, None, 1), "{spoilt:?}");
         });
     }
@@ -147,12 +160,15 @@
         );
         let answer = answer.replace("content-type", "x-load: ?=\u{fffd}\r\ncontent-type");
         let behind = "HTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\nsecond";
-        let reader = Worker::start(8, Behaviour::Read).await;
-        let (writer, asked) = scripted("writer", vec![format!("{answer}{behind}")]).await;
-        let bed = Bed::start(vec![line(&reader, "reader", "up"), writer]).await;
+        let reader = FakeServer::start(8, Behaviour::Prefill).await;
+        let ScriptedServer {
+            entry: writer,
+            request_count: asked,
+        } = start_scripted_server("writer", vec![format!("{answer}{behind}")]).await;
+        let bed = Bed::start(vec![endpoint_entry(&reader, "reader", "up"), writer]).await;
         let mut client = Client::connect(bed.platform).await;
         for n in 1..4 {
-            let (status, _, body) = client.ask(&format!("p{n}"), "order", 5_000).await;
+            let (status, _, body) = client.send_chat(&format!("p{n}"), "order", 5_000).await;
             assert_eq!(
                 (status, body.unwrap(), asked.get()),
                 (200, format!("{EVENT}{DONE}").into(), n)
@@ -169,18 +185,25 @@
         let (reader, writer, bed) = pair(Behaviour::Answer).await;
         reader.behaviour.set(Behaviour::Hang);
         let mut client = Client::connect(bed.platform).await;
-        let asked = spawn_local(async move { client.ask("d1", "chat", 5_000).await.0 });
+        let asked = spawn_local(async move { client.send_chat("d1", "chat", 5_000).await.0 });
         reader
-            .until(|seen| seen.iter().any(|s| matches!(s, Seen::Began(..))))
+            .wait_until(|seen| {
+                seen.iter()
+                    .any(|s| matches!(s, Observation::RequestStarted { .. }))
+            })
             .await;
         asked.abort();
         reader
-            .until(|seen| seen.contains(&Seen::Freed("d1".to_owned())))
+            .wait_until(|seen| {
+                seen.contains(&Observation::SlotReleased {
+                    id: "d1".to_owned(),
+                })
+            })
             .await;
         while rooms(&reader, "DELETE", "d1") + rooms(&writer, "DELETE", "d1") == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        assert_eq!(writer.began(CHAT), 0);
+        assert_eq!(writer.count_started(CHAT), 0);
     });
 }
 
@@ -201,22 +224,30 @@
         // A small one that comes along with the first, and one of which the library reads a part.
         for (n, body) in ["{}".to_owned(), "x".repeat(14 * 1024)].iter().enumerate() {
             let [first, second] = ["first", "second"].map(|name| format!("{name}{n}"));
-            let mut client = Raw::connect(bed.platform).await;
+            let mut client = RawClient::connect(bed.platform).await;
             client
                 .send(&(asks(&first, "{}") + &asks(&second, body)))
                 .await;
             reader
-                .until(|seen| seen.contains(&Seen::Began(CHAT.to_owned(), first.clone())))
+                .wait_until(|seen| {
+                    seen.contains(&Observation::RequestStarted {
+                        path: CHAT.to_owned(),
+                        id: first.clone(),
+                    })
+                })
                 .await;
             drop(client);
             reader
-                .until(|seen| seen.contains(&Seen::Freed(first.clone())))
+                .wait_until(|seen| seen.contains(&Observation::SlotReleased { id: first.clone() }))
                 .await;
             while rooms(&reader, "DELETE", &first) + rooms(&writer, "DELETE", &first) == 0 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
         }
-        assert_eq!((reader.began(CHAT), writer.began(CHAT)), (2, 0));
+        assert_eq!(
+            (reader.count_started(CHAT), writer.count_started(CHAT)),
+            (2, 0)
+        );
     });
 }
 
@@ -227,13 +258,16 @@
         let (reader, writer, bed) = pair(Behaviour::Answer).await;
         let mut client = Client::connect(bed.platform).await;
         for round in 0..3 {
-            let (status, _, _) = client.ask(&format!("e{round}"), "order", 5_000).await;
+            let (status, _, _) = client.send_chat(&format!("e{round}"), "order", 5_000).await;
             assert_eq!(status, 200);
-            reader.cut();
-            writer.cut();
+            reader.close_connections();
+            writer.close_connections();
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        assert_eq!((reader.began(CHAT), writer.began(CHAT)), (3, 3));
+        assert_eq!(
+            (reader.count_started(CHAT), writer.count_started(CHAT)),
+            (3, 3)
+        );
     });
 }
 
@@ -243,16 +277,19 @@
 fn connections_that_were_dropped_unseen_cost_no_request() {
     run(async {
         let (reader, writer, bed) = pair(Behaviour::Answer).await;
-        reader.drops.set(true);
-        writer.drops.set(true);
+        reader.drops_reused_connections.set(true);
+        writer.drops_reused_connections.set(true);
         let mut client = Client::connect(bed.platform).await;
         for round in 0..4 {
-            let (status, ..) = client.ask(&format!("r{round}"), "order", 400).await;
+            let (status, ..) = client.send_chat(&format!("r{round}"), "order", 400).await;
             assert_eq!(status, 200, "round {round}");
             // A connection rests for 30 ms before it is used again.
             tokio::time::sleep(Duration::from_millis(40)).await;
         }
-        assert_eq!((reader.began(CHAT), writer.began(CHAT)), (4, 4));
+        assert_eq!(
+            (reader.count_started(CHAT), writer.count_started(CHAT)),
+            (4, 4)
+        );
     });
 }
 
@@ -261,13 +298,13 @@
 fn the_end_answers_all_that_was_taken() {
     run(async {
         let (reader, _writer, mut bed) = pair(Behaviour::Answer).await;
-        reader.takes.set(Duration::from_millis(1_000));
+        reader.service_time.set(Duration::from_millis(1_000));
         let mut kept = Client::connect(bed.platform).await;
         assert_eq!(kept.get("/up").await.0, 200);
         let mut client = Client::connect(bed.platform).await;
-        let asked = spawn_local(async move { client.ask("f1", "order", 5_000).await });
+        let asked = spawn_local(async move { client.send_chat("f1", "order", 5_000).await });
         reader
-            .until(|seen| !seen.is_empty() || reader.began(CHAT) > 0)
+            .wait_until(|seen| !seen.is_empty() || reader.count_started(CHAT) > 0)
             .await;
         bed.stop.take().unwrap().send(()).unwrap();
         // Connections still come for a while, and are served, but no more are asked for.
@@ -276,7 +313,7 @@
         }
         let (status, headers, _) = Client::connect(bed.platform)
             .await
-            .ask("f2", "order", 5_000)
+            .send_chat("f2", "order", 5_000)
             .await;
         assert_eq!(
             (status, &headers["connection"]),
@@ -294,24 +331,41 @@
 #[test]
 fn where_streams_can_be_moved_all_is_answered_shortly_before_the_end() {
     run(async {
-        let reader = Worker::start(8, Behaviour::Read).await;
-        let writer = Worker::start(8, Behaviour::StreamOn).await;
+        let reader = FakeServer::start(8, Behaviour::Prefill).await;
+        let writer = FakeServer::start(8, Behaviour::StreamEndlessly).await;
         let mut set = settings();
         set["domain"]["resume"] = true.into();
-        let lines = vec![line(&reader, "reader", "up"), line(&writer, "writer", "up")];
+        let lines = vec![
+            endpoint_entry(&reader, "reader", "up"),
+            endpoint_entry(&writer, "writer", "up"),
+        ];
         let mut bed = Bed::start_set(lines, None, set).await;
         let ask = |id: &'static str, class: &'static str| {
             let platform = bed.platform;
-            spawn_local(async move { Client::connect(platform).await.ask(id, class, 60_000).await })
+            spawn_local(async move {
+                Client::connect(platform)
+                    .await
+                    .send_chat(id, class, 60_000)
+                    .await
+            })
         };
         let streams = ask("q1", "order");
         reader
-            .until(|seen| seen.contains(&Seen::Freed("q1".to_owned())))
+            .wait_until(|seen| {
+                seen.contains(&Observation::SlotReleased {
+                    id: "q1".to_owned(),
+                })
+            })
             .await;
         reader.behaviour.set(Behaviour::Hang);
         let waits = ask("q2", "order");
         reader
-            .until(|seen| seen.contains(&Seen::Began(CHAT.to_owned(), "q2".to_owned())))
+            .wait_until(|seen| {
+                seen.contains(&Observation::RequestStarted {
+                    path: CHAT.to_owned(),
+                    id: "q2".to_owned(),
+                })
+            })
             .await;
         bed.stop.take().unwrap().send(()).unwrap();
         let (status, _, body) = streams.await.unwrap();
@@ -333,24 +387,34 @@
 #[test]
 fn held_state_is_let_go_though_a_worker_is_down() {
     run(async {
-        let reader = Worker::start(8, Behaviour::Hang).await;
-        let mut down = line(&reader, "writer", "up");
+        let reader = FakeServer::start(8, Behaviour::Hang).await;
+        let mut down = endpoint_entry(&reader, "writer", "up");
         down["name"] = "down".into();
         down["address"] = "127.0.0.1:1".into();
-        let bed = Bed::start(vec![line(&reader, "reader", "up"), down]).await;
+        let bed = Bed::start(vec![endpoint_entry(&reader, "reader", "up"), down]).await;
         for n in 0..4 {
             let id = format!("h{n}");
             let mut client = Client::connect(bed.platform).await;
             let asked = spawn_local({
                 let id = id.clone();
-                async move { client.ask(&id, "chat", 5_000).await.0 }
+                async move { client.send_chat(&id, "chat", 5_000).await.0 }
             });
             reader
-                .until(|seen| seen.contains(&Seen::Began(CHAT.to_owned(), id.clone())))
+                .wait_until(|seen| {
+                    seen.contains(&Observation::RequestStarted {
+                        path: CHAT.to_owned(),
+                        id: id.clone(),
+                    })
+                })
                 .await;
             asked.abort();
             reader
-                .until(|seen| seen.contains(&Seen::Room("DELETE".to_owned(), id.clone())))
+                .wait_until(|seen| {
+                    seen.contains(&Observation::SlotCall {
+                        method: "DELETE".to_owned(),
+                        id: id.clone(),
+                    })
+                })
                 .await;
         }
     });
@@ -361,19 +425,25 @@
 fn the_list_is_followed_across_a_broken_connection() {
     run(async {
         let (reader, writer, bed) = pair(Behaviour::Answer).await;
-        let other = Worker::start(8, Behaviour::Answer).await;
-        bed.discovery.cut();
+        let other = FakeServer::start(8, Behaviour::Answer).await;
+        bed.discovery.close_connections();
         bed.discovery.publish(vec![
-            line(&reader, "reader", "up"),
-            line(&writer, "writer", "draining"),
-            line(&other, "writer", "up"),
+            endpoint_entry(&reader, "reader", "up"),
+            endpoint_entry(&writer, "writer", "draining"),
+            endpoint_entry(&other, "writer", "up"),
         ]);
         tokio::time::sleep(Duration::from_millis(250)).await;
         let mut client = Client::connect(bed.platform).await;
         for n in 0..3 {
-            assert_eq!(client.ask(&format!("i{n}"), "order", 5_000).await.0, 200);
+            assert_eq!(
+                client.send_chat(&format!("i{n}"), "order", 5_000).await.0,
+                200
+            );
         }
-        assert_eq!((writer.began(CHAT), other.began(CHAT)), (0, 3));
+        assert_eq!(
+            (writer.count_started(CHAT), other.count_started(CHAT)),
+            (0, 3)
+        );
     });
 }
 
@@ -383,30 +453,34 @@
 fn the_list_is_followed_to_a_new_address() {
     run(async {
         let (reader, writer, bed) = pair(Behaviour::Answer).await;
-        let other = Worker::start(8, Behaviour::Answer).await;
+        let other = FakeServer::start(8, Behaviour::Answer).await;
         for _ in 0..5 {
             bed.discovery.publish(vec![
-                line(&reader, "reader", "up"),
-                line(&writer, "writer", "up"),
+                endpoint_entry(&reader, "reader", "up"),
+                endpoint_entry(&writer, "writer", "up"),
             ]);
         }
         bed.discovery.silent.set(true);
         let lines = |status| {
             vec![
-                line(&reader, "reader", "up"),
-                line(&other, "writer", status),
+                endpoint_entry(&reader, "reader", "up"),
+                endpoint_entry(&other, "writer", status),
             ]
         };
-        let new = Discovery::start(lines("draining")).await;
+        let new = FakeDiscovery::start(lines("draining")).await;
         bed.moves.send_replace(new.address);
         let mut client = Client::connect(bed.platform).await;
         // The list is taken whole: of its writers none is up, and the old ones are gone.
-        while client.ask("j0", "chat", 200).await.0 == 200 {}
-        let before = writer.began(CHAT);
+        while client.send_chat("j0", "chat", 200).await.0 == 200 {}
+        let before = writer.count_started(CHAT);
         new.publish(lines("up"));
-        let (status, ..) = client.ask("j1", "order", 5_000).await;
+        let (status, ..) = client.send_chat("j1", "order", 5_000).await;
         assert_eq!(
-            (status, writer.began(CHAT) - before, other.began(CHAT)),
+            (
+                status,
+                writer.count_started(CHAT) - before,
+                other.count_started(CHAT)
+            ),
             (200, 0, 1)
         );
     });
@@ -424,20 +498,20 @@
         assert_eq!(kept.get("/up").await.0, 200);
         let mut silent = Vec::new();
         for _ in 0..2 * MOST {
-            silent.push(Raw::connect(bed.platform).await);
+            silent.push(RawClient::connect(bed.platform).await);
         }
         let mut client = Client::connect(bed.platform).await;
-        assert_eq!(client.ask("k0", "order", 5_000).await.0, 200);
+        assert_eq!(client.send_chat("k0", "order", 5_000).await.0, 200);
         // Requests that are being answered keep their places: one more waits for its turn.
         reader.behaviour.set(Behaviour::Hang);
         let mut asked = Vec::new();
         for n in 0..MOST {
             let mut client = Client::connect(bed.platform).await;
             asked.push(spawn_local(async move {
-                client.ask(&format!("k{n}x"), "order", 9_000).await.0
+                client.send_chat(&format!("k{n}x"), "order", 9_000).await.0
             }));
         }
-        reader.until(|seen| seen.len() >= MOST).await;
+        reader.wait_until(|seen| seen.len() >= MOST).await;
         let mut client = Client::connect(bed.platform).await;
         let waits = spawn_local(async move { client.get("/up").await.0 });
         tokio::time::sleep(Duration::from_millis(200)).await;
@@ -477,9 +551,9 @@
         ]
         .map(|(text, answer)| {
             spawn_local(async move {
-                let mut raw = Raw::connect(platform).await;
+                let mut raw = RawClient::connect(platform).await;
                 raw.send(&text).await;
-                let said = raw.until_closed().await;
+                let said = raw.read_until_closed().await;
                 assert!(
                     said.starts_with(answer) && said.is_empty() == answer.is_empty(),
                     "{text:?}: {said:?}"
@@ -506,32 +580,32 @@
         };
         let (length, encoding) = ("content-length: 5\r\n", "transfer-encoding: chunked\r\n");
         for framing in [format!("{length}{encoding}"), format!("{encoding}{length}")] {
-            let mut raw = Raw::connect(bed.platform).await;
+            let mut raw = RawClient::connect(bed.platform).await;
             raw.send(&format!(
                 "{}0\r\n\r\n{}",
                 request("l1", &framing),
                 request("l2", "")
             ))
             .await;
-            let said = raw.until_closed().await;
+            let said = raw.read_until_closed().await;
             assert!(
                 said.starts_with("HTTP/1.1 400 ") && !said[9..].contains("HTTP/1.1"),
                 "{said}"
             );
         }
-        let mut raw = Raw::connect(bed.platform).await;
+        let mut raw = RawClient::connect(bed.platform).await;
         let hidden = request("l4", &format!("{encoding}{length}"));
         raw.send(&format!(
             "{}2\r\n{{}}\r\n0\r\n\r\n{hidden}0\r\n\r\n",
             request("l3", encoding)
         ))
         .await;
-        let said = raw.until_closed().await;
+        let said = raw.read_until_closed().await;
         assert!(
             said.starts_with("HTTP/1.1 200 "),
             "an encoding alone is nothing bad: {said}"
         );
-        assert_eq!(reader.began(CHAT), 1);
+        assert_eq!(reader.count_started(CHAT), 1);
     });
 }
 
@@ -542,12 +616,15 @@
         let (reader, writer, bed) = pair(Behaviour::Answer).await;
         writer.behaviour.set(Behaviour::Hang);
         let mut client = Client::connect(bed.platform).await;
-        let asked = spawn_local(async move { client.ask("m1", "order", 9_000).await.0 });
+        let asked = spawn_local(async move { client.send_chat("m1", "order", 9_000).await.0 });
         writer
-            .until(|seen| seen.iter().any(|s| matches!(s, Seen::Began(..))))
+            .wait_until(|seen| {
+                seen.iter()
+                    .any(|s| matches!(s, Observation::RequestStarted { .. }))
+            })
             .await;
         let mut other = Client::connect(bed.platform).await;
-        assert_eq!(other.ask("m1", "chat", 9_000).await.0, 409);
+        assert_eq!(other.send_chat("m1", "chat", 9_000).await.0, 409);
         let body =
             serde_json::json!({"model": "m", "messages": [{"role": "user", "content": "x"}]});
         let again = http::Request::post(CHAT)
@@ -561,8 +638,8 @@
         assert!(!asked.is_finished());
         assert_eq!(
             (
-                reader.began(CHAT),
-                writer.began(CHAT),
+                reader.count_started(CHAT),
+                writer.count_started(CHAT),
                 rooms(&writer, "DELETE", "m1")
             ),
             (1, 1, 0)
@@ -577,7 +654,7 @@
         let mut client = Client::connect(bed.platform).await;
         assert_eq!(client.get("/nowhere").await.0, 404);
         assert_eq!(client.get(CHAT).await.0, 405);
-        let (status, _, body) = client.ask("g1", "unheard-of", 5_000).await;
+        let (status, _, body) = client.send_chat("g1", "unheard-of", 5_000).await;
         let long = http::Request::post(CHAT)
             .header("host", "app")
             .body("x".repeat(300_000).into())
--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -5,7 +5,7 @@
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-use common::{line, run, settings, Behaviour, Client, Discovery, Worker};
+use common::{endpoint_entry, run, settings, Behaviour, Client, FakeDiscovery, FakeServer};
 use serde_json::json;
 
 /// Guards against a program that ends on SIGHUP, as the system has it by default: the file is read again, and
@@ -14,12 +14,12 @@
 fn a_hangup_is_survived_and_discovery_followed() {
     run(async {
         let (old, new) = (
-            Discovery::start(vec![]).await,
-            Discovery::start(vec![]).await,
+            FakeDiscovery::start(vec![]).await,
+            FakeDiscovery::start(vec![]).await,
         );
         let path =
             std::env::temp_dir().join(format!("cranetack-program-{}.json", std::process::id()));
-        let write = |discovery: &Discovery| {
+        let write = |discovery: &FakeDiscovery| {
             let file = json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
                 "seed": "7", "limits": {"sockets": 64}, "settings": settings()});
             std::fs::write(&path, file.to_string()).unwrap();
@@ -38,11 +38,11 @@
                 .status();
             assert!(kill.unwrap().success());
         };
-        old.asked().await;
+        old.wait_for_snapshot_call().await;
         for moved in [&new, &old] {
             write(moved);
             signal("HUP");
-            moved.asked().await;
+            moved.wait_for_snapshot_call().await;
         }
         signal("TERM");
         assert!(program.wait().unwrap().success());
@@ -54,9 +54,11 @@
 #[test]
 fn a_batch_is_served_through_a_hangup_and_to_its_end_after_a_termination() {
     run(async {
-        let worker = Worker::start(4, Behaviour::Answer).await;
-        worker.takes.set(std::time::Duration::from_millis(50));
-        let discovery = Discovery::start(vec![line(&worker, "mixed", "up")]).await;
+        let worker = FakeServer::start(4, Behaviour::Answer).await;
+        worker
+            .service_time
+            .set(std::time::Duration::from_millis(50));
+        let discovery = FakeDiscovery::start(vec![endpoint_entry(&worker, "mixed", "up")]).await;
         let folder = std::env::temp_dir().join(format!("cranetack-batch-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let [config_at, front_at] = ["config.json", "inference.toml"].map(|name| folder.join(name));
@@ -105,16 +107,16 @@
         let asked = tokio::task::spawn_local(async move {
             Client::connect(front).await.post("/v1/rerank", body).await
         });
-        worker.until(|seen| seen.len() > 2).await;
+        worker.wait_until(|seen| seen.len() > 2).await;
         signal("-HUP");
-        worker.until(|seen| seen.len() > 6).await;
+        worker.wait_until(|seen| seen.len() > 6).await;
         signal("-TERM");
         let (status, answer) = asked.await.unwrap();
         assert_eq!(
             (status, answer["results"].as_array().map(Vec::len)),
             (200, Some(18))
         );
-        assert_eq!(worker.began("/v1/rerank"), 9);
+        assert_eq!(worker.count_started("/v1/rerank"), 9);
         let ended = tokio::task::spawn_blocking(move || program.wait().unwrap())
             .await
             .unwrap();
@@ -129,8 +131,8 @@
 fn a_hangup_during_the_start_is_heeded() {
     run(async {
         let (old, new) = (
-            Discovery::start(vec![]).await,
-            Discovery::start(vec![]).await,
+            FakeDiscovery::start(vec![]).await,
+            FakeDiscovery::start(vec![]).await,
         );
         let folder = std::env::temp_dir().join(format!("cranetack-start-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
@@ -140,7 +142,7 @@
             .status()
             .unwrap()
             .success());
-        let config = |discovery: &Discovery| {
+        let config = |discovery: &FakeDiscovery| {
             let file = json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
                 "seed": "7", "limits": {"sockets": 64}, "settings": settings()});
             file.to_string()
@@ -171,7 +173,7 @@
         signal("-HUP");
         pipe.write_all(config(&old).as_bytes()).unwrap();
         drop(pipe);
-        new.asked().await;
+        new.wait_for_snapshot_call().await;
         signal("-TERM");
         let ended = tokio::task::spawn_blocking(move || program.wait().unwrap())
             .await
--- a/crates/router/tests/races.rs
+++ b/crates/router/tests/races.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use common::{
-    chunk, line, run, run_paused, settings, Bed, Behaviour, End, ManualConnection, ManualServer,
-    Worker, DONE, EVENT, FINISH, LAST_CHUNK, READ, STREAM_HEAD,
+    chunk, endpoint_entry, run, run_paused, settings, Bed, Behaviour, ConnectionEnd, FakeServer,
+    ManualConnection, ManualServer, DONE, EVENT, FINISH, LAST_CHUNK, PREFILL_RESPONSE, STREAM_HEAD,
 };
 use cranetack_router::shutdown;
 use serde_json::Value;
@@ -24,7 +24,12 @@
 /// A router with one server that reads and writes.
 async fn with_mixed_server() -> (ManualServer, Bed) {
     let server = ManualServer::start().await;
-    let bed = Bed::start_set(vec![server.line("mixed", "up")], None, plain_settings()).await;
+    let bed = Bed::start_set(
+        vec![server.endpoint_entry("mixed", "up")],
+        None,
+        plain_settings(),
+    )
+    .await;
     (server, bed)
 }
 
@@ -93,17 +98,18 @@
             let server = ManualServer::start().await;
             let mut settings = plain_settings();
             settings["domain"]["resume"] = resume.into();
-            let bed = Bed::start_set(vec![server.line("mixed", "up")], None, settings).await;
+            let bed =
+                Bed::start_set(vec![server.endpoint_entry("mixed", "up")], None, settings).await;
             let (mut client, mut attempt) = ask(&bed, &server, "b1").await;
             attempt
                 .send(&format!("{STREAM_HEAD}{}", chunk(EVENT)))
                 .await;
-            client.until(EVENT).await;
+            client.read_until(EVENT).await;
             tokio::time::sleep(Duration::from_millis(3_500)).await;
             attempt.send(&chunk(FINISH)).await;
-            client.until(FINISH).await;
+            client.read_until(FINISH).await;
             let silent = Instant::now();
-            let (rest, _) = client.end().await;
+            let (rest, _) = client.read_to_end().await;
             assert!(!rest.contains(LAST_CHUNK), "{rest:?}");
             let waited = silent.elapsed();
             let bounds = Duration::from_millis(3_600)..Duration::from_millis(4_800);
@@ -129,12 +135,12 @@
         attempt
             .send(&format!("{STREAM_HEAD}{}", chunk(EVENT)))
             .await;
-        client.until(EVENT).await;
+        client.read_until(EVENT).await;
         attempt.send(&format!("{}{LAST_CHUNK}", chunk(DONE))).await;
-        let (rest, end) = client.end().await;
+        let (rest, end) = client.read_to_end().await;
         // What came ahead may be answered too: it is no request.
         assert!(rest.contains(&format!("\r\n{LAST_CHUNK}")), "{rest:?}");
-        assert_eq!(end, End::Closed);
+        assert_eq!(end, ConnectionEnd::Closed);
         flood.abort();
     });
 }
@@ -147,22 +153,22 @@
         let (server, bed) = with_mixed_server().await;
         let (mut client, mut attempt) = ask(&bed, &server, "c2").await;
         attempt.send(&format!("{STREAM_HEAD}{}", chunk(DONE))).await;
-        client.until(DONE).await;
+        client.read_until(DONE).await;
         client
             .send(&request("c3", "order", "", &"x".repeat(200_000)))
             .await;
         // The router has read on by the time that it has the answer to a further client.
         let mut other = ManualConnection::connect(bed.platform).await;
         other.send("GET /up HTTP/1.1\r\nhost: app\r\n\r\n").await;
-        other.until("ready").await;
+        other.read_until("ready").await;
         attempt.send(LAST_CHUNK).await;
-        client.until(LAST_CHUNK).await;
+        client.read_until(LAST_CHUNK).await;
         let (mut attempt, seen) = server.accept_request().await;
         assert!(seen.contains("x-request-id: c3"), "{seen:.300}");
         attempt
             .send(&format!("{STREAM_HEAD}{}{LAST_CHUNK}", chunk(DONE)))
             .await;
-        client.until(LAST_CHUNK).await;
+        client.read_until(LAST_CHUNK).await;
     });
 }
 
@@ -174,7 +180,7 @@
         let (mut client, mut attempt) = ask(&bed, &server, "d1").await;
         client.sender().send_until_closed(&"x".repeat(FLOOD)).await;
         drop(client);
-        timeout(Duration::from_secs(2), attempt.end())
+        timeout(Duration::from_secs(2), attempt.read_to_end())
             .await
             .expect("its deadline is three seconds later");
     });
@@ -191,7 +197,10 @@
         client.send(&whole[..whole.len() / 2]).await;
         let stopped = Instant::now();
         bed.stop.take().unwrap().send(()).unwrap();
-        assert_eq!(client.end().await, (String::new(), End::Closed));
+        assert_eq!(
+            client.read_to_end().await,
+            (String::new(), ConnectionEnd::Closed)
+        );
         assert!(
             stopped.elapsed() < shutdown::ACCEPT_FOR + Duration::from_millis(100),
             "{:?}",
@@ -207,15 +216,15 @@
 #[test]
 fn a_request_on_a_resting_connection_at_the_shutdown_is_answered_or_not_taken() {
     run(async {
-        let worker = Worker::start(64, Behaviour::Answer).await;
-        let mut bed = Bed::start(vec![line(&worker, "mixed", "up")]).await;
+        let worker = FakeServer::start(64, Behaviour::Answer).await;
+        let mut bed = Bed::start(vec![endpoint_entry(&worker, "mixed", "up")]).await;
         let mut clients = Vec::new();
         for number in 0..7 {
             let mut client = ManualConnection::connect(bed.platform).await;
             client
                 .send(&request(&format!("f{number}"), "order", "", "{}"))
                 .await;
-            client.until(LAST_CHUNK).await;
+            client.read_until(LAST_CHUNK).await;
             clients.push(client);
         }
         bed.stop.take().unwrap().send(()).unwrap();
@@ -228,17 +237,17 @@
                     .sender()
                     .send_until_closed(&request(&format!("g{number}"), "order", "", "{}"))
                     .await;
-                client.end().await
+                client.read_to_end().await
             })
         });
         let mut answered = 0;
         for asked in asked.collect::<Vec<_>>() {
             let (said, end) = asked.await.unwrap();
             assert!(said.is_empty() || said.ends_with(LAST_CHUNK), "{said:?}");
-            assert_eq!(end, End::Closed);
+            assert_eq!(end, ConnectionEnd::Closed);
             answered += usize::from(!said.is_empty());
         }
-        assert_eq!(worker.began("/v1/chat/completions"), 7 + answered);
+        assert_eq!(worker.count_started("/v1/chat/completions"), 7 + answered);
         bed.stopped.await.unwrap();
     });
 }
@@ -262,10 +271,10 @@
             sender.send_until_closed(&answer).await;
             sender
         });
-        client.until(EVENT).await;
+        client.read_until(EVENT).await;
         tokio::time::sleep(Duration::from_millis(1_300)).await;
         assert!(!sending.is_finished(), "the server is held up");
-        let said = client.until(&format!("\r\n{LAST_CHUNK}")).await;
+        let said = client.read_until(&format!("\r\n{LAST_CHUNK}")).await;
         assert_eq!(said.matches('x').count(), PARTS * part.len());
     });
 }
@@ -281,7 +290,7 @@
             attempt
                 .send(&format!("{STREAM_HEAD}{}", chunk(&event)))
                 .await;
-            client.until(&event).await;
+            client.read_until(&event).await;
         });
     }
 }
@@ -293,7 +302,10 @@
         let (reader, writer) = (ManualServer::start().await, ManualServer::start().await);
         let mut settings = plain_settings();
         settings["classes"][3]["deadline_us"] = 1_000_000.into();
-        let lines = vec![reader.line("reader", "up"), writer.line("writer", "up")];
+        let lines = vec![
+            reader.endpoint_entry("reader", "up"),
+            writer.endpoint_entry("writer", "up"),
+        ];
         let mut bed = Bed::start_set(lines, None, settings).await;
         let mut client = ManualConnection::connect(bed.platform).await;
         client.send(&request("j1", "order", "", "{}")).await;
@@ -301,13 +313,13 @@
         bed.stop.take().unwrap().send(()).unwrap();
         // Past the time for new connections, the state is read and its writer fails: the last answer is out at once.
         tokio::time::sleep(shutdown::ACCEPT_FOR + Duration::from_millis(100)).await;
-        read.send(READ).await;
+        read.send(PREFILL_RESPONSE).await;
         let (write, _) = writer.accept_request().await;
         tokio::time::sleep(Duration::from_millis(50)).await; // the reader's connection has rested, and is used again
         write.reset();
-        client.until("HTTP/1.1 502 ").await;
+        client.read_until("HTTP/1.1 502 ").await;
         drop(client);
-        let release = read.request().await;
+        let release = read.receive_request().await;
         assert!(
             release.starts_with("DELETE /bootstrap/rooms/j1 "),
             "{release}"
@@ -325,19 +337,22 @@
 fn a_refusal_does_not_overtake_the_end_of_the_attempt_that_is_given_up() {
     run(async {
         let (reader, writer) = (ManualServer::start().await, ManualServer::start().await);
-        let lines = vec![reader.line("reader", "up"), writer.line("writer", "up")];
+        let lines = vec![
+            reader.endpoint_entry("reader", "up"),
+            writer.endpoint_entry("writer", "up"),
+        ];
         let bed = Bed::start_set(lines, None, plain_settings()).await;
         let mut client = ManualConnection::connect(bed.platform).await;
         let asked = request("a1", "order", "", "{}").replace("5000", "300");
         client.send(&asked).await;
         let (mut attempt, _) = reader.accept_request().await;
-        assert_eq!(attempt.end().await.1, End::Closed);
+        assert_eq!(attempt.read_to_end().await.1, ConnectionEnd::Closed);
         assert!(
             !client.has_received(),
             "the refusal was written before the server had seen the end"
         );
         drop(attempt);
-        client.until("HTTP/1.1 503").await;
+        client.read_until("HTTP/1.1 503").await;
     });
 }
 
@@ -346,8 +361,13 @@
 #[test]
 fn a_request_on_a_connection_that_was_to_make_room_is_answered() {
     run(async {
-        let worker = Worker::start(8, Behaviour::Answer).await;
-        let bed = Bed::start_set(vec![line(&worker, "mixed", "up")], None, plain_settings()).await;
+        let worker = FakeServer::start(8, Behaviour::Answer).await;
+        let bed = Bed::start_set(
+            vec![endpoint_entry(&worker, "mixed", "up")],
+            None,
+            plain_settings(),
+        )
+        .await;
         // A front has eight connections here; the last one that comes has the one idle for longest closed.
         let mut clients = Vec::new();
         for _ in 0..7 {
@@ -356,6 +376,6 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         let _eighth = std::net::TcpStream::connect(bed.platform).unwrap();
         clients[0].send(&request("a1", "chat", "", "{}")).await;
-        clients[0].until("HTTP/1.1 200").await;
+        clients[0].read_until("HTTP/1.1 200").await;
     });
 }
--- a/crates/router/tests/readiness.rs
+++ b/crates/router/tests/readiness.rs
@@ -5,7 +5,10 @@
 
 use std::time::Duration;
 
-use common::{line, run, run_paused, settings, Bed, Behaviour, Client, ManualServer, Raw, Worker};
+use common::{
+    endpoint_entry, run, run_paused, settings, Bed, Behaviour, Client, FakeServer, ManualServer,
+    RawClient,
+};
 use cranetack_router::config::Config;
 use cranetack_router::{Extras, Router};
 use serde_json::{json, Value};
@@ -59,45 +62,45 @@
 fn idle_clients_up_to_the_limit_keep_out_neither_discovery_nor_a_request() {
     run(async {
         let (old, new) = (
-            Worker::start(4, Behaviour::Answer).await,
-            Worker::start(4, Behaviour::Answer).await,
+            FakeServer::start(4, Behaviour::Answer).await,
+            FakeServer::start(4, Behaviour::Answer).await,
         );
-        let bed = Bed::start(vec![line(&old, "mixed", "up")]).await;
+        let bed = Bed::start(vec![endpoint_entry(&old, "mixed", "up")]).await;
         bed.discovery.silent.set(true);
         // 64 descriptors less 32 are shared by servers and clients, and theirs by two fronts.
         let mut idle = Vec::new();
         for _ in 0..24 {
-            idle.push(Raw::connect(bed.platform).await);
+            idle.push(RawClient::connect(bed.platform).await);
         }
         bed.discovery.publish(vec![
-            line(&old, "mixed", "draining"),
-            line(&new, "mixed", "up"),
+            endpoint_entry(&old, "mixed", "draining"),
+            endpoint_entry(&new, "mixed", "up"),
         ]);
-        bed.discovery.cut();
+        bed.discovery.close_connections();
         bed.discovery.silent.set(false);
-        while new.began("/v1/chat/completions") == 0 {
-            idle.push(Raw::connect(bed.platform).await);
+        while new.count_started("/v1/chat/completions") == 0 {
+            idle.push(RawClient::connect(bed.platform).await);
             let id = format!("k{}", idle.len());
             assert_eq!(
                 Client::connect(bed.platform)
                     .await
-                    .ask(&id, "chat", 5_000)
+                    .send_chat(&id, "chat", 5_000)
                     .await
                     .0,
                 200
             );
         }
-        let before = old.began("/v1/chat/completions");
+        let before = old.count_started("/v1/chat/completions");
         assert_eq!(
             Client::connect(bed.platform)
                 .await
-                .ask("last", "chat", 5_000)
+                .send_chat("last", "chat", 5_000)
                 .await
                 .0,
             200
         );
         assert_eq!(
-            old.began("/v1/chat/completions"),
+            old.count_started("/v1/chat/completions"),
             before,
             "nothing new to a server that drains"
         );
--- a/crates/router/tests/tenants.rs
+++ b/crates/router/tests/tenants.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::{line, run, Bed, Behaviour, Client, Worker};
+use common::{endpoint_entry, run, Bed, Behaviour, Client, FakeServer};
 use cranetack_router::tenants::{Setup, Tenants};
 use futures_util::{SinkExt, StreamExt};
 use http::Request;
@@ -119,9 +119,10 @@
 fn only_a_tenants_key_is_served_and_a_directory_that_is_down_locks_nobody_out() {
     run(async {
         let directory = Directory::start(&["k1"]).await;
-        let worker = Worker::start(1, Behaviour::Answer).await;
+        let worker = FakeServer::start(1, Behaviour::Answer).await;
         let tenants = Tenants::follow(directory.setup("secret"));
-        let bed = Bed::start_with(vec![line(&worker, "mixed", "up")], Some(tenants)).await;
+        let bed =
+            Bed::start_with(vec![endpoint_entry(&worker, "mixed", "up")], Some(tenants)).await;
         while embed(&bed, Some("k1")).await.0 != 200 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -132,7 +133,7 @@
                 (401, &json!("invalid_api_key"))
             );
         }
-        assert_eq!(worker.began("/v1/embeddings"), 1);
+        assert_eq!(worker.count_started("/v1/embeddings"), 1);
         // A new key is known after the next reading.
         directory.keys.borrow_mut().push("k2".to_owned());
         while embed(&bed, Some("k2")).await.0 != 200 {
@@ -153,9 +154,10 @@
 fn nobody_is_served_before_the_directory_has_been_read() {
     run(async {
         let directory = Directory::start(&["k1"]).await;
-        let worker = Worker::start(1, Behaviour::Answer).await;
+        let worker = FakeServer::start(1, Behaviour::Answer).await;
         let tenants = Tenants::follow(directory.setup("wrong"));
-        let bed = Bed::start_with(vec![line(&worker, "mixed", "up")], Some(tenants)).await;
+        let bed =
+            Bed::start_with(vec![endpoint_entry(&worker, "mixed", "up")], Some(tenants)).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
         let (status, answer) = embed(&bed, Some("k1")).await;
         assert_eq!(
@@ -163,7 +165,10 @@
             (503, &json!("tenants_unknown"))
         );
         assert_eq!(
-            (worker.began("/v1/embeddings"), directory.searches.get()),
+            (
+                worker.count_started("/v1/embeddings"),
+                directory.searches.get()
+            ),
             (0, 0)
         );
     });
--- a/crates/syscall-fault-shim/tests/program.rs
+++ b/crates/syscall-fault-shim/tests/program.rs
@@ -6,7 +6,9 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use cranetack_testkit::{line, run, settings, Behaviour, Client, Discovery, Worker};
+use cranetack_testkit::{
+    endpoint_entry, run, settings, Behaviour, Client, FakeDiscovery, FakeServer,
+};
 use serde_json::json;
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
@@ -78,11 +80,11 @@
 /// Starts a router with these calls failing, between a prefill and a decode server, and sends it
 /// so many requests: all must be served.
 async fn assert_all_served(faults: &str, requests: usize) {
-    let prefill = Worker::start(4, Behaviour::Read).await;
-    let decode = Worker::start(4, Behaviour::Answer).await;
-    let discovery = Discovery::start(vec![
-        line(&prefill, "reader", "up"),
-        line(&decode, "writer", "up"),
+    let prefill = FakeServer::start(4, Behaviour::Prefill).await;
+    let decode = FakeServer::start(4, Behaviour::Answer).await;
+    let discovery = FakeDiscovery::start(vec![
+        endpoint_entry(&prefill, "reader", "up"),
+        endpoint_entry(&decode, "writer", "up"),
     ])
     .await;
     let free_port = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -106,7 +108,7 @@
     let mut client = Client::connect(address).await;
     for index in 0..requests {
         let id = format!("a{index}");
-        let answer = timeout(ANSWER_TIMEOUT, client.ask(&id, "chat", DEADLINE_MS)).await;
+        let answer = timeout(ANSWER_TIMEOUT, client.send_chat(&id, "chat", DEADLINE_MS)).await;
         let (status, _, body) = answer.unwrap_or_else(|_| panic!("request {index} hangs"));
         assert_eq!((status, body.is_some()), (200, true), "request {index}");
     }
--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -68,7 +68,7 @@
     }
 
     /// Sends a chat to the platform API; returns status, headers and body, like [`Client::send`].
-    pub async fn ask(
+    pub async fn send_chat(
         &mut self,
         id: &str,
         class: &str,
--- a/crates/testkit/src/endpoint_entry.rs
+++ b/crates/testkit/src/endpoint_entry.rs
@@ -5,7 +5,7 @@
 use serde_json::{json, Value};
 
 /// The entry of a server at an address, with its type and status as they are on the wire.
-pub fn line_at(address: SocketAddr, server_type: &str, status: &str) -> Value {
+pub fn endpoint_entry_at(address: SocketAddr, server_type: &str, status: &str) -> Value {
     json!({
         "name": format!("w{}", address.port()),
         "address": address.to_string(),
--- a/crates/testkit/src/fake_discovery.rs
+++ b/crates/testkit/src/fake_discovery.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{watch, Notify};
 use tokio::task::{spawn_local, AbortHandle};
 
-use crate::response::{complete, Reply};
+use crate::response::{complete, FakeResponse};
 
 /// How long a watch waits for a later version of the list.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(500);
@@ -29,38 +29,38 @@
 }
 
 /// A fake discovery server, whose list a test may change.
-pub struct Discovery {
+pub struct FakeDiscovery {
     /// Where it listens.
     pub address: SocketAddr,
     /// Whether watches are not answered.
     pub silent: Cell<bool>,
     /// Whether all calls are rejected.
-    pub busy: Cell<bool>,
+    pub overloaded: Cell<bool>,
     /// The queries of all calls, in order.
-    pub calls: RefCell<Vec<String>>,
+    pub queries: RefCell<Vec<String>>,
     list: watch::Sender<EndpointList>,
     snapshot_called: Notify,
     connections: RefCell<Vec<AbortHandle>>,
 }
 
-impl Discovery {
+impl FakeDiscovery {
     /// Starts a server on a free port, with these entries in its list.
-    pub async fn start(entries: Vec<Value>) -> Rc<Discovery> {
-        Discovery::start_at("127.0.0.1:0", entries).await
+    pub async fn start(entries: Vec<Value>) -> Rc<FakeDiscovery> {
+        FakeDiscovery::start_at("127.0.0.1:0", entries).await
     }
 
     /// Starts a server at an address, with these entries in its list.
-    pub async fn start_at(address: &str, entries: Vec<Value>) -> Rc<Discovery> {
+    pub async fn start_at(address: &str, entries: Vec<Value>) -> Rc<FakeDiscovery> {
         let listener = TcpListener::bind(address).await.unwrap();
         let (list, _) = watch::channel(EndpointList {
             version: 1,
             entries,
         });
-        let discovery = Rc::new(Discovery {
+        let discovery = Rc::new(FakeDiscovery {
             address: listener.local_addr().unwrap(),
             silent: Cell::default(),
-            busy: Cell::default(),
-            calls: RefCell::default(),
+            overloaded: Cell::default(),
+            queries: RefCell::default(),
             list,
             snapshot_called: Notify::new(),
             connections: RefCell::default(),
@@ -87,11 +87,11 @@
             .await;
     }
 
-    async fn serve(self: Rc<Self>, request: Request<Incoming>) -> Result<Reply, Infallible> {
+    async fn serve(self: Rc<Self>, request: Request<Incoming>) -> Result<FakeResponse, Infallible> {
         let query = request.uri().query().unwrap_or_default().to_owned();
         let from_version = watched_version(&query);
-        self.calls.borrow_mut().push(query);
-        if self.busy.get() {
+        self.queries.borrow_mut().push(query);
+        if self.overloaded.get() {
             return Ok(complete(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()));
         }
         match from_version {
@@ -115,12 +115,12 @@
     }
 
     /// Waits until the whole list has been asked for since the last such wait.
-    pub async fn asked(&self) {
+    pub async fn wait_for_snapshot_call(&self) {
         self.snapshot_called.notified().await;
     }
 
     /// Closes all connections at once.
-    pub fn cut(&self) {
+    pub fn close_connections(&self) {
         for connection in self.connections.borrow_mut().drain(..) {
             connection.abort();
         }
--- a/crates/testkit/src/fake_server/answers.rs
+++ b/crates/testkit/src/fake_server/answers.rs
@@ -8,25 +8,25 @@
 use http::StatusCode;
 use serde_json::{json, Value};
 
-use super::fault::Spoils;
+use super::fault::MalformedAnswer;
 use super::streams::{stream_events, DONE, EVENT, FINISH};
-use crate::response::{complete, Reply};
+use crate::response::{complete, FakeResponse};
 
 /// The answer to a request.
 pub(super) fn answer(
     path: &str,
     body: &[u8],
-    malformed: Option<Spoils>,
-    pause: Duration,
-) -> io::Result<Reply> {
-    if malformed == Some(Spoils::NotJson) {
+    malformed: Option<MalformedAnswer>,
+    event_interval: Duration,
+) -> io::Result<FakeResponse> {
+    if malformed == Some(MalformedAnswer::NotJson) {
         return Ok(complete(StatusCode::OK, "<html>".into()));
     }
     let request: Value = serde_json::from_slice(body).map_err(io::Error::other)?;
     let (key, mut results) = match path {
         "/v1/embeddings" => ("data", embeddings(&request)),
         "/v1/rerank" => ("results", scores(&request)),
-        _ => return Ok(chat(&request, malformed, pause)),
+        _ => return Ok(chat(&request, malformed, event_interval)),
     };
     for (index, result) in results.iter_mut().enumerate() {
         result["index"] = json!(index);
@@ -73,24 +73,28 @@
     first_word.and_then(|word| word.parse().ok()).unwrap_or(0.0)
 }
 
-fn malform(results: &mut Vec<Value>, malformed: Spoils) {
+fn malform(results: &mut Vec<Value>, malformed: MalformedAnswer) {
     match malformed {
-        Spoils::Missing => {
+        MalformedAnswer::MissingItem => {
             results.pop();
         }
-        Spoils::Doubled => results.push(results[0].clone()),
-        Spoils::OutOfRange => results[0]["index"] = json!(results.len()),
-        Spoils::Nan => {
+        MalformedAnswer::DuplicateItem => results.push(results[0].clone()),
+        MalformedAnswer::IndexOutOfRange => results[0]["index"] = json!(results.len()),
+        MalformedAnswer::NotANumber => {
             results[0] = json!({"index": 0, "relevance_score": null, "embedding": [null]});
         }
-        Spoils::NotJson => {}
+        MalformedAnswer::NotJson => {}
     }
 }
 
 /// A stream of one word, with its usage where the request asks for it.
-fn chat(request: &Value, malformed: Option<Spoils>, pause: Duration) -> Reply {
+fn chat(
+    request: &Value,
+    malformed: Option<MalformedAnswer>,
+    event_interval: Duration,
+) -> FakeResponse {
     let mut events = vec![EVENT.to_owned()];
-    if malformed != Some(Spoils::Missing) {
+    if malformed != Some(MalformedAnswer::MissingItem) {
         events.push(FINISH.to_owned());
         if request["stream_options"]["include_usage"] == json!(true) {
             let usage = json!({"prompt_tokens": 3, "completion_tokens": 1, "total_tokens": 4});
@@ -103,5 +107,5 @@
         .into_iter()
         .map(|event| Ok(Bytes::from(event)))
         .collect();
-    stream_events(pause, events)
+    stream_events(event_interval, events)
 }
--- a/crates/testkit/src/fake_server/fault.rs
+++ b/crates/testkit/src/fake_server/fault.rs
@@ -11,17 +11,22 @@
     /// Answers by its path: vectors, scores, or a chat stream.
     Answer,
     /// Processes the prompt, as a prefill server does.
-    Read,
+    #[serde(rename = "read")]
+    Prefill,
     /// Begins to work and never ends.
     Hang,
     /// Closes the connection once the request is received.
-    Break,
+    #[serde(rename = "break")]
+    CloseConnection,
     /// Streams one event and closes the connection.
-    BreakStream,
+    #[serde(rename = "break_stream")]
+    TruncateStream,
     /// Streams events without end, and keeps its slot all the while.
-    StreamOn,
+    #[serde(rename = "stream_on")]
+    StreamEndlessly,
     /// Rejects the request, saying that it has not run.
-    Full,
+    #[serde(rename = "full")]
+    Reject,
     /// Answers with an error, and may have run.
     Error,
 }
@@ -29,15 +34,19 @@
 /// How an answer is malformed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Spoils {
+pub enum MalformedAnswer {
     /// The last item has no result, or the stream no end.
-    Missing,
+    #[serde(rename = "missing")]
+    MissingItem,
     /// The first item has two results.
-    Doubled,
+    #[serde(rename = "doubled")]
+    DuplicateItem,
     /// A result belongs to no item.
-    OutOfRange,
+    #[serde(rename = "out_of_range")]
+    IndexOutOfRange,
     /// A result is not a number.
-    Nan,
+    #[serde(rename = "nan")]
+    NotANumber,
     /// The answer is not JSON.
     NotJson,
 }
@@ -51,7 +60,7 @@
     #[serde(rename = "does")]
     pub(super) behaviour: Option<Behaviour>,
     #[serde(rename = "spoils")]
-    pub(super) malformed: Option<Spoils>,
+    pub(super) malformed: Option<MalformedAnswer>,
     #[serde(rename = "ms")]
     service_time_ms: Option<u64>,
     #[serde(rename = "on")]
--- a/crates/testkit/src/fake_server/mod.rs
+++ b/crates/testkit/src/fake_server/mod.rs
@@ -27,11 +27,11 @@
 use self::answers::answer;
 use self::fault::RequestedFault;
 use self::streams::{stream_endlessly, stream_events};
-use crate::endpoint_entry::line_at;
-use crate::response::{complete, Reply};
+use crate::endpoint_entry::endpoint_entry_at;
+use crate::response::{complete, FakeResponse};
 
-pub use self::fault::{Behaviour, Spoils};
-pub use self::observation::Seen;
+pub use self::fault::{Behaviour, MalformedAnswer};
+pub use self::observation::Observation;
 pub use self::streams::{DONE, EVENT, FINISH};
 
 /// How long a request takes, and the pause before each event of a stream, unless a test sets it.
@@ -45,32 +45,32 @@
 type ReleasedHook = Box<dyn Fn(&str)>;
 
 /// A fake model server.
-pub struct Worker {
+pub struct FakeServer {
     /// Where it listens.
     pub address: SocketAddr,
     /// What it does with requests that do not ask for something else.
     pub behaviour: Cell<Behaviour>,
     /// Whether it closes each connection on which a second request arrives, without reading it.
-    pub drops: Cell<bool>,
+    pub drops_reused_connections: Cell<bool>,
     /// How long a request takes.
-    pub takes: Cell<Duration>,
+    pub service_time: Cell<Duration>,
     /// How much longer it takes for each KiB of its body.
-    pub takes_by_kib: Cell<Duration>,
+    pub service_time_per_kib: Cell<Duration>,
     /// The pause before each event of a stream, so that each is received by itself.
-    pub pause: Cell<Duration>,
+    pub event_interval: Cell<Duration>,
     /// Every so many requests one fails, in turn by a closed connection and by an answer that
     /// leaves an item out; 0 for none.
-    pub fails_every: Cell<usize>,
+    pub failure_interval: Cell<usize>,
     /// Whether it records no observations, of which a long run makes too many.
-    pub quiet: Cell<bool>,
+    pub recording_disabled: Cell<bool>,
     /// Called when a request gets a slot.
-    pub on_began: RefCell<Option<StartedHook>>,
+    pub on_request_started: RefCell<Option<StartedHook>>,
     /// Called when the slot of a request is released.
-    pub on_freed: RefCell<Option<ReleasedHook>>,
+    pub on_slot_released: RefCell<Option<ReleasedHook>>,
     /// All observations, in order.
-    pub seen: RefCell<Vec<Seen>>,
+    pub observations: RefCell<Vec<Observation>>,
     /// The most attempts of one request that were here at once.
-    pub most_at_once: Cell<usize>,
+    pub max_concurrent_attempts: Cell<usize>,
     /// Requests that counted towards the failure interval.
     received: Cell<usize>,
     attempts_in_flight: RefCell<HashMap<String, usize>>,
@@ -80,27 +80,27 @@
 }
 
 /// The entry of a server in the endpoint list, with its type and status as they are on the wire.
-pub fn line(server: &Worker, server_type: &str, status: &str) -> Value {
-    line_at(server.address, server_type, status)
+pub fn endpoint_entry(server: &FakeServer, server_type: &str, status: &str) -> Value {
+    endpoint_entry_at(server.address, server_type, status)
 }
 
-impl Worker {
+impl FakeServer {
     /// Starts a server that processes so many requests at once; others wait in turn.
-    pub async fn start(slots: usize, behaviour: Behaviour) -> Rc<Worker> {
+    pub async fn start(slots: usize, behaviour: Behaviour) -> Rc<FakeServer> {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let server = Rc::new(Worker {
+        let server = Rc::new(FakeServer {
             address: listener.local_addr().unwrap(),
             behaviour: Cell::new(behaviour),
-            drops: Cell::default(),
-            takes: Cell::new(DEFAULT_DELAY),
-            takes_by_kib: Cell::default(),
-            pause: Cell::new(DEFAULT_DELAY),
-            fails_every: Cell::default(),
-            quiet: Cell::default(),
-            on_began: RefCell::default(),
-            on_freed: RefCell::default(),
-            seen: RefCell::default(),
-            most_at_once: Cell::default(),
+            drops_reused_connections: Cell::default(),
+            service_time: Cell::new(DEFAULT_DELAY),
+            service_time_per_kib: Cell::default(),
+            event_interval: Cell::new(DEFAULT_DELAY),
+            failure_interval: Cell::default(),
+            recording_disabled: Cell::default(),
+            on_request_started: RefCell::default(),
+            on_slot_released: RefCell::default(),
+            observations: RefCell::default(),
+            max_concurrent_attempts: Cell::default(),
             received: Cell::default(),
             attempts_in_flight: RefCell::default(),
             observed: Notify::new(),
@@ -127,7 +127,7 @@
             let is_slot_call = request.uri().path().starts_with("/bootstrap/");
             let is_reused = !is_slot_call && is_used.replace(true);
             let server = self.clone();
-            let drops = is_reused && server.drops.get();
+            let drops = is_reused && server.drops_reused_connections.get();
             async move {
                 if drops {
                     return Err(io::Error::other("dropped unread"));
@@ -141,36 +141,36 @@
             .await;
     }
 
-    fn record(&self, observation: Seen) {
-        if self.quiet.get() {
+    fn record(&self, observation: Observation) {
+        if self.recording_disabled.get() {
             return;
         }
-        self.seen.borrow_mut().push(observation);
+        self.observations.borrow_mut().push(observation);
         self.observed.notify_waiters();
     }
 
     /// How many requests for a path got a slot.
-    pub fn began(&self, path: &str) -> usize {
-        self.seen
+    pub fn count_started(&self, path: &str) -> usize {
+        self.observations
             .borrow()
             .iter()
-            .filter(|seen| matches!(seen, Seen::Began(began, _) if began == path))
+            .filter(|observation| observation.is_start_for_path(path))
             .count()
     }
 
     fn attempts_of(&self, id: &str) -> usize {
-        self.seen
+        self.observations
             .borrow()
             .iter()
-            .filter(|seen| matches!(seen, Seen::Began(_, began) if began == id))
+            .filter(|observation| observation.is_start_of(id))
             .count()
     }
 
     /// Waits until the observations fulfil a condition.
-    pub async fn until(&self, is_fulfilled: impl Fn(&[Seen]) -> bool) {
+    pub async fn wait_until(&self, is_fulfilled: impl Fn(&[Observation]) -> bool) {
         loop {
             let observed = self.observed.notified();
-            if is_fulfilled(&self.seen.borrow()) {
+            if is_fulfilled(&self.observations.borrow()) {
                 return;
             }
             observed.await;
@@ -178,13 +178,13 @@
     }
 
     /// Closes all connections at once, as the death of its process would.
-    pub fn cut(&self) {
+    pub fn close_connections(&self) {
         for connection in self.connections.borrow_mut().drain(..) {
             connection.abort();
         }
     }
 
-    async fn serve(self: Rc<Self>, request: Request<Incoming>) -> io::Result<Reply> {
+    async fn serve(self: Rc<Self>, request: Request<Incoming>) -> io::Result<FakeResponse> {
         let path = request.uri().path().to_owned();
         if let Some(id) = path.strip_prefix(SLOT_PATH) {
             return Ok(self.serve_slot_call(request.method(), id));
@@ -202,8 +202,11 @@
     }
 
     /// Reserves or releases a decode slot.
-    fn serve_slot_call(&self, method: &Method, id: &str) -> Reply {
-        self.record(Seen::Room(method.to_string(), id.to_owned()));
+    fn serve_slot_call(&self, method: &Method, id: &str) -> FakeResponse {
+        self.record(Observation::SlotCall {
+            method: method.to_string(),
+            id: id.to_owned(),
+        });
         let status = if method == Method::POST {
             StatusCode::OK
         } else {
@@ -217,23 +220,26 @@
         path: &str,
         id: String,
         body: &[u8],
-    ) -> io::Result<Reply> {
+    ) -> io::Result<FakeResponse> {
         let in_flight = AttemptInFlight::new(self, &id);
         let _slot = self.slots.acquire().await;
-        self.record(Seen::Began(path.to_owned(), id.clone()));
+        self.record(Observation::RequestStarted {
+            path: path.to_owned(),
+            id: id.clone(),
+        });
         let requested = self.requested_fault(&id, body);
         sleep_unless_zero(self.service_time(&requested, body)).await;
-        let pause = self.pause.get();
+        let event_interval = self.event_interval.get();
         let behaviour = requested.behaviour.unwrap_or(self.behaviour.get());
         let reply = match behaviour {
-            Behaviour::Answer => answer(path, body, requested.malformed, pause),
+            Behaviour::Answer => answer(path, body, requested.malformed, event_interval),
             Behaviour::Error => Ok(complete(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new())),
-            Behaviour::Read => Ok(prefilled()),
+            Behaviour::Prefill => Ok(prefilled()),
             Behaviour::Hang => std::future::pending().await,
-            Behaviour::Break => Err(io::Error::other("closed on purpose")),
-            Behaviour::BreakStream => Ok(broken_stream(pause)),
-            Behaviour::Full => Ok(rejection()),
-            Behaviour::StreamOn => {
+            Behaviour::CloseConnection => Err(io::Error::other("closed on purpose")),
+            Behaviour::TruncateStream => Ok(truncated_stream(event_interval)),
+            Behaviour::Reject => Ok(rejection()),
+            Behaviour::StreamEndlessly => {
                 drop(in_flight);
                 let guard = RecordReleaseOnDrop {
                     server: self.clone(),
@@ -255,15 +261,15 @@
         if is_used_up {
             requested = requested.without_fault();
         }
-        if let Some(on_began) = &*self.on_began.borrow() {
-            on_began(id, body);
+        if let Some(on_request_started) = &*self.on_request_started.borrow() {
+            on_request_started(id, body);
         }
         self.apply_failure_interval(&mut requested);
         requested
     }
 
     fn apply_failure_interval(&self, requested: &mut RequestedFault) {
-        let interval = self.fails_every.get();
+        let interval = self.failure_interval.get();
         if interval == 0 {
             return;
         }
@@ -272,15 +278,15 @@
             return;
         }
         if (received / interval).is_multiple_of(2) {
-            requested.behaviour = Some(Behaviour::Break);
+            requested.behaviour = Some(Behaviour::CloseConnection);
         } else {
-            requested.malformed = Some(Spoils::Missing);
+            requested.malformed = Some(MalformedAnswer::MissingItem);
         }
     }
 
     fn service_time(&self, requested: &RequestedFault, body: &[u8]) -> Duration {
-        let fixed = requested.service_time().unwrap_or(self.takes.get());
-        let by_size = self.takes_by_kib.get().as_secs_f64() * body.len() as f64 / 1024.0;
+        let fixed = requested.service_time().unwrap_or(self.service_time.get());
+        let by_size = self.service_time_per_kib.get().as_secs_f64() * body.len() as f64 / 1024.0;
         fixed + Duration::from_secs_f64(by_size)
     }
 }
@@ -292,19 +298,19 @@
 }
 
 /// The answer of a prefill server.
-fn prefilled() -> Reply {
+fn prefilled() -> FakeResponse {
     let body = json!({"cached_tokens": 0});
     complete(StatusCode::ACCEPTED, body.to_string().into())
 }
 
 /// One event, and the end of the connection.
-fn broken_stream(pause: Duration) -> Reply {
+fn truncated_stream(event_interval: Duration) -> FakeResponse {
     let error = io::Error::other("closed on purpose");
-    stream_events(pause, vec![Ok(EVENT.into()), Err(error)])
+    stream_events(event_interval, vec![Ok(EVENT.into()), Err(error)])
 }
 
 /// A rejection before the request has run.
-fn rejection() -> Reply {
+fn rejection() -> FakeResponse {
     let mut reply = complete(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
     reply
         .headers_mut()
@@ -315,17 +321,17 @@
 /// An attempt at a server. Dropping it releases the slot, also when the connection closes, which
 /// drops the future of the request.
 struct AttemptInFlight<'a> {
-    server: &'a Worker,
+    server: &'a FakeServer,
     id: String,
 }
 
 impl<'a> AttemptInFlight<'a> {
-    fn new(server: &'a Worker, id: &str) -> AttemptInFlight<'a> {
+    fn new(server: &'a FakeServer, id: &str) -> AttemptInFlight<'a> {
         let mut in_flight = server.attempts_in_flight.borrow_mut();
         let attempts = in_flight.entry(id.to_owned()).or_default();
         *attempts += 1;
-        let most = server.most_at_once.get().max(*attempts);
-        server.most_at_once.set(most);
+        let most = server.max_concurrent_attempts.get().max(*attempts);
+        server.max_concurrent_attempts.set(most);
         AttemptInFlight {
             server,
             id: id.to_owned(),
@@ -343,21 +349,25 @@
             }
         }
         drop(in_flight);
-        self.server.record(Seen::Freed(self.id.clone()));
-        if let Some(on_freed) = &*self.server.on_freed.borrow() {
-            on_freed(&self.id);
+        self.server.record(Observation::SlotReleased {
+            id: self.id.clone(),
+        });
+        if let Some(on_slot_released) = &*self.server.on_slot_released.borrow() {
+            on_slot_released(&self.id);
         }
     }
 }
 
 /// Records the release of a slot when an endless stream is dropped.
 struct RecordReleaseOnDrop {
-    server: Rc<Worker>,
+    server: Rc<FakeServer>,
     id: String,
 }
 
 impl Drop for RecordReleaseOnDrop {
     fn drop(&mut self) {
-        self.server.record(Seen::Freed(self.id.clone()));
+        self.server.record(Observation::SlotReleased {
+            id: self.id.clone(),
+        });
     }
 }
--- a/crates/testkit/src/fake_server/streams.rs
+++ b/crates/testkit/src/fake_server/streams.rs
@@ -8,7 +8,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use crate::response::{event_stream, Reply};
+use crate::response::{event_stream, FakeResponse};
 
 /// The first event of a chat stream.
 pub const EVENT: &str = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"oqvh\"}}]}\n\n";
@@ -22,12 +22,15 @@
 const LARGE_EVENT_LENGTH: usize = 8_000;
 
 /// Streams events with a pause before each. An error closes the connection.
-pub(super) fn stream_events(pause: Duration, events: Vec<Result<Bytes, std::io::Error>>) -> Reply {
+pub(super) fn stream_events(
+    event_interval: Duration,
+    events: Vec<Result<Bytes, std::io::Error>>,
+) -> FakeResponse {
     let (sender, frames) = mpsc::channel(1);
     spawn_local(async move {
         for event in events {
-            if !pause.is_zero() {
-                sleep(pause).await;
+            if !event_interval.is_zero() {
+                sleep(event_interval).await;
             }
             if sender.send(event.map(Frame::data)).await.is_err() {
                 return;
@@ -38,7 +41,7 @@
 }
 
 /// Streams large events until the connection is closed, and drops `guard` then.
-pub(super) fn stream_endlessly<Guard: 'static>(guard: Guard) -> Reply {
+pub(super) fn stream_endlessly<Guard: 'static>(guard: Guard) -> FakeResponse {
     let (sender, frames) = mpsc::channel(1);
     spawn_local(async move {
         let _guard = guard;
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -14,14 +14,17 @@
 mod settings;
 
 pub use client::Client;
-pub use endpoint_entry::line_at;
-pub use fake_discovery::Discovery;
-pub use fake_server::{line, Behaviour, Seen, Spoils, Worker, DONE, EVENT, FINISH};
+pub use endpoint_entry::endpoint_entry_at;
+pub use fake_discovery::FakeDiscovery;
+pub use fake_server::{
+    endpoint_entry, Behaviour, FakeServer, MalformedAnswer, Observation, DONE, EVENT, FINISH,
+};
 pub use manual_server::{
-    chunk, End, ManualConnection, ManualSender, ManualServer, LAST_CHUNK, READ, STREAM_HEAD,
+    chunk, ConnectionEnd, ManualConnection, ManualSender, ManualServer, LAST_CHUNK,
+    PREFILL_RESPONSE, STREAM_HEAD,
 };
-pub use raw_client::Raw;
-pub use response::Reply;
-pub use runtime::{run, run_paused, HANG};
-pub use scripted_server::scripted;
+pub use raw_client::RawClient;
+pub use response::FakeResponse;
+pub use runtime::{run, run_paused, TEST_TIMEOUT};
+pub use scripted_server::{start_scripted_server, ScriptedServer};
 pub use settings::settings;
--- a/crates/testkit/src/manual_server.rs
+++ b/crates/testkit/src/manual_server.rs
@@ -8,7 +8,7 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::endpoint_entry::line_at;
+use crate::endpoint_entry::endpoint_entry_at;
 
 /// The end of the head of a message.
 const HEAD_END: &[u8] = b"\r\n\r\n";
@@ -18,7 +18,8 @@
 /// The end of a chunked body.
 pub const LAST_CHUNK: &str = "0\r\n\r\n";
 /// The answer of a prefill server that has processed the prompt.
-pub const READ: &str = "HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":0}";
+pub const PREFILL_RESPONSE: &str =
+    "HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":0}";
 
 /// A chunk of a chunked body.
 pub fn chunk(data: &str) -> String {
@@ -43,8 +44,8 @@
     }
 
     /// Its entry of the endpoint list, with its type and status as they are on the wire.
-    pub fn line(&self, server_type: &str, status: &str) -> Value {
-        line_at(self.address, server_type, status)
+    pub fn endpoint_entry(&self, server_type: &str, status: &str) -> Value {
+        endpoint_entry_at(self.address, server_type, status)
     }
 
     /// Accepts the next connection.
@@ -56,14 +57,14 @@
     /// Accepts the next connection and receives the first request on it.
     pub async fn accept_request(&self) -> (ManualConnection, String) {
         let mut connection = self.accept().await;
-        let request = connection.request().await;
+        let request = connection.receive_request().await;
         (connection, request)
     }
 }
 
 /// How the other side ended a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum ConnectionEnd {
     /// In order, after all that it had sent.
     Closed,
     /// By a reset.
@@ -110,7 +111,7 @@
     }
 
     /// Receives the next request, with its head and its body.
-    pub async fn request(&mut self) -> String {
+    pub async fn receive_request(&mut self) -> String {
         loop {
             if let Some(length) = message_length(&self.received) {
                 let request: Vec<u8> = self.received.drain(..length).collect();
@@ -132,7 +133,7 @@
     }
 
     /// Reads until `text` is received; returns all up to its end.
-    pub async fn until(&mut self, text: &str) -> String {
+    pub async fn read_until(&mut self, text: &str) -> String {
         let pattern = text.as_bytes();
         let mut searched = 0;
         loop {
@@ -166,12 +167,12 @@
     }
 
     /// Reads to the end; returns the rest, and how the connection ended.
-    pub async fn end(&mut self) -> (String, End) {
+    pub async fn read_to_end(&mut self) -> (String, ConnectionEnd) {
         loop {
             match self.reader.read_buf(&mut self.received).await {
-                Ok(0) => return (self.take_received(), End::Closed),
+                Ok(0) => return (self.take_received(), ConnectionEnd::Closed),
                 Ok(_) => {}
-                Err(_) => return (self.take_received(), End::Reset),
+                Err(_) => return (self.take_received(), ConnectionEnd::Reset),
             }
         }
     }
--- a/crates/testkit/src/raw_client.rs
+++ b/crates/testkit/src/raw_client.rs
@@ -6,12 +6,12 @@
 use tokio::net::TcpStream;
 
 /// A client that sends any bytes.
-pub struct Raw(TcpStream);
+pub struct RawClient(TcpStream);
 
-impl Raw {
+impl RawClient {
     /// Connects to a router.
-    pub async fn connect(address: SocketAddr) -> Raw {
-        Raw(TcpStream::connect(address).await.unwrap())
+    pub async fn connect(address: SocketAddr) -> RawClient {
+        RawClient(TcpStream::connect(address).await.unwrap())
     }
 
     /// Sends a text.
@@ -37,7 +37,7 @@
     }
 
     /// Returns all that is received until the router closes the connection.
-    pub async fn until_closed(&mut self) -> String {
+    pub async fn read_until_closed(&mut self) -> String {
         let mut received = Vec::new();
         // A close with something unread on the other side is an error here.
         let _ = self.0.read_to_end(&mut received).await;
--- a/crates/testkit/src/response.rs
+++ b/crates/testkit/src/response.rs
@@ -12,13 +12,13 @@
 use tokio::sync::mpsc;
 
 /// A response of a fake server.
-pub type Reply = Response<UnsyncBoxBody<Bytes, std::io::Error>>;
+pub type FakeResponse = Response<UnsyncBoxBody<Bytes, std::io::Error>>;
 
 /// A frame of a streamed body, or the error that ends its connection.
 pub(crate) type FrameResult = Result<Frame<Bytes>, std::io::Error>;
 
 /// A JSON response with a body of known length.
-pub(crate) fn complete(status: StatusCode, body: Bytes) -> Reply {
+pub(crate) fn complete(status: StatusCode, body: Bytes) -> FakeResponse {
     let body = Full::new(body)
         .map_err(|never: Infallible| match never {})
         .boxed_unsync();
@@ -30,7 +30,7 @@
 }
 
 /// A stream of events whose frames come through a channel. It ends when the sender is dropped.
-pub(crate) fn event_stream(frames: mpsc::Receiver<FrameResult>) -> Reply {
+pub(crate) fn event_stream(frames: mpsc::Receiver<FrameResult>) -> FakeResponse {
     Response::builder()
         .header("content-type", "text/event-stream")
         .body(ChannelBody(frames).boxed_unsync())
--- a/crates/testkit/src/runtime.rs
+++ b/crates/testkit/src/runtime.rs
@@ -6,7 +6,7 @@
 use tokio::task::LocalSet;
 
 /// No test waits longer than this for anything: a bound on hangs, not a measurement.
-pub const HANG: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Runs a test's future and the tasks that it spawns.
 pub fn run(test: impl Future<Output = ()>) {
@@ -15,7 +15,9 @@
         .build()
         .unwrap();
     LocalSet::new().block_on(&runtime, async {
-        tokio::time::timeout(HANG, test).await.expect("it hangs")
+        tokio::time::timeout(TEST_TIMEOUT, test)
+            .await
+            .expect("it hangs")
     });
 }
 
--- a/crates/testkit/src/scripted_server.rs
+++ b/crates/testkit/src/scripted_server.rs
@@ -10,13 +10,21 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use crate::endpoint_entry::line_at;
+use crate::endpoint_entry::endpoint_entry_at;
 
 /// How calls about decode slots are answered.
 const SLOT_RESPONSE: &str = "HTTP/1.1 204 No Content\r\n\r\n";
 /// The pause after each part of a response, so that each is received by itself.
 const PART_INTERVAL: Duration = Duration::from_millis(2);
 
+/// A server that answers every request with the same bytes.
+pub struct ScriptedServer {
+    /// Its entry of the endpoint list.
+    pub entry: Value,
+    /// How many requests it has received, without calls about decode slots.
+    pub request_count: Rc<Cell<usize>>,
+}
+
 /// What each connection of a scripted server needs.
 #[derive(Clone)]
 struct Script {
@@ -25,9 +33,8 @@
 }
 
 /// Starts a server that answers each request with the same parts, whatever their bytes are, and
-/// leaves the connection open. Calls about decode slots get a proper answer. Returns its entry of
-/// the endpoint list, and a count of its requests.
-pub async fn scripted(server_type: &str, parts: Vec<String>) -> (Value, Rc<Cell<usize>>) {
+/// leaves the connection open. Calls about decode slots get a proper answer.
+pub async fn start_scripted_server(server_type: &str, parts: Vec<String>) -> ScriptedServer {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let requests = Rc::new(Cell::new(0));
@@ -41,7 +48,10 @@
             spawn_local(script.clone().serve_connection(stream));
         }
     });
-    (line_at(address, server_type, "up"), requests)
+    ScriptedServer {
+        entry: endpoint_entry_at(address, server_type, "up"),
+        request_count: requests,
+    }
 }
 
 impl Script {
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use cranetack_testkit::{line, Behaviour, Discovery, Worker};
+use cranetack_testkit::{endpoint_entry, Behaviour, FakeDiscovery, FakeServer};
 
 /// Where the example configuration expects discovery.
 const DISCOVERY_ADDRESS: &str = "127.0.0.1:8500";
@@ -21,12 +21,12 @@
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let mut entries = Vec::new();
         for _ in 0..SERVERS {
-            let server = Worker::start(SLOTS_PER_SERVER, Behaviour::Answer).await;
-            server.takes.set(SERVICE_TIME);
+            let server = FakeServer::start(SLOTS_PER_SERVER, Behaviour::Answer).await;
+            server.service_time.set(SERVICE_TIME);
             println!("a server on {}", server.address);
-            entries.push(line(&server, "mixed", "up"));
+            entries.push(endpoint_entry(&server, "mixed", "up"));
         }
-        let discovery = Discovery::start_at(DISCOVERY_ADDRESS, entries).await;
+        let discovery = FakeDiscovery::start_at(DISCOVERY_ADDRESS, entries).await;
         println!(
             "discovery on {}; start the router with `make run`",
             discovery.address
