--- a/crates/bench/baseline.sh
+++ b/crates/bench/baseline.sh
@@ -3,11 +3,11 @@
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 commit=$(git rev-parse --short=12 "$1")
-at=target/baseline/$commit
-if [ ! -x "$at/target/release/cranetack" ]; then
-    mkdir -p "$at"
-    git archive "$commit" | tar -x -C "$at"
+folder=target/baseline/$commit
+if [ ! -x "$folder/target/release/cranetack" ]; then
+    mkdir -p "$folder"
+    git archive "$commit" | tar -x -C "$folder"
     echo "building $commit" >&2
-    (cd "$at" && cargo build --quiet --release --locked -p cranetack-router --target-dir target)
+    (cd "$folder" && cargo build --quiet --release --locked -p cranetack-router --target-dir target)
 fi
-echo "$at"
+echo "$folder"
--- a/crates/soak/src/oracle/request.rs
+++ b/crates/soak/src/oracle/request.rs
@@ -30,6 +30,13 @@
     DecodeSlot,
 }
 
+/// Something that a server keeps for a request.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Lease {
+    server: usize,
+    resource: LeasedResource,
+}
+
 /// How a request ended, as its client saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
@@ -72,8 +79,8 @@
     in_flight: BTreeMap<u64, Role>,
     /// How many decode attempts have arrived and were not rejected: each may have run.
     pub(super) possible_runs: usize,
-    /// The servers that keep something for it.
-    pub(super) leases: BTreeSet<(usize, LeasedResource)>,
+    /// What servers keep for it.
+    pub(super) leases: BTreeSet<Lease>,
     /// Since when there have been leases without an attempt in flight.
     pub(super) idle_lease_since: Option<Duration>,
     /// It is owed no answer any more: its router was killed, or the missing answer is reported.
@@ -128,12 +135,12 @@
     }
 
     pub(super) fn lease_acquired(&mut self, server: usize, resource: LeasedResource, at: Duration) {
-        self.leases.insert((server, resource));
+        self.leases.insert(Lease { server, resource });
         self.restart_idle_lease(at);
     }
 
     pub(super) fn lease_ended(&mut self, server: usize, resource: LeasedResource, at: Duration) {
-        self.leases.remove(&(server, resource));
+        self.leases.remove(&Lease { server, resource });
         self.restart_idle_lease(at);
     }
 
--- a/crates/syscall-fault-shim/src/lib.rs
+++ b/crates/syscall-fault-shim/src/lib.rs
@@ -13,7 +13,7 @@
 //! The one crate of the workspace with `unsafe` code: it replaces functions of the C library.
 
 mod faults;
-mod interposed;
+pub mod interposed;
 mod next_function;
 mod plan;
 mod random;
