--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/bounds.rs
@@ -1,22 +1,13 @@
-//! Checks of the settings' figures: one that cannot be meant is refused, naming its key, before anything is built on it.
+//! Bounds on the settings' figures: one that cannot be meant is refused, naming its key, before
+//! anything is built on it.
 
-use crate::{Allowed, ClassSettings, Domain, Rules, SiteSettings};
+use crate::error::OutOfRange;
+use crate::site::{Allowed, ClassSettings, Domain, Rules, SiteSettings};
 
-/// The longest span that a setting may name, in microseconds: a year. Sums with the clock stay far from overflow.
+/// The longest span that a setting may name, in microseconds: a year. Sums with the clock stay far
+/// from overflow.
 const LONGEST_US: f64 = 365.0 * 24.0 * 3_600.0 * 1e6;
 
-/// A setting that cannot be used.
-#[derive(Debug, Clone, PartialEq, thiserror::Error)]
-#[error("{key}: {figure} is out of range, {expected}")]
-pub struct OutOfRange {
-    /// The key, from the settings' root.
-    pub key: String,
-    /// What it holds.
-    pub figure: f64,
-    /// What it may hold.
-    pub expected: &'static str,
-}
-
 /// A bound on a figure.
 #[derive(Clone, Copy)]
 enum Bound {
@@ -67,7 +58,7 @@
 
 /// Checks all figures of the settings.
 pub(crate) fn check(site: &SiteSettings) -> Result<(), OutOfRange> {
-    Bound::PositiveSpan.check(|| "period_us".to_owned(), site.period_us)?;
+    Bound::PositiveSpan.check(|| "period_us".to_owned(), site.event_interval_us)?;
     for (index, class) in site.classes.iter().enumerate() {
         check_class(index, class)?;
     }
@@ -79,9 +70,9 @@
 fn check_class(index: usize, class: &ClassSettings) -> Result<(), OutOfRange> {
     let key = |name: &str| format!("classes[{index}].{name}");
     Bound::PositiveSpan.check(|| key("deadline_us"), class.deadline_us)?;
-    Bound::Span.check(|| key("goal_time_us"), class.goal_time_us)?;
+    Bound::Span.check(|| key("goal_time_us"), class.latency_objective_us)?;
     Bound::Span.check(|| key("dedup_window_us"), class.dedup_window_us)?;
-    Bound::NotNegative.check(|| key("points"), class.points)
+    Bound::NotNegative.check(|| key("points"), class.priority_weight)
 }
 
 fn check_allowed(allowed: &Allowed) -> Result<(), OutOfRange> {
@@ -93,15 +84,22 @@
 }
 
 fn check_domain(domain: &Domain) -> Result<(), OutOfRange> {
-    Bound::PositiveSpan.check(|| "domain.pin_limit_us".to_owned(), domain.pin_limit_us)?;
+    Bound::PositiveSpan.check(
+        || "domain.pin_limit_us".to_owned(),
+        domain.kv_lease_timeout_us,
+    )?;
     let lists = [
         (
             "aim_us_per_1000_prompt_tokens",
             Bound::Span,
-            &domain.aim_us_per_1000_prompt_tokens,
+            &domain.latency_objective_us_per_1000_tokens,
+        ),
+        (
+            "token_aim_us",
+            Bound::Span,
+            &domain.token_interval_objective_us,
         ),
-        ("token_aim_us", Bound::Span, &domain.token_aim_us),
-        ("kv_tokens", Bound::NotNegative, &domain.kv_tokens),
+        ("kv_tokens", Bound::NotNegative, &domain.memory_tokens),
     ];
     for (name, bound, figures) in lists {
         for (index, figure) in figures.iter().flatten().enumerate() {
@@ -113,10 +111,10 @@
 
 fn check_rules(rules: &Rules) -> Result<(), OutOfRange> {
     let key = |name: &str| format!("rules.{name}");
-    Bound::Span.check(|| key("answer_slack_us"), rules.answer_slack_us)?;
-    Bound::Span.check(|| key("ask_within_us"), rules.ask_within_us)?;
-    Bound::Positive.check(|| key("fall_multiple"), rules.fall_multiple)?;
-    Bound::Span.check(|| key("fall_us"), rules.fall_us)?;
-    Bound::Share.check(|| key("start_capacity"), rules.start_capacity)?;
+    Bound::Span.check(|| key("answer_slack_us"), rules.response_slack_us)?;
+    Bound::Span.check(|| key("ask_within_us"), rules.poll_interval_us)?;
+    Bound::Positive.check(|| key("fall_multiple"), rules.overload_multiple)?;
+    Bound::Span.check(|| key("fall_us"), rules.overload_window_us)?;
+    Bound::Share.check(|| key("start_capacity"), rules.cold_capacity)?;
     Bound::Span.check(|| key("warm_up_us"), rules.warm_up_us)
 }
--- /dev/null
+++ b/crates/settings/src/site.rs
@@ -0,0 +1,190 @@
+//! The settings object as it is written.
+
+use std::time::Duration;
+
+use serde::Deserialize;
+
+/// The settings of one router at a site.
+#[derive(Deserialize, Clone)]
+pub struct SiteSettings {
+    #[serde(rename = "balancers")]
+    pub(crate) router_count: Option<u32>,
+    #[serde(rename = "me")]
+    pub(crate) router_index: Option<u32>,
+    #[serde(rename = "az")]
+    pub(crate) zone: Option<String>,
+    #[serde(rename = "period_us")]
+    pub(crate) event_interval_us: Option<f64>,
+    pub(crate) membership_mode: Option<String>,
+    /// The request classes.
+    pub classes: Vec<ClassSettings>,
+    /// The names of the kinds of endpoint.
+    pub kinds: Vec<String>,
+    /// The names of the zones.
+    pub zones: Vec<String>,
+    /// The tenants; a site may have none.
+    #[serde(default)]
+    pub tenants: Vec<Named>,
+    /// What the site permits.
+    #[serde(default)]
+    pub allowed: Allowed,
+    #[serde(default)]
+    pub(crate) domain: Domain,
+    #[serde(default)]
+    pub(crate) rules: Rules,
+    /// The load reports.
+    #[serde(default)]
+    pub report: Report,
+}
+
+/// Something of which only the name is used here.
+#[derive(Deserialize, Clone)]
+pub struct Named {
+    /// Its name.
+    pub name: String,
+}
+
+/// A request class.
+#[derive(Deserialize, Clone)]
+pub struct ClassSettings {
+    /// Its name.
+    pub name: String,
+    pub(crate) deadline_us: Option<f64>,
+    #[serde(rename = "goal_time_us")]
+    pub(crate) latency_objective_us: Option<f64>,
+    pub(crate) idempotency: Option<String>,
+    pub(crate) key_scope: Option<String>,
+    pub(crate) dedup_window_us: Option<f64>,
+    #[serde(rename = "points")]
+    pub(crate) priority_weight: Option<f64>,
+}
+
+/// What the site permits, and its limits on connections.
+#[derive(Deserialize, Default, Clone)]
+pub struct Allowed {
+    #[serde(default, rename = "cancelling")]
+    pub(crate) cancellation: bool,
+    #[serde(default, rename = "probing")]
+    pub(crate) health_checks: bool,
+    #[serde(default, rename = "peers")]
+    pub(crate) gossip: bool,
+    #[serde(default, rename = "parallel_tries")]
+    pub(crate) hedging: bool,
+    #[serde(default)]
+    pub(crate) retry_after: bool,
+    pub(crate) max_attempts: Option<u32>,
+    pub(crate) max_retry_after_us: Option<f64>,
+    pub(crate) connect_timeout_us: Option<f64>,
+    pub(crate) idle_close_us: Option<f64>,
+}
+
+/// What is particular to language-model services. Lists have an element for each class or kind.
+#[derive(Deserialize, Default, Clone)]
+pub(crate) struct Domain {
+    #[serde(default, rename = "ahead")]
+    pub(crate) slot_reservations: bool,
+    #[serde(default, rename = "self_prefill")]
+    pub(crate) decode_can_prefill: bool,
+    #[serde(default, rename = "resume")]
+    pub(crate) resumable_streams: bool,
+    #[serde(rename = "pin_limit_us")]
+    pub(crate) kv_lease_timeout_us: Option<f64>,
+    #[serde(rename = "aim_us_per_1000_prompt_tokens")]
+    pub(crate) latency_objective_us_per_1000_tokens: Option<Vec<f64>>,
+    #[serde(rename = "token_aim_us")]
+    pub(crate) token_interval_objective_us: Option<Vec<f64>>,
+    #[serde(rename = "kv_tokens")]
+    pub(crate) memory_tokens: Option<Vec<f64>>,
+    #[serde(rename = "stage_of_kind")]
+    pub(crate) role_of_kind: Option<Vec<String>>,
+    /// What the load reports' column `x0` means.
+    #[serde(rename = "report_x0")]
+    pub(crate) meaning_of_x0: Option<String>,
+    /// What the load reports' column `x1` means.
+    #[serde(rename = "report_x1")]
+    pub(crate) meaning_of_x1: Option<String>,
+}
+
+/// The rules that bind routers.
+#[derive(Deserialize, Default, Clone)]
+pub(crate) struct Rules {
+    #[serde(rename = "answer_slack_us")]
+    pub(crate) response_slack_us: Option<f64>,
+    #[serde(rename = "ask_within_us")]
+    pub(crate) poll_interval_us: Option<f64>,
+    #[serde(rename = "fall_multiple")]
+    pub(crate) overload_multiple: Option<f64>,
+    #[serde(rename = "fall_us")]
+    pub(crate) overload_window_us: Option<f64>,
+    #[serde(rename = "start_capacity")]
+    pub(crate) cold_capacity: Option<f64>,
+    pub(crate) warm_up_us: Option<f64>,
+}
+
+/// How endpoints report their load.
+#[derive(Deserialize, Default, Clone)]
+pub struct Report {
+    /// `piggyback`, `pull` or `silent`.
+    pub how: Option<String>,
+    /// The column that contains the share of memory in use.
+    #[serde(skip)]
+    pub memory_column: Option<String>,
+    /// The column that contains the thousands of prompt tokens that wait.
+    #[serde(skip)]
+    pub pending_column: Option<String>,
+}
+
+impl ClassSettings {
+    /// How long its client waits, over all attempts.
+    pub fn deadline(&self) -> Option<Duration> {
+        duration(self.deadline_us)
+    }
+}
+
+impl Allowed {
+    /// How long a connection may take to come up.
+    pub fn connect_timeout(&self) -> Option<Duration> {
+        duration(self.connect_timeout_us)
+    }
+
+    /// After how long an endpoint closes an idle connection.
+    pub fn idle_close(&self) -> Option<Duration> {
+        duration(self.idle_close_us)
+    }
+}
+
+impl SiteSettings {
+    /// Notes which columns of load reports contain memory and waiting tokens, by the meaning that
+    /// the settings give.
+    pub fn name_columns(&mut self) {
+        self.report.memory_column = self.column_that_means("memory");
+        self.report.pending_column = self.column_that_means("tokens waiting");
+    }
+
+    fn column_that_means(&self, words: &str) -> Option<String> {
+        let columns = [
+            ("x0", &self.domain.meaning_of_x0),
+            ("x1", &self.domain.meaning_of_x1),
+        ];
+        for (column, meaning) in columns {
+            if meaning
+                .as_ref()
+                .is_some_and(|meaning| meaning.contains(words))
+            {
+                return Some(column.to_owned());
+            }
+        }
+        None
+    }
+}
+
+/// Whole microseconds of a figure; `None` if it is no number.
+pub(crate) fn micros(figure: Option<f64>) -> Option<i64> {
+    let figure = figure.filter(|figure| figure.is_finite())?;
+    Some(figure as i64)
+}
+
+fn duration(figure: Option<f64>) -> Option<Duration> {
+    let micros = u64::try_from(micros(figure)?).ok()?;
+    Some(Duration::from_micros(micros))
+}
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -19,11 +19,11 @@
 /// What the settings are refused with, if they are.
 fn refused(settings: Value) -> Option<String> {
     let site: SiteSettings = serde_json::from_value(settings).unwrap();
-    site.policy_settings().err()
+    site.policy_settings().err().map(|error| error.to_string())
 }
 
 #[test]
-fn each_figure_that_cannot_be_meant_is_refused_naming_its_key() {
+fn each_figure_out_of_range_is_refused_naming_its_key() {
     assert_eq!(refused(settings()), None);
     let figures = [
         ("/period_us", "period_us", vec![0.0, -1.0, 1e30]),
