--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,12 +1,23 @@
-//! Reads batches of events from standard input, one JSON value a line, and answers each with one line of actions.
-//! No decision is made here: wire values become the types of `cranetack` and back.
+//! The policy on the line-based JSON wire of a simulator.
+//!
+//! Reads batches of events from standard input, one JSON value a line, and answers each with one
+//! line of actions. No decision is made here: wire values become the policy's types and back.
 
-mod wire;
+mod decode;
+mod encode;
+mod error;
+mod fields;
+mod instance;
+mod names;
+mod process;
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
+use process::Process;
+
 fn main() -> ExitCode {
+    // A panic of the policy is reported on the wire.
     std::panic::set_hook(Box::new(|_| {}));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
@@ -18,17 +29,18 @@
 }
 
 fn run() -> Result<(), String> {
-    let mut process = wire::Process::default();
+    let mut process = Process::default();
     let mut output = io::stdout().lock();
     for (index, line) in io::stdin().lock().split(b'\n').enumerate() {
-        let line = line.map_err(|e| format!("line {}: cannot be read: {e}", index + 1))?;
+        let number = index + 1;
+        let line = line.map_err(|error| format!("line {number}: cannot be read: {error}"))?;
         let reply = process
             .batch(&line)
-            .map_err(|e| format!("line {}: {e}", index + 1))?;
-        let sent = output
+            .map_err(|error| format!("line {number}: {error}"))?;
+        output
             .write_all(reply.as_bytes())
-            .and_then(|()| output.flush());
-        sent.map_err(|e| format!("the reply cannot be written: {e}"))?;
+            .and_then(|()| output.flush())
+            .map_err(|error| format!("the reply cannot be written: {error}"))?;
     }
     Ok(())
 }
