--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -193,11 +193,9 @@
                     self.outbound.health_check(endpoint.clone());
                 }
             }
-            Action::CloseIdle(endpoint) => self.outbound.close_idle(endpoint),
             Action::Gossip { to, payload } => self.outbound.gossip(to, payload),
             // The endpoint list is watched from the start to the end.
-            Action::SubscribeEndpoints(_) | Action::FetchEndpoints => {}
-            Action::Log(line) => tracing::info!("{line}"),
+            Action::SubscribeEndpoints(_) => {}
         }
     }
 
--- a/crates/routing-policy/src/actions.rs
+++ b/crates/routing-policy/src/actions.rs
@@ -54,8 +54,6 @@
     },
     /// Send a health check to an endpoint.
     HealthCheck(EndpointId),
-    /// Close the idle connections to an endpoint.
-    CloseIdle(EndpointId),
     /// Send gossip to one other router, or to all.
     Gossip {
         /// The other router, or all of them.
@@ -65,10 +63,6 @@
     },
     /// Subscribe to changes of the endpoint list from now on (or no longer).
     SubscribeEndpoints(bool),
-    /// Fetch the whole endpoint list once.
-    FetchEndpoints,
-    /// Write a line to the log.
-    Log(String),
 }
 
 /// The policy's view of an endpoint at one point in time.
--- a/crates/routing-policy/tests/decision_trace.rs
+++ b/crates/routing-policy/tests/decision_trace.rs
@@ -289,11 +289,8 @@
             Action::Migrate(id) => format!("migrate request={}", id.0),
             Action::SetTimer { at, key } => format!("timer at={} key={}", at - START, key.encode()),
             Action::HealthCheck(endpoint) => format!("probe server={}", endpoint.0),
-            Action::CloseIdle(endpoint) => format!("close_idle server={}", endpoint.0),
             Action::Gossip { to, payload } => format!("gossip to={to:?} bytes={payload:?}"),
             Action::SubscribeEndpoints(wanted) => format!("subscribe wanted={wanted}"),
-            Action::FetchEndpoints => "fetch".to_owned(),
-            Action::Log(line) => format!("log {line}"),
         };
         self.note(line);
     }
@@ -338,10 +335,7 @@
             Action::Reject { .. }
             | Action::Fail(_)
             | Action::ReleaseState(_)
-            | Action::CloseIdle(_)
-            | Action::Gossip { .. }
-            | Action::FetchEndpoints
-            | Action::Log(_) => {}
+            | Action::Gossip { .. } => {}
         }
     }
 
--- a/crates/routing-policy/tests/guards.rs
+++ b/crates/routing-policy/tests/guards.rs
@@ -413,10 +413,7 @@
                 | Action::HealthCheck(_)
                 | Action::CancelAttempt { .. }
                 | Action::Gossip { .. }
-        ) || matches!(
-            a,
-            Action::Migrate(_) | Action::SubscribeEndpoints(_) | Action::FetchEndpoints
-        )
+        ) || matches!(a, Action::Migrate(_) | Action::SubscribeEndpoints(_))
     };
     assert!(!all.iter().any(sent), "{all:?}");
 }
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -45,9 +45,6 @@
                 json!(["publish", to.map_or(TO_ALL, i64::from), hex])
             }
             Action::SubscribeEndpoints(wanted) => json!(["stream_changes", wanted]),
-            Action::CloseIdle(endpoint) => json!(["free_links", self.endpoint_name(*endpoint)]),
-            Action::FetchEndpoints => json!(["fetch"]),
-            Action::Log(line) => json!(["print", line]),
         }
     }
 
