--- /dev/null
+++ b/crates/routing-policy/tests/attempts.rs
@@ -0,0 +1,295 @@
+//! The attempts of a request, and what is released after them; odd events.
+
+mod common;
+
+use common::*;
+use cranetack_routing_policy::*;
+
+const PREFILL: u64 = 1;
+const DECODE: u64 = 2;
+fn pair() -> Vec<EndpointSpec> {
+    vec![endpoint_spec(PREFILL, 0, 0), endpoint_spec(DECODE, 1, 0)]
+}
+
+#[test]
+fn few_health_checks_are_sent_where_few_requests_arrive() {
+    let health_checks = Settings {
+        health_checks: true,
+        load_reporting: LoadReporting::OnHealthCheck,
+        ..settings(Idempotency::Idempotent)
+    };
+    let (mut driver, _) = Driver::new(
+        health_checks,
+        (0..40).map(|h| endpoint_spec(h, 1, 0)).collect(),
+    );
+    let mut touches = 0;
+    for id in 0..20 {
+        driver.arrive(request_spec(id, driver.now));
+        touches += driver
+            .pass(SECOND)
+            .iter()
+            .filter(|(_, a)| matches!(a, Action::HealthCheck(_)))
+            .count();
+    }
+    assert!(
+        (1..=40).contains(&touches),
+        "{touches} health checks for 20 requests"
+    );
+}
+
+#[test]
+fn a_non_idempotent_request_that_may_have_been_executed_fails_without_a_retry() {
+    let (mut driver, _) = Driver::new(settings(Idempotency::NonIdempotent), pair());
+    driver.arrive(request_spec(1, START));
+    driver.on(result(1, 0, PREFILL, PREFILLED));
+    let actions = driver.on(result(1, 1, DECODE, CONNECTION_RESET));
+    assert_eq!(routes(&actions), vec![]);
+    assert!(actions.contains(&Action::Fail(RequestId(1))), "{actions:?}");
+    assert!(
+        actions.contains(&Action::ReleaseState(RequestId(1))),
+        "{actions:?}"
+    );
+}
+
+#[test]
+fn a_non_idempotent_request_that_was_not_executed_is_retried_elsewhere() {
+    let (mut driver, _) = Driver::new(
+        settings(Idempotency::NonIdempotent),
+        [pair(), vec![endpoint_spec(3, 1, 0)]].concat(),
+    );
+    driver.arrive(request_spec(1, START));
+    let first = routes(&driver.on(result(1, 0, PREFILL, PREFILLED)))[0].1;
+    let actions = driver.on(result(1, 1, first, UNREACHABLE));
+    assert_eq!(routes(&actions), vec![(1, DECODE + 3 - first)]);
+}
+
+#[test]
+fn a_keyed_request_is_retried_in_the_cell_where_it_may_have_been_executed() {
+    let specs = vec![
+        endpoint_spec(PREFILL, 0, 0),
+        endpoint_spec(DECODE, 1, 0),
+        endpoint_spec(3, 1, 1),
+    ];
+    let (mut driver, _) = Driver::new(settings(Idempotency::Keyed(KeyScope::Cell)), specs);
+    driver.arrive(request_spec(1, START));
+    driver.on(result(1, 0, PREFILL, PREFILLED));
+    let actions = driver.on(result(1, 1, DECODE, CONNECTION_RESET));
+    assert!(
+        routes(&actions)
+            .iter()
+            .all(|(_, endpoint)| *endpoint == DECODE),
+        "{actions:?}"
+    );
+}
+
+#[test]
+fn no_more_attempts_than_the_settings_allow() {
+    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), pair());
+    let mut all = driver.arrive(RequestSpec {
+        deadline: START + 90 * SECOND,
+        ..request_spec(1, START)
+    });
+    for attempt in 0..4 {
+        all.extend(driver.on(result(1, attempt, PREFILL, Outcome::ServerError)));
+        all.extend(driver.pass(10 * SECOND).into_iter().map(|(_, a)| a));
+    }
+    assert_eq!(
+        routes(&all).len(),
+        3,
+        "a fourth read would leave none for the answer"
+    );
+    assert!(all.contains(&Action::Reject {
+        id: RequestId(1),
+        retry_after: 0
+    }));
+}
+
+#[test]
+fn kv_state_that_no_endpoint_fetches_is_released_within_its_lease() {
+    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), pair());
+    driver.arrive(request_spec(1, START));
+    let specs = vec![EndpointSpec {
+        state: EndpointState::Draining,
+        ..endpoint_spec(DECODE, 1, 0)
+    }];
+    driver.on(Event::EndpointsUpdated(EndpointUpdate::Delta(specs)));
+    assert_eq!(routes(&driver.on(result(1, 0, PREFILL, PREFILLED))), vec![]);
+    let freed = driver.pass(SECOND / 2 - 1);
+    assert!(
+        freed
+            .iter()
+            .any(|(_, a)| *a == Action::ReleaseState(RequestId(1))),
+        "{freed:?}"
+    );
+}
+
+#[test]
+fn a_timed_out_attempt_at_a_decode_endpoint_that_prefills_leaves_nothing_held() {
+    let settings = Settings {
+        decode_can_prefill: true,
+        ..settings(Idempotency::Idempotent)
+    };
+    let (mut driver, _) = Driver::new(settings, vec![endpoint_spec(DECODE, 1, 0)]);
+    assert_eq!(
+        routes(&driver.arrive(request_spec(1, START))),
+        vec![(1, DECODE)]
+    );
+    let actions = driver.on(result(1, 0, DECODE, Outcome::TimedOut));
+    assert!(
+        actions.contains(&Action::ReleaseState(RequestId(1))),
+        "{actions:?}"
+    );
+}
+
+#[test]
+fn kv_state_of_a_disconnected_client_is_released() {
+    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), pair());
+    driver.arrive(request_spec(1, START));
+    driver.on(Event::ClientDisconnected(RequestId(1)));
+    let actions = driver.on(result(1, 0, PREFILL, PREFILLED));
+    assert_eq!(routes(&actions), vec![]);
+    assert!(
+        actions.contains(&Action::ReleaseState(RequestId(1))),
+        "{actions:?}"
+    );
+}
+
+#[test]
+fn a_request_without_endpoints_is_answered_by_its_deadline() {
+    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), vec![]);
+    driver.arrive(request_spec(1, START));
+    let answers = driver.pass(5 * SECOND);
+    let shed: Vec<_> = answers
+        .iter()
+        .filter(|(_, a)| matches!(a, Action::Reject { .. }))
+        .collect();
+    assert_eq!(shed.len(), 1);
+    assert!(shed[0].0 <= START + 4 * SECOND + 8_000);
+}
+
+#[test]
+fn kv_state_that_is_gone_is_prefilled_anew() {
+    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), pair());
+    driver.arrive(request_spec(1, START));
+    driver.on(result(1, 0, PREFILL, PREFILLED));
+    let actions = driver.on(result(1, 1, DECODE, NO_KV_STATE));
+    assert_eq!(routes(&actions), vec![(1, PREFILL)]);
+}
+
+#[test]
+fn what_the_settings_forbid_is_never_sent() {
+    let forbidden = Settings {
+        slot_reservations: false,
+        cancellation: false,
+        ..settings(Idempotency::Idempotent)
+    };
+    let (mut driver, first) = Driver::new(forbidden, pair());
+    let mut all = first;
+    all.extend(driver.arrive(request_spec(1, START)));
+    all.extend(driver.pass(3 * SECOND).into_iter().map(|(_, a)| a));
+    assert!(!routes(&all).is_empty());
+    let sent = |a: &Action| {
+        matches!(
+            a,
+            Action::ReserveSlot { .. }
+                | Action::HealthCheck(_)
+                | Action::CancelAttempt { .. }
+                | Action::Gossip { .. }
+        ) || matches!(a, Action::Migrate(_) | Action::SubscribeEndpoints(_))
+    };
+    assert!(!all.iter().any(sent), "{all:?}");
+}
+
+#[test]
+fn events_for_unknown_requests_and_endpoints_are_ignored() {
+    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), pair());
+    driver.arrive(request_spec(1, START));
+    driver.arrive(request_spec(1, START));
+    for outcome in [Outcome::Completed, PREFILLED, Outcome::TimedOut] {
+        assert_eq!(
+            routes(&driver.on(result(9, 0, PREFILL, outcome))),
+            vec![],
+            "unknown request"
+        );
+        assert_eq!(
+            routes(&driver.on(result(1, 5, PREFILL, outcome))),
+            vec![],
+            "unknown attempt"
+        );
+    }
+    let load = LoadReport {
+        memory_utilization: Some(f64::NAN),
+        slot_utilization: Some(-4.0),
+        queued: Some(1e30),
+        ..LoadReport::default()
+    };
+    for endpoint in [DECODE, 77] {
+        driver.on(Event::HealthChecked {
+            endpoint: EndpointId(endpoint),
+            outcome: Outcome::Completed,
+            elapsed: -1,
+            load: Some(load),
+        });
+    }
+    driver.on(Event::GossipReceived {
+        from: 99,
+        payload: vec![0xff; 300],
+    });
+    driver.on(Event::TimerFired(TimerKey::Request(RequestId(u32::MAX))));
+    driver.on(Event::SlotReservationAnswered {
+        id: RequestId(4),
+        endpoint: EndpointId(77),
+        granted: false,
+    });
+    assert_eq!(
+        routes(&driver.on(result(1, 0, PREFILL, PREFILLED))),
+        vec![(1, DECODE)]
+    );
+    assert_eq!(
+        routes(&driver.on(result(1, 0, PREFILL, PREFILLED))),
+        vec![],
+        "ended twice"
+    );
+}
+
+#[test]
+fn malformed_load_reports_and_those_of_unlisted_endpoints_change_nothing() {
+    let specs = vec![
+        endpoint_spec(PREFILL, 0, 0),
+        endpoint_spec(DECODE, 1, 0),
+        endpoint_spec(3, 0, 1),
+        endpoint_spec(4, 1, 1),
+    ];
+    let lane = |reports: &[(u64, f64)]| {
+        let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), specs.clone());
+        for (endpoint, figure) in reports {
+            let load = Some(LoadReport {
+                memory_utilization: Some(*figure),
+                slot_utilization: Some(*figure),
+                pending_kilotokens: Some(*figure),
+                ..LoadReport::default()
+            });
+            driver.on(Event::HealthChecked {
+                endpoint: EndpointId(*endpoint),
+                outcome: Outcome::Completed,
+                elapsed: 1_000,
+                load,
+            });
+        }
+        routes(&driver.arrive(request_spec(1, START)))
+    };
+    let unheard = lane(&[]);
+    assert_eq!(unheard.len(), 1);
+    let odd = [f64::NAN, f64::INFINITY, f64::NEG_INFINITY];
+    for figure in odd {
+        let all: Vec<(u64, f64)> = [PREFILL, DECODE, 3, 4]
+            .map(|endpoint| (endpoint, figure))
+            .to_vec();
+        assert_eq!(lane(&all), unheard, "{figure}");
+    }
+    assert_eq!(
+        lane(&[(99, 0.5)]),
+        unheard,
+        "a server that no list has named"
+    );
+}
--- a/crates/routing-policy/tests/common/fleet.rs
+++ b/crates/routing-policy/tests/common/fleet.rs
@@ -1,7 +1,7 @@
-//! Many routers' modules in front of the same simulated servers.
+//! Many routers' policies in front of the same simulated endpoints.
 //!
-//! A reader reads one prompt at a time, at its rate; a writer streams each answer for the same span. What is sent is
-//! counted, so that a test can sum it over all routers.
+//! A prefill endpoint reads one prompt at a time, at its rate; a decode endpoint streams each
+//! answer for the same span. What is sent is counted, so that a test can sum it over all routers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,9 @@
 use rand_core::RngCore;
 use rand_pcg::Pcg32;
 
-use super::{ask, member, result, routes, settings, Front, PREFILLED, SECOND, START};
+use super::{
+    endpoint_spec, request_spec, result, routes, settings, Driver, PREFILLED, SECOND, START,
+};
 
 /// The step of the simulation.
 pub const STEP: Micros = SECOND / 20;
@@ -22,7 +24,7 @@
     /// Requests a second, over all routers.
     pub rate: f64,
     /// How many times the mean the first router gets.
-    pub hot_router: f64,
+    pub load_of_first_router: f64,
     /// The greatest prompt, in tokens; the least is a twentieth of it.
     pub longest_prompt: u64,
 }
@@ -44,11 +46,11 @@
 pub struct Fleet {
     pub now: Micros,
     pub records: Vec<Record>,
-    /// When each server was sent something.
+    /// When each endpoint was sent something.
     pub sent: BTreeMap<u64, Vec<Micros>>,
-    /// Tokens that a reader reads in a second.
+    /// Tokens that a prefill endpoint reads in a second.
     pub read_rate: f64,
-    routers: Vec<Front>,
+    routers: Vec<Driver>,
     rng: Pcg32,
     due: BTreeMap<(Micros, usize), Due>,
     sequence: usize,
@@ -58,13 +60,15 @@
 }
 
 impl Fleet {
-    /// So many routers, which know these servers. Every other one has just started; the rest are a minute old.
+    /// So many routers, which know these endpoints. Every other one has just started; the rest are
+    /// a minute old.
     pub fn new(routers: usize, servers: &[EndpointSpec], seed: u64) -> Fleet {
         let settings = Settings {
             router_count: Some(routers as u32),
             ..settings(Idempotency::Idempotent)
         };
-        let start = |n: usize| Front::seeded(settings.clone(), servers.to_vec(), seed + n as u64).0;
+        let start =
+            |n: usize| Driver::seeded(settings.clone(), servers.to_vec(), seed + n as u64).0;
         let mut fleet = Fleet {
             now: START,
             records: Vec::new(),
@@ -85,7 +89,7 @@
         fleet
     }
 
-    /// All routers are told of a server.
+    /// All routers are told of an endpoint.
     pub fn list(&mut self, server: EndpointSpec) {
         for number in 0..self.routers.len() {
             let event = Event::EndpointsUpdated(EndpointUpdate::Delta(vec![server]));
@@ -115,7 +119,9 @@
         while self.arrivals >= 1.0 {
             self.arrivals -= 1.0;
             let others = (self.routers.len() - 1) as f64;
-            let router = if self.uniform() * (load.hot_router + others) < load.hot_router {
+            let router = if self.uniform() * (load.load_of_first_router + others)
+                < load.load_of_first_router
+            {
                 0
             } else {
                 1 + (self.uniform() * others) as usize
@@ -135,7 +141,7 @@
             let request = RequestSpec {
                 prompt_tokens,
                 session,
-                ..ask(id, self.now)
+                ..request_spec(id, self.now)
             };
             self.tell(
                 router.min(self.routers.len() - 1),
@@ -176,14 +182,14 @@
             *free_at = (*free_at).max(self.now) + span as Micros;
             let at = *free_at;
             // Clients wait for four seconds.
-            let patience = self.now + 4 * SECOND;
-            let outcome = if at < patience {
+            let client_timeout = self.now + 4 * SECOND;
+            let outcome = if at < client_timeout {
                 PREFILLED
             } else {
                 Outcome::TimedOut
             };
             self.schedule(
-                at.min(patience),
+                at.min(client_timeout),
                 Due::Ended(router, result(id, attempt, server, outcome)),
             );
         } else {
@@ -231,9 +237,9 @@
     }
 }
 
-/// A reader (of even number) or a writer (of odd number) that is warm.
+/// A prefill endpoint (of even number) or a decode endpoint (of odd number) that is warm.
 pub fn warm(server: u64) -> EndpointSpec {
-    member(server, (server % 2) as usize, 0)
+    endpoint_spec(server, (server % 2) as usize, 0)
 }
 
 /// One that has just started.
@@ -255,8 +261,8 @@
     instants.iter().map(within).max().unwrap_or(0)
 }
 
-/// Sessions of which each request was refused.
-pub fn shut_out(records: &[Record]) -> usize {
+/// Sessions of which each request was rejected.
+pub fn sessions_always_rejected(records: &[Record]) -> usize {
     let refused: BTreeSet<u64> = records
         .iter()
         .filter(|r| r.refused)
--- a/crates/routing-policy/tests/common/mod.rs
+++ b/crates/routing-policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small stand-in for a dispatcher: builds settings, lists and requests, and collects actions.
+//! A small test driver for a router: builds settings, lists and requests, and collects actions.
 #![allow(dead_code)]
 
 pub mod fleet;
@@ -25,14 +25,14 @@
     }
 }
 
-pub fn settings(effect: Idempotency) -> Settings {
+pub fn settings(idempotency: Idempotency) -> Settings {
     Settings {
         router_count: Some(3),
         classes: vec![Class {
             latency_objective: Some(SECOND),
             latency_objective_per_1000_tokens: Some(40_000.0),
             token_interval_objective: Some(70_000),
-            idempotency: effect,
+            idempotency,
             dedup_window: Some(3 * SECOND),
             priority_weight: Some(1.0),
         }],
@@ -56,7 +56,7 @@
     }
 }
 
-pub fn member(endpoint: u64, kind: usize, cell: i64) -> EndpointSpec {
+pub fn endpoint_spec(endpoint: u64, kind: usize, cell: i64) -> EndpointSpec {
     EndpointSpec {
         id: EndpointId(endpoint),
         started_at: None,
@@ -68,7 +68,7 @@
     }
 }
 
-pub fn ask(id: u32, now: Micros) -> RequestSpec {
+pub fn request_spec(id: u32, now: Micros) -> RequestSpec {
     RequestSpec {
         id: RequestId(id),
         deadline: now + 4 * SECOND,
@@ -90,29 +90,29 @@
     }
 }
 
-pub struct Front {
+pub struct Driver {
     pub policy: Policy,
     pub now: Micros,
     timers: Vec<(Micros, TimerKey)>,
 }
 
-impl Front {
-    pub fn new(settings: Settings, members: Vec<EndpointSpec>) -> (Front, Vec<Action>) {
-        Front::seeded(settings, members, 7)
+impl Driver {
+    pub fn new(settings: Settings, specs: Vec<EndpointSpec>) -> (Driver, Vec<Action>) {
+        Driver::seeded(settings, specs, 7)
     }
 
     pub fn seeded(
         settings: Settings,
-        members: Vec<EndpointSpec>,
+        specs: Vec<EndpointSpec>,
         seed: u64,
-    ) -> (Front, Vec<Action>) {
-        let mut front = Front {
+    ) -> (Driver, Vec<Action>) {
+        let mut driver = Driver {
             policy: Policy::new(settings, seed, START),
             now: START,
             timers: Vec::new(),
         };
-        let actions = front.on(Event::EndpointsUpdated(EndpointUpdate::Restored(members)));
-        (front, actions)
+        let actions = driver.on(Event::EndpointsUpdated(EndpointUpdate::Restored(specs)));
+        (driver, actions)
     }
 
     pub fn on(&mut self, event: Event) -> Vec<Action> {
@@ -125,8 +125,8 @@
         out
     }
 
-    pub fn ask(&mut self, ask: RequestSpec) -> Vec<Action> {
-        self.on(Event::RequestArrived(ask))
+    pub fn arrive(&mut self, spec: RequestSpec) -> Vec<Action> {
+        self.on(Event::RequestArrived(spec))
     }
 
     /// Lets time pass, delivering timers as they fall due.
--- /dev/null
+++ b/crates/routing-policy/tests/concurrency.rs
@@ -0,0 +1,144 @@
+//! Concurrency limits, and attempts that are lost.
+
+mod common;
+
+use common::*;
+use cranetack_routing_policy::*;
+
+const PREFILL: u64 = 1;
+const DECODE: u64 = 2;
+fn pair() -> Vec<EndpointSpec> {
+    vec![endpoint_spec(PREFILL, 0, 0), endpoint_spec(DECODE, 1, 0)]
+}
+
+#[test]
+fn overdue_prefills_lower_the_concurrency_limit() {
+    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), pair());
+    let sent = |driver: &mut Driver, ids: std::ops::Range<u32>| -> usize {
+        let now = driver.now;
+        ids.map(|id| routes(&driver.arrive(request_spec(id, now))).len())
+            .sum()
+    };
+    assert_eq!(sent(&mut driver, 0..6), 6);
+    driver.pass(SECOND);
+    assert_eq!(
+        sent(&mut driver, 6..12),
+        0,
+        "the endpoint responds too late"
+    );
+}
+
+#[test]
+fn overdue_requests_lower_the_concurrency_limit_of_a_mixed_endpoint() {
+    let (mut driver, _) = Driver::new(
+        settings(Idempotency::Idempotent),
+        vec![endpoint_spec(5, 2, 0)],
+    );
+    let sent = |driver: &mut Driver, ids: std::ops::Range<u32>| -> usize {
+        let now = driver.now;
+        ids.map(|id| routes(&driver.arrive(request_spec(id, now))).len())
+            .sum()
+    };
+    assert_eq!(sent(&mut driver, 0..5), 5);
+    driver.pass(SECOND);
+    for id in 0..5 {
+        driver.on(Event::StreamStarted {
+            id: RequestId(id),
+            attempt: 0,
+            endpoint: EndpointId(5),
+            elapsed: SECOND,
+        });
+    }
+    assert_eq!(
+        sent(&mut driver, 5..9),
+        0,
+        "its five streams are more than it began in good time"
+    );
+}
+
+/// Those cancelled, in order.
+fn cancellations(actions: impl IntoIterator<Item = (Micros, Action)>) -> Vec<u32> {
+    let abort = |(_, action): (Micros, Action)| match action {
+        Action::CancelAttempt { id, .. } => Some(id.0),
+        _ => None,
+    };
+    actions.into_iter().filter_map(abort).collect()
+}
+
+/// A connection can fall silent with no error: its endpoint has responded to what was sent well
+/// after the prefill, so this is cancelled and retried. One that nothing has overtaken may just be
+/// slow.
+#[test]
+fn a_prefill_that_later_ones_have_overtaken_is_cancelled() {
+    for passed in [true, false] {
+        let (mut driver, _) = Driver::new(settings(Idempotency::NonIdempotent), pair());
+        assert_eq!(
+            routes(&driver.arrive(request_spec(1, START))),
+            [(1, PREFILL)]
+        );
+        driver.pass(SECOND / 2);
+        driver.arrive(request_spec(2, driver.now));
+        if passed {
+            driver.on(result(2, 0, PREFILL, PREFILLED));
+            driver.on(Event::StreamStarted {
+                id: RequestId(2),
+                attempt: 1,
+                endpoint: EndpointId(DECODE),
+                elapsed: 1,
+            });
+        }
+        assert_eq!(
+            cancellations(driver.pass(2 * SECOND)),
+            if passed { vec![1] } else { vec![] }
+        );
+        let again = routes(&driver.on(result(1, 0, PREFILL, Outcome::Cancelled)));
+        assert!(!passed || again == [(1, PREFILL)]);
+    }
+}
+
+/// The same at a decode endpoint, where only what may run twice is cancelled.
+#[test]
+fn a_decode_that_later_ones_have_overtaken_is_cancelled_if_idempotent() {
+    for (idempotency, called_off) in [
+        (Idempotency::Idempotent, vec![1]),
+        (Idempotency::NonIdempotent, vec![]),
+    ] {
+        let (mut driver, _) = Driver::new(settings(idempotency), pair());
+        driver.arrive(request_spec(1, START));
+        driver.arrive(request_spec(2, START));
+        for id in [1, 2] {
+            driver.on(result(id, 0, PREFILL, PREFILLED));
+            driver.pass(SECOND / 3);
+        }
+        driver.on(Event::StreamStarted {
+            id: RequestId(2),
+            attempt: 1,
+            endpoint: EndpointId(DECODE),
+            elapsed: 1,
+        });
+        assert_eq!(cancellations(driver.pass(2 * SECOND)), called_off);
+    }
+}
+
+/// A machine may have vanished: it responds to health checks no more, nor to anything else.
+#[test]
+fn prefills_at_an_unresponsive_endpoint_are_cancelled() {
+    let health_checks = Settings {
+        health_checks: true,
+        load_reporting: LoadReporting::OnHealthCheck,
+        ..settings(Idempotency::Idempotent)
+    };
+    let (mut driver, _) = Driver::new(health_checks, pair());
+    assert!(driver
+        .arrive(request_spec(1, START))
+        .contains(&Action::HealthCheck(EndpointId(PREFILL))));
+    let health_checked = Event::HealthChecked {
+        endpoint: EndpointId(PREFILL),
+        outcome: Outcome::TimedOut,
+        elapsed: 1,
+        load: None,
+    };
+    driver.on(health_checked);
+    assert_eq!(cancellations(driver.pass(SECOND)), [0; 0]);
+    assert_eq!(cancellations(driver.pass(SECOND)), [1]);
+}
--- a/crates/routing-policy/tests/decision_trace.rs
+++ b/crates/routing-policy/tests/decision_trace.rs
@@ -65,7 +65,7 @@
     pending: BTreeMap<(Micros, u64), Event>,
     sequence: u64,
     attempts: BTreeMap<u32, u32>,
-    readers: BTreeMap<u32, u64>,
+    prefill_endpoints: BTreeMap<u32, u64>,
     prompts: BTreeMap<u32, u64>,
     lines: Vec<String>,
 }
@@ -89,7 +89,7 @@
             pending: BTreeMap::new(),
             sequence: 0,
             attempts: BTreeMap::new(),
-            readers: BTreeMap::new(),
+            prefill_endpoints: BTreeMap::new(),
             prompts: BTreeMap::new(),
             lines: Vec::new(),
         };
@@ -147,8 +147,8 @@
                 .get_mut(&server)
                 .expect("a server of the course");
             edit(member);
-            let members = vec![*member];
-            course.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(members)));
+            let specs = vec![*member];
+            course.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(specs)));
         };
         let now = self.now;
         let all = self.servers.values().copied().collect();
@@ -306,7 +306,7 @@
             } => self.serve(id, endpoint, expires_at),
             Action::ReserveSlot { id, endpoint: _ } => {
                 let held = self.below(4) != 0;
-                let endpoint = EndpointId(self.readers.get(&id.0).copied().unwrap_or(0));
+                let endpoint = EndpointId(self.prefill_endpoints.get(&id.0).copied().unwrap_or(0));
                 let after = self.millis(2, 12);
                 self.schedule(
                     after,
@@ -373,7 +373,7 @@
             .get(&endpoint.0)
             .map_or(0, |member| member.kind.0);
         if kind == 0 {
-            self.readers.insert(id.0, endpoint.0);
+            self.prefill_endpoints.insert(id.0, endpoint.0);
         }
         let tokens = self.prompts.get(&id.0).copied().unwrap_or(0) as Micros;
         let behaviour = self.behaviour(endpoint);
@@ -543,12 +543,12 @@
     }
 }
 
-fn class(effect: Idempotency, aim: Micros, worth: f64) -> Class {
+fn class(idempotency: Idempotency, aim: Micros, worth: f64) -> Class {
     Class {
         latency_objective: Some(aim),
         latency_objective_per_1000_tokens: Some(120_000.0),
         token_interval_objective: Some(70_000),
-        idempotency: effect,
+        idempotency,
         dedup_window: Some(2 * SECOND),
         priority_weight: Some(worth),
     }
@@ -567,8 +567,8 @@
             class(Idempotency::NonIdempotent, SECOND, 2.0),
         ],
         kinds: [Role::Prefill, Role::Decode, Role::Mixed]
-            .map(|stage| Kind {
-                role: Some(stage),
+            .map(|kind_of| Kind {
+                role: Some(kind_of),
                 memory_tokens: Some(100_000.0),
             })
             .to_vec(),
@@ -594,21 +594,21 @@
 fn server(number: u64, kind: usize, cell: i64) -> EndpointSpec {
     EndpointSpec {
         zone: ZoneId((cell / 2) as usize),
-        ..common::member(number, kind, cell)
+        ..common::endpoint_spec(number, kind, cell)
     }
 }
 
 /// Prefill servers 1 to 9, decode servers from 11, in four cells of two zones.
 fn split_servers() -> Vec<EndpointSpec> {
-    let readers = (1..=7).map(|n| server(n, 0, (n % 4) as i64));
-    let writers = (11..=16).map(|n| server(n, 1, (n % 4) as i64));
-    readers.chain(writers).collect()
+    let prefill_endpoints = (1..=7).map(|n| server(n, 0, (n % 4) as i64));
+    let decode_endpoints = (11..=16).map(|n| server(n, 1, (n % 4) as i64));
+    prefill_endpoints.chain(decode_endpoints).collect()
 }
 
 fn mixed_servers() -> Vec<EndpointSpec> {
     let whole = (21..=25).map(|n| server(n, 2, (n % 4) as i64));
-    let writers = (11..=12).map(|n| server(n, 1, (n % 4) as i64));
-    whole.chain(writers).collect()
+    let decode_endpoints = (11..=12).map(|n| server(n, 1, (n % 4) as i64));
+    whole.chain(decode_endpoints).collect()
 }
 
 fn calm_then_faults() -> Course {
--- a/crates/routing-policy/tests/sums.rs
+++ b/crates/routing-policy/tests/fleet_sums.rs
@@ -1,42 +1,43 @@
-//! What all routers do together: what a cold server is sent, and who is answered.
+//! What all routers do together: what a cold endpoint is sent, and who is answered.
 
 mod common;
 
 use common::fleet::*;
 use common::*;
 
-const READERS: [u64; 5] = [2, 4, 6, 8, 10];
+const PREFILL_ENDPOINTS: [u64; 5] = [2, 4, 6, 8, 10];
 const WRITERS: [u64; 5] = [1, 3, 5, 7, 9];
 const COLD_READER: u64 = 20;
 const COLD_WRITER: u64 = 21;
 
-/// `settings`: a server falls when it gets 2.5 times its present capacity for 2 s; it starts at a quarter.
+/// `settings`: an endpoint falls when it gets 2.5 times its present capacity for 2 s; it starts at
+/// a quarter.
 const FALL_MULTIPLE: f64 = 2.5;
 const FALL_WINDOW: i64 = 2 * SECOND;
 const START_CAPACITY: f64 = 0.25;
 
 fn servers() -> Vec<cranetack_routing_policy::EndpointSpec> {
-    READERS
+    PREFILL_ENDPOINTS
         .iter()
         .chain(&WRITERS)
         .map(|server| warm(*server))
         .collect()
 }
 
-/// What a cold server may be sent in one window, where warm ones bear so many requests a second.
+/// What a cold endpoint may be sent in one window, where warm ones bear so many requests a second.
 fn budget(capacity: f64) -> usize {
     let allowed = FALL_MULTIPLE * START_CAPACITY * capacity * FALL_WINDOW as f64 / SECOND as f64;
     (allowed + 2.0 * allowed.sqrt() + 2.0) as usize
 }
 
-/// Guards against a cold server that all routers together push over: the rule counts what they send in sum, whether
-/// they are one or hundreds, have just started or get several times the mean, also while a burst comes.
+/// The rule counts what all routers send in sum, whether they are one or hundreds, have just
+/// started or get several times the mean, also during a burst.
 #[test]
-fn a_cold_server_is_sent_no_more_than_its_budget_by_all_routers_together() {
+fn all_routers_together_keep_a_cold_endpoint_within_its_budget() {
     for routers in [1, 3, 20, 30, 300] {
         let calm = Load {
             rate: 50.0,
-            hot_router: 5.0,
+            load_of_first_router: 5.0,
             longest_prompt: 6_000,
         };
         let mut fleet = Fleet::new(routers, &servers(), 7);
@@ -53,8 +54,8 @@
                 ..calm
             },
         );
-        // Warm servers are used to four fifths.
-        let capacity = 1.25 * calm.rate / READERS.len() as f64;
+        // Warm endpoints are used to four fifths.
+        let capacity = 1.25 * calm.rate / PREFILL_ENDPOINTS.len() as f64;
         for server in [COLD_READER, COLD_WRITER] {
             let sent = fleet.sent.get(&server).map_or(&[][..], Vec::as_slice);
             // Its capacity has hardly grown yet.
@@ -69,23 +70,23 @@
                 "{most} at server {server} from {routers} routers"
             );
         }
-        let reader = fleet.sent.get(&COLD_READER).map_or(0, Vec::len);
+        let prefill = fleet.sent.get(&COLD_READER).map_or(0, Vec::len);
         assert!(
-            reader > 0,
-            "the cold reader gets nothing from {routers} routers"
+            prefill > 0,
+            "the cold endpoint gets nothing from {routers} routers"
         );
     }
 }
 
-/// Guards against a fleet that turns requests away though there is room: on a quiet day neither the longest prompts nor
-/// all turns of a session are refused, at a router that gets several times the mean either.
+/// With spare capacity neither the longest prompts nor all turns of a session are rejected, at a
+/// router that gets several times the mean either.
 #[test]
-fn a_quiet_fleet_refuses_nobody() {
+fn a_fleet_with_spare_capacity_rejects_nothing() {
     for routers in [3, 30] {
-        // The readers are busy for two fifths of the time.
+        // The prefill endpoints are busy for two fifths of the time.
         let quiet = Load {
             rate: 20.0,
-            hot_router: 5.0,
+            load_of_first_router: 5.0,
             longest_prompt: 6_000,
         };
         let mut fleet = Fleet::new(routers, &servers(), 11);
@@ -101,26 +102,30 @@
             refused.len(),
             fleet.records.len()
         );
-        assert_eq!(shut_out(&fleet.records), 0, "{routers} routers");
+        assert_eq!(
+            sessions_always_rejected(&fleet.records),
+            0,
+            "{routers} routers"
+        );
         let long = refused
             .iter()
             .filter(|record| record.prompt_tokens > 4_000)
             .count();
         assert!(
             long <= 1,
-            "{long} of the longest prompts were refused by {routers} routers"
+            "{long} of the longest prompts were rejected by {routers} routers"
         );
     }
 }
 
-/// Guards against an overload that only short prompts get through: of the tenth with the longest at least half as large
-/// a share is answered as of all.
+/// Of the tenth of requests with the longest prompts at least half as large a share is served as of
+/// all.
 #[test]
-fn an_overloaded_fleet_answers_long_prompts_too() {
+fn an_overloaded_fleet_serves_long_prompts_too() {
     for routers in [3, 30] {
         let overload = Load {
             rate: 110.0,
-            hot_router: 3.0,
+            load_of_first_router: 3.0,
             longest_prompt: 6_000,
         };
         let mut fleet = Fleet::new(routers, &servers(), 13);
--- /dev/null
+++ b/crates/routing-policy/tests/kv_lease.rs
@@ -0,0 +1,87 @@
+//! The hand-over of a KV state from its prefill endpoint to a decode endpoint, while the list of
+//! endpoints changes.
+
+mod common;
+
+use common::*;
+use cranetack_routing_policy::*;
+
+const PREFILL: u64 = 1;
+const DECODE: u64 = 2;
+
+/// The prompt is processed, no endpoint fetches its KV state for now, and the decode endpoint of
+/// the lane leaves the list: the next look at the request must not find it.
+#[test]
+fn kv_state_whose_decode_endpoint_was_removed_waits_for_another_one() {
+    let (mut driver, _) = Driver::new(
+        settings(Idempotency::NonIdempotent),
+        vec![endpoint_spec(PREFILL, 0, 0), endpoint_spec(DECODE, 1, 0)],
+    );
+    assert_eq!(
+        routes(&driver.arrive(request_spec(1, driver.now))),
+        vec![(1, PREFILL)]
+    );
+    let draining = EndpointSpec {
+        state: EndpointState::Draining,
+        ..endpoint_spec(DECODE, 1, 0)
+    };
+    driver.on(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![
+        draining,
+    ])));
+    assert_eq!(
+        routes(&driver.on(result(1, 0, PREFILL, PREFILLED))),
+        vec![],
+        "its decode endpoint drains"
+    );
+    let gone = EndpointSpec {
+        state: EndpointState::Removed,
+        ..endpoint_spec(DECODE, 1, 0)
+    };
+    driver.on(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![gone])));
+    let other = DECODE + 1;
+    let specs = vec![endpoint_spec(other, 1, 0)];
+    assert_eq!(
+        routes(&driver.on(Event::EndpointsUpdated(EndpointUpdate::Delta(specs)))),
+        vec![(1, other)]
+    );
+}
+
+fn releases(actions: impl IntoIterator<Item = Action>) -> usize {
+    actions
+        .into_iter()
+        .filter(|action| matches!(action, Action::ReleaseState(_)))
+        .count()
+}
+
+/// Connections can fall silent with no error, and then nothing is in flight that waits for the KV
+/// state. Where the attempt has arrived, the release changes nothing.
+#[test]
+fn kv_state_is_released_in_time_though_the_attempt_to_fetch_it_may_not_have_arrived() {
+    let specs = vec![endpoint_spec(PREFILL, 0, 0), endpoint_spec(DECODE, 1, 0)];
+    let (mut driver, _) = Driver::new(settings(Idempotency::NonIdempotent), specs);
+    for (id, begins) in [(1, false), (2, true)] {
+        driver.arrive(request_spec(id, driver.now));
+        assert_eq!(
+            routes(&driver.on(result(id, 0, PREFILL, PREFILLED))),
+            vec![(id, DECODE)]
+        );
+        if begins {
+            driver.on(Event::StreamStarted {
+                id: RequestId(id),
+                attempt: 1,
+                endpoint: EndpointId(DECODE),
+                elapsed: 1,
+            });
+        }
+        let meanwhile = driver
+            .pass(SECOND / 2)
+            .into_iter()
+            .map(|(_, action)| action);
+        assert_eq!(
+            releases(meanwhile),
+            usize::from(!begins),
+            "an answer that has begun holds nothing"
+        );
+        driver.on(result(id, 1, DECODE, Outcome::Completed));
+    }
+}
--- a/crates/routing-policy/tests/lanes.rs
+++ b/crates/routing-policy/tests/lanes.rs
@@ -7,7 +7,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// What one cell's servers report: thousands of tokens waiting at readers, memory and slot shares at writers.
+/// What one cell's endpoints report: thousands of tokens waiting at prefill endpoints, memory and
+/// slot shares at decode endpoints.
 type Cell = Vec<(f64, f64, f64)>;
 
 fn load(pending_kilotokens: f64, memory: f64, util: f64) -> Option<LoadReport> {
@@ -19,7 +20,7 @@
     })
 }
 
-fn probed(endpoint: u64, load: Option<LoadReport>) -> Event {
+fn health_checked(endpoint: u64, load: Option<LoadReport>) -> Event {
     Event::HealthChecked {
         endpoint: EndpointId(endpoint),
         outcome: Outcome::Completed,
@@ -28,7 +29,8 @@
     }
 }
 
-/// The score of the best pair of a cell that is not overloaded: nothing is kept, prompts have 1,000 tokens.
+/// The score of the best pair of a cell that is not overloaded: nothing is kept, prompts have 1,000
+/// tokens.
 fn best_of_all_pairs(cells: &[Cell]) -> Option<f64> {
     let pairs = cells.iter().flat_map(|c| {
         c.iter()
@@ -44,8 +46,9 @@
     (memory / 100.0 + 2.0 * queue <= 0.85).then_some(score)
 }
 
-/// Asks for one request where all servers have just reported, and compares its lane with the best pair.
-fn takes_the_best(cells: &[Cell]) {
+/// Asks for one request where all endpoints have just reported, and compares its lane with the best
+/// pair.
+fn chooses_the_best(cells: &[Cell]) {
     let number = |cell: usize, place: usize, kind: usize| (cell * 100 + place * 2 + kind) as u64;
     let places = || {
         cells
@@ -53,26 +56,26 @@
             .enumerate()
             .flat_map(|(c, s)| (0..s.len()).map(move |p| (c, p)))
     };
-    let members = places()
-        .flat_map(|(c, p)| [0, 1].map(|kind| member(number(c, p, kind), kind, c as i64)))
+    let specs = places()
+        .flat_map(|(c, p)| [0, 1].map(|kind| endpoint_spec(number(c, p, kind), kind, c as i64)))
         .collect();
-    let (mut front, _) = Front::new(settings(Idempotency::Idempotent), members);
+    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), specs);
     for (c, p) in places() {
         let (pending, memory, util) = cells[c][p];
-        front.on(probed(number(c, p, 0), load(pending, 0.0, 0.0)));
-        front.on(probed(number(c, p, 1), load(0.0, memory, util)));
+        driver.on(health_checked(number(c, p, 0), load(pending, 0.0, 0.0)));
+        driver.on(health_checked(number(c, p, 1), load(0.0, memory, util)));
     }
-    let actions = front.ask(ask(1, START));
-    let reader = routes(&actions)[0].1 as usize;
-    let writer = actions.iter().find_map(|a| match a {
+    let actions = driver.arrive(request_spec(1, START));
+    let prefill = routes(&actions)[0].1 as usize;
+    let decode = actions.iter().find_map(|a| match a {
         Action::ReserveSlot { endpoint, .. } => Some(endpoint.0 as usize),
         _ => None,
     });
-    let writer = writer.expect("a place is asked for");
-    assert_eq!(reader / 100, writer / 100, "inside one cell");
+    let decode = decode.expect("a slot is reserved");
+    assert_eq!(prefill / 100, decode / 100, "inside one cell");
     let (r, w) = (
-        cells[reader / 100][reader % 100 / 2],
-        cells[writer / 100][writer % 100 / 2],
+        cells[prefill / 100][prefill % 100 / 2],
+        cells[decode / 100][decode % 100 / 2],
     );
     if let Some(best) = best_of_all_pairs(cells) {
         let taken = score(r.0, w.1, w.2);
@@ -84,7 +87,7 @@
 }
 
 #[test]
-fn the_lane_taken_scores_as_the_best_of_all_pairs() {
+fn the_chosen_lane_has_the_best_score_of_all_pairs() {
     let config = Config {
         cases: 256,
         failure_persistence: None,
@@ -94,20 +97,24 @@
     let server = (0.0..16.0, 0.0..1.0, 0.0..1.0);
     let fleet = prop::collection::vec(prop::collection::vec(server, 1..5), 1..6);
     let ran = TestRunner::new_with_rng(config, rng).run(&fleet, |cells| {
-        takes_the_best(&cells);
+        chooses_the_best(&cells);
         Ok(())
     });
     ran.unwrap_or_else(|error| panic!("{error}"));
 }
 
 #[test]
-fn a_reader_that_jammed_unseen_is_asked_before_a_read_and_passed_over() {
+fn an_unresponsive_endpoint_is_health_checked_before_a_prefill_and_avoided() {
     let settings = Settings {
         health_checks: true,
         load_reporting: LoadReporting::OnHealthCheck,
         ..settings(Idempotency::Idempotent)
     };
-    let members = vec![member(1, 0, 0), member(2, 0, 0), member(3, 1, 0)];
+    let specs = vec![
+        endpoint_spec(1, 0, 0),
+        endpoint_spec(2, 0, 0),
+        endpoint_spec(3, 1, 0),
+    ];
     let touched = |actions: &[Action]| {
         let touch = |a: &Action| {
             if let Action::HealthCheck(endpoint) = a {
@@ -119,20 +126,20 @@
         actions.iter().find_map(touch)
     };
     for jammed in [true, false] {
-        let (mut front, _) = Front::new(settings.clone(), members.clone());
-        let actions = front.ask(RequestSpec {
+        let (mut driver, _) = Driver::new(settings.clone(), specs.clone());
+        let actions = driver.arrive(RequestSpec {
             session: Some(SessionId(5)),
-            ..ask(1, front.now)
+            ..request_spec(1, driver.now)
         });
         assert_eq!(routes(&actions), vec![], "it waits for the report");
         let home = touched(&actions).unwrap_or(0);
         let pending = if jammed { 100.0 } else { 0.0 };
-        let sent = routes(&front.on(probed(home, load(pending, 0.0, 0.0))));
+        let sent = routes(&driver.on(health_checked(home, load(pending, 0.0, 0.0))));
         assert_eq!(sent, vec![(1, if jammed { 3 - home } else { home })]);
     }
-    let (mut front, _) = Front::new(settings, members);
-    let home = touched(&front.ask(ask(1, front.now))).unwrap_or(0);
-    let later: Vec<Action> = front
+    let (mut driver, _) = Driver::new(settings, specs);
+    let home = touched(&driver.arrive(request_spec(1, driver.now))).unwrap_or(0);
+    let later: Vec<Action> = driver
         .pass(SECOND / 10)
         .into_iter()
         .map(|(_, a)| a)
@@ -140,26 +147,26 @@
     assert_eq!(
         routes(&later),
         vec![(1, 3 - home)],
-        "one that does not answer a probe soon is passed over"
+        "an endpoint that does not respond soon is avoided"
     );
 }
 
-/// Guards against a reader that has jammed unseen behind another one: each that a request would go to is probed in turn,
-/// as far as there are probes to spend.
+/// Endpoints may have become unresponsive one behind the other: each that a request would go to is
+/// health-checked in turn, as far as there is a budget.
 #[test]
-fn the_reader_that_is_next_in_line_is_probed_as_well() {
+fn the_next_best_endpoint_is_health_checked_as_well() {
     let settings = Settings {
         health_checks: true,
         load_reporting: LoadReporting::OnHealthCheck,
         ..settings(Idempotency::Idempotent)
     };
-    let members = vec![
-        member(1, 0, 0),
-        member(2, 0, 0),
-        member(3, 0, 0),
-        member(4, 1, 0),
+    let specs = vec![
+        endpoint_spec(1, 0, 0),
+        endpoint_spec(2, 0, 0),
+        endpoint_spec(3, 0, 0),
+        endpoint_spec(4, 1, 0),
     ];
-    let (mut front, _) = Front::new(settings, members);
+    let (mut driver, _) = Driver::new(settings, specs);
     let touched = |actions: &[Action]| {
         let touch = |a: &Action| {
             if let Action::HealthCheck(endpoint) = a {
@@ -170,47 +177,53 @@
         };
         actions.iter().find_map(touch)
     };
-    let first = touched(&front.ask(ask(1, front.now))).unwrap();
+    let first = touched(&driver.arrive(request_spec(1, driver.now))).unwrap();
     assert_eq!(
-        routes(&front.on(probed(first, load(100.0, 0.0, 0.0)))).len(),
+        routes(&driver.on(health_checked(first, load(100.0, 0.0, 0.0)))).len(),
         1,
-        "one probe a request and a half"
+        "three health checks for two requests"
     );
-    let second = touched(&front.ask(ask(2, front.now))).unwrap();
+    let second = touched(&driver.arrive(request_spec(2, driver.now))).unwrap();
     assert_ne!(second, first);
     let third = 6 - first - second;
-    let actions = front.on(probed(second, load(100.0, 0.0, 0.0)));
+    let actions = driver.on(health_checked(second, load(100.0, 0.0, 0.0)));
     assert_eq!((touched(&actions), routes(&actions)), (Some(third), vec![]));
     assert_eq!(
-        routes(&front.on(probed(third, load(0.0, 0.0, 0.0)))),
+        routes(&driver.on(health_checked(third, load(0.0, 0.0, 0.0)))),
         vec![(2, third)]
     );
 }
 
-/// Guards against writers that jam in a cell with many readers, where no places can be asked for: the lane's writer may
-/// be of another cell, and the state goes there.
+/// Where no slots can be reserved, KV state goes to the decode endpoint of its lane all the same:
+/// it may be of another cell, where its own cell has few.
 #[test]
-fn a_state_goes_to_its_lanes_writer_though_no_place_was_asked_for() {
-    const READERS: [u64; 5] = [1, 2, 3, 4, 5];
+fn kv_state_goes_to_the_decode_endpoint_of_its_lane_without_a_reservation() {
+    const PREFILL_ENDPOINTS: [u64; 5] = [1, 2, 3, 4, 5];
     const WRITERS: [u64; 4] = [11, 15, 16, 17];
-    // Cell 1 has four readers and one writer, cell 2 one reader and three writers.
+    // Cell 1 has four prefill endpoints and one decode endpoint, cell 2 one prefill endpoint and
+    // three decode endpoints.
     let cell = |endpoint: u64| if endpoint % 10 < 5 { 1 } else { 2 };
-    let server = |endpoint: &u64| member(*endpoint, usize::from(*endpoint > 10), cell(*endpoint));
-    let members = READERS.iter().chain(&WRITERS).map(server).collect();
-    let (mut front, _) = Front::new(
+    let server =
+        |endpoint: &u64| endpoint_spec(*endpoint, usize::from(*endpoint > 10), cell(*endpoint));
+    let specs = PREFILL_ENDPOINTS
+        .iter()
+        .chain(&WRITERS)
+        .map(server)
+        .collect();
+    let (mut driver, _) = Driver::new(
         Settings {
             slot_reservations: false,
             ..settings(Idempotency::Idempotent)
         },
-        members,
+        specs,
     );
     let mut written = std::collections::BTreeMap::new();
     for id in 1..=200 {
-        let reader = routes(&front.ask(ask(id, front.now)))[0].1;
-        let writer = routes(&front.on(result(id, 0, reader, PREFILLED)))[0].1;
-        *written.entry(writer).or_insert(0) += 1;
-        front.on(result(id, 1, writer, Outcome::Completed));
-        front.pass(SECOND / 10);
+        let prefill = routes(&driver.arrive(request_spec(id, driver.now)))[0].1;
+        let decode = routes(&driver.on(result(id, 0, prefill, PREFILLED)))[0].1;
+        *written.entry(decode).or_insert(0) += 1;
+        driver.on(result(id, 1, decode, Outcome::Completed));
+        driver.pass(SECOND / 10);
     }
     assert!(written[&11] < 100, "{written:?}");
 }
--- /dev/null
+++ b/crates/routing-policy/tests/outliers.rs
@@ -0,0 +1,91 @@
+//! Ejection of endpoints that fail.
+
+mod common;
+
+use common::*;
+use cranetack_routing_policy::*;
+
+const PREFILL: u64 = 1;
+const DECODE: u64 = 2;
+fn pair() -> Vec<EndpointSpec> {
+    vec![endpoint_spec(PREFILL, 0, 0), endpoint_spec(DECODE, 1, 0)]
+}
+
+#[test]
+fn an_endpoint_that_fails_for_one_class_is_not_ejected_for_others() {
+    let base = settings(Idempotency::Idempotent);
+    let settings = Settings {
+        classes: vec![base.classes[0].clone(), base.classes[0].clone()],
+        ..base
+    };
+    let (mut driver, _) = Driver::new(settings, pair());
+    driver.arrive(request_spec(1, START));
+    driver.on(result(1, 0, PREFILL, Outcome::ServerError));
+    assert_eq!(
+        routes(&driver.arrive(request_spec(2, START))),
+        vec![],
+        "the class that failed stays away"
+    );
+    let other = RequestSpec {
+        class: ClassId(1),
+        ..request_spec(3, START)
+    };
+    assert_eq!(routes(&driver.arrive(other)), vec![(3, PREFILL)]);
+}
+
+#[test]
+fn an_overloaded_endpoint_is_not_retried_at_once() {
+    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), pair());
+    driver.arrive(request_spec(1, START));
+    assert_eq!(
+        routes(&driver.on(result(1, 0, PREFILL, OVERLOADED))),
+        vec![]
+    );
+    let later: Vec<Action> = driver.pass(SECOND).into_iter().map(|(_, a)| a).collect();
+    assert_eq!(routes(&later), vec![(1, PREFILL)], "nor ejected for good");
+}
+
+#[test]
+fn a_refused_connection_ejects_an_endpoint_at_once() {
+    let specs = vec![
+        endpoint_spec(1, 0, 0),
+        endpoint_spec(2, 1, 0),
+        endpoint_spec(3, 0, 0),
+    ];
+    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), specs);
+    let first = routes(&driver.arrive(request_spec(0, START)))[0].1;
+    let second = routes(&driver.on(result(0, 0, first, UNREACHABLE)))[0].1;
+    assert_ne!(first, second);
+    assert!((1..6).all(|id| routes(&driver.arrive(request_spec(id, START)))[0].1 == second));
+}
+
+/// An endpoint that fails at once looks idle and draws all that is queued: one success among its
+/// errors does not end its ejection.
+#[test]
+fn a_success_among_errors_does_not_end_an_ejection() {
+    let specs = vec![
+        endpoint_spec(PREFILL, 0, 0),
+        endpoint_spec(DECODE, 1, 0),
+        endpoint_spec(3, 0, 0),
+    ];
+    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), specs);
+    let mut at_prefill = Vec::new();
+    for id in 0..8 {
+        let sent = routes(&driver.arrive(request_spec(id, driver.now)));
+        at_prefill.extend(
+            sent.iter()
+                .filter(|(_, endpoint)| *endpoint == PREFILL)
+                .map(|(id, _)| *id),
+        );
+    }
+    assert!(at_prefill.len() >= 3, "{at_prefill:?}");
+    let good = at_prefill.pop().unwrap();
+    at_prefill
+        .iter()
+        .for_each(|id| drop(driver.on(result(*id, 0, PREFILL, Outcome::ServerError))));
+    driver.on(result(good, 0, PREFILL, PREFILLED));
+    assert_eq!(
+        routes(&driver.arrive(request_spec(20, driver.now))),
+        [(20, 3)]
+    );
+}
--- a/crates/routing-policy/tests/rules.rs
+++ b/crates/routing-policy/tests/rules.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-const HOSTS: u64 = 7;
+const ENDPOINTS: u64 = 7;
 const COLD: u64 = 3;
 const SLACK: Micros = 8_000;
 
@@ -43,7 +43,7 @@
     },
 }
 
-/// What the settings bound; those that are missing have the module's defaults.
+/// What the settings bound; those that are missing have the policy's defaults.
 #[derive(Debug, Clone)]
 struct Bounds {
     attempts: u32,
@@ -75,7 +75,7 @@
     attempts: BTreeMap<u32, u32>,
     /// Attempts that are out: endpoint, sent, streaming.
     out: BTreeMap<u32, (u32, u64, Micros, bool)>,
-    /// Since when something is held with nothing out.
+    /// Since when something is held with nothing in flight.
     held: BTreeMap<u32, Micros>,
     ran: BTreeMap<u32, (u64, Micros)>,
     closed: BTreeMap<u64, Micros>,
@@ -83,7 +83,7 @@
     served: usize,
 }
 
-fn stage(endpoint: u64) -> usize {
+fn kind_of(endpoint: u64) -> usize {
     (endpoint % 3) as usize
 }
 
@@ -92,7 +92,7 @@
 }
 
 impl Model {
-    fn check(&mut self, now: Micros, effect: Idempotency, actions: &[Action]) {
+    fn check(&mut self, now: Micros, idempotency: Idempotency, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::Send {
@@ -105,25 +105,27 @@
                     let (deadline, answered) = self.deadline[&id];
                     assert!(!answered && now <= deadline, "sent after its end");
                     assert!(*expires_at == 0 || *expires_at <= deadline);
-                    assert!(!self.out.contains_key(&id), "two attempts out");
+                    assert!(!self.out.contains_key(&id), "two attempts in flight");
                     assert!(
                         !self.closed.contains_key(&endpoint),
-                        "sent to a server that drains"
+                        "sent to a draining endpoint"
                     );
                     let number = self.attempts.entry(id).or_default();
                     assert!(*number < self.bounds.attempts, "too many attempts");
                     if let Some((first, since)) = self.ran.get(&id) {
                         assert!(
-                            effect != Idempotency::NonIdempotent,
-                            "an unsafe request may run twice"
+                            idempotency != Idempotency::NonIdempotent,
+                            "a non-idempotent request may be executed twice"
                         );
-                        // Reads too: a repeat goes to the group of the server where it may have run.
-                        if let Idempotency::Keyed(scope) = effect {
+                        // Reads too: a retry goes to the group of the endpoint where it may have
+                        // been executed.
+                        if let Idempotency::Keyed(scope) = idempotency {
                             assert!(
                                 scope == KeyScope::All || cell(*first) == cell(endpoint),
                                 "wrong group"
                             );
-                            // It is written once a connection is up, by `write_by` at the latest, and has a way to go.
+                            // It is written once a connection is up, by `write_by` at the latest,
+                            // and has a way to go.
                             let write_by = if *write_by == 0 {
                                 Micros::MAX
                             } else {
@@ -145,7 +147,7 @@
                 Action::ReserveSlot { endpoint, .. } => {
                     assert!(
                         !self.closed.contains_key(&endpoint.0),
-                        "earmarked where it drains"
+                        "slot reserved at a draining endpoint"
                     );
                 }
                 Action::ReleaseState(id) => {
@@ -153,12 +155,15 @@
                 }
                 Action::Reject { id, .. } => {
                     let ran = self.ran.contains_key(&id.0);
-                    let out = self.out.get(&id.0).is_some_and(|o| stage(o.1) != 0);
+                    let out = self.out.get(&id.0).is_some_and(|o| kind_of(o.1) != 0);
                     let harmless = matches!(
-                        effect,
+                        idempotency,
                         Idempotency::Idempotent | Idempotency::Keyed(KeyScope::All)
                     );
-                    assert!(harmless || !(ran || out), "refused though it may have run");
+                    assert!(
+                        harmless || !(ran || out),
+                        "rejected though it may have been executed"
+                    );
                     self.answer(now, id.0);
                 }
                 Action::Fail(id) => self.answer(now, id.0),
@@ -190,7 +195,7 @@
         for (id, since) in &self.held {
             assert!(
                 now <= since + self.bounds.pin,
-                "what request {id} held stayed pinned"
+                "the state of request {id} was not released"
             );
         }
         let recent = self
@@ -200,7 +205,7 @@
             .count();
         assert!(
             recent <= 1 + self.served,
-            "the cold server got {recent} sends after {} served",
+            "the cold endpoint got {recent} sends after {} served",
             self.served
         );
     }
@@ -208,17 +213,17 @@
     /// An attempt ends; returns the event if it is legal.
     fn finish(&mut self, now: Micros, id: u32, outcome: Outcome, info: u64) -> Event {
         let (attempt, endpoint, sent, streaming) = self.out.remove(&id).unwrap();
-        let reader = stage(endpoint) == 0;
+        let prefill = kind_of(endpoint) == 0;
         let outcome = match outcome {
-            Outcome::Completed if reader => PREFILLED,
-            PREFILLED if !reader => Outcome::Completed,
+            Outcome::Completed if prefill => PREFILLED,
+            PREFILLED if !prefill => Outcome::Completed,
             OVERLOADED | UNREACHABLE | Outcome::NotSent if streaming => CONNECTION_RESET,
             other => other,
         };
         let (_, answered) = self.deadline.get_mut(&id).unwrap();
         let over = *answered || outcome == Outcome::Completed || streaming;
         *answered |= over;
-        if !matches!(outcome, OVERLOADED | UNREACHABLE | Outcome::NotSent) && !reader {
+        if !matches!(outcome, OVERLOADED | UNREACHABLE | Outcome::NotSent) && !prefill {
             self.ran.entry(id).or_insert((endpoint, sent));
         }
         if !streaming && outcome != Outcome::Completed {
@@ -244,8 +249,9 @@
     }
 }
 
-fn run(effect: Idempotency, decode_can_prefill: bool, steps: &[Step]) {
-    // Half of the runs hold requests for a probe of their reader, which is never answered.
+fn run(idempotency: Idempotency, decode_can_prefill: bool, steps: &[Step]) {
+    // Half of the runs hold requests for a health check of their prefill endpoint, which is never
+    // answered.
     let (health_checks, load_reporting) =
         (steps.len().is_multiple_of(2), LoadReporting::OnHealthCheck);
     run_with(
@@ -253,16 +259,16 @@
             decode_can_prefill,
             health_checks,
             load_reporting,
-            ..settings(effect)
+            ..settings(idempotency)
         },
         steps,
     );
 }
 
 fn run_with(settings: Settings, steps: &[Step]) {
-    let effect = settings.classes[0].idempotency;
-    let listed = |endpoint: u64| member(endpoint, stage(endpoint), cell(endpoint));
-    let list = (0..HOSTS)
+    let idempotency = settings.classes[0].idempotency;
+    let listed = |endpoint: u64| endpoint_spec(endpoint, kind_of(endpoint), cell(endpoint));
+    let list = (0..ENDPOINTS)
         .map(|h| {
             if h == COLD {
                 cold(listed(h))
@@ -275,7 +281,7 @@
         bounds: Bounds::of(&settings),
         ..Model::default()
     };
-    let (mut front, _) = Front::new(settings, list);
+    let (mut driver, _) = Driver::new(settings, list);
     let mut next = 0;
     for step in steps {
         let nth = |pick: usize, model: &Model, streaming: bool| {
@@ -287,7 +293,7 @@
                 .collect();
             (!out.is_empty()).then(|| out[pick % out.len()])
         };
-        let now = front.now;
+        let now = driver.now;
         let event = match step.clone() {
             Step::Arrive {
                 left,
@@ -297,17 +303,17 @@
                 next += 1;
                 model.deadline.insert(next, (now + left, false));
                 let session = Some(SessionId(session));
-                let ask = RequestSpec {
+                let spec = RequestSpec {
                     deadline: now + left,
                     prompt_tokens: tokens,
                     session,
-                    ..ask(next, now)
+                    ..request_spec(next, now)
                 };
-                Some(Event::RequestArrived(ask))
+                Some(Event::RequestArrived(spec))
             }
             Step::Pass(span) => {
                 for _ in 0..span / 10_000 {
-                    pass(&mut front, &mut model, effect, 10_000);
+                    pass(&mut driver, &mut model, idempotency, 10_000);
                 }
                 None
             }
@@ -318,7 +324,7 @@
             } => nth(pick, &model, true).map(|id| model.finish(now, id, outcome, info)),
             Step::StartStream { pick } => nth(pick, &model, false).and_then(|id| {
                 let (attempt, endpoint, ..) = model.out[&id];
-                let legal = stage(endpoint) != 0 && !model.deadline[&id].1;
+                let legal = kind_of(endpoint) != 0 && !model.deadline[&id].1;
                 model.out.entry(id).and_modify(|o| o.3 |= legal);
                 let (id, endpoint) = (RequestId(id), EndpointId(endpoint));
                 legal.then_some(Event::StreamStarted {
@@ -368,17 +374,17 @@
             }
         };
         if let Some(event) = event {
-            let actions = front.on(event);
-            model.check(now, effect, &actions);
+            let actions = driver.on(event);
+            model.check(now, idempotency, &actions);
         }
     }
-    // Attempts still out end at their deadlines, as the endpoint's time-outs would have it.
+    // Attempts still in flight end at their deadlines, as the driver's timeouts would have it.
     for _ in 0..700 {
-        pass(&mut front, &mut model, effect, 10_000);
+        pass(&mut driver, &mut model, idempotency, 10_000);
     }
 }
 
-/// The cold server stays cold for the whole course.
+/// The cold endpoint stays cold for the whole course.
 fn cold(line: EndpointSpec) -> EndpointSpec {
     EndpointSpec {
         started_at: Some(START + 3_600 * SECOND),
@@ -386,12 +392,12 @@
     }
 }
 
-/// Time passes; attempts whose time is up end, as the endpoint sees to it.
-fn pass(front: &mut Front, model: &mut Model, effect: Idempotency, span: Micros) {
-    for (at, action) in front.pass(span) {
-        model.check(at, effect, &[action]);
+/// Time passes; attempts whose time is up end, as the driver would end them.
+fn pass(driver: &mut Driver, model: &mut Model, idempotency: Idempotency, span: Micros) {
+    for (at, action) in driver.pass(span) {
+        model.check(at, idempotency, &[action]);
     }
-    let now = front.now;
+    let now = driver.now;
     let late = |m: &Model, id: &u32| !m.out[id].3 && now >= m.deadline[id].0;
     let due: Vec<u32> = model
         .out
@@ -401,8 +407,8 @@
         .collect();
     for id in due {
         let event = model.finish(now, id, Outcome::TimedOut, 0);
-        let actions = front.on(event);
-        model.check(now, effect, &actions);
+        let actions = driver.on(event);
+        model.check(now, idempotency, &actions);
     }
     model.check_time(now);
 }
@@ -427,12 +433,12 @@
         2 => any::<usize>().prop_map(|pick| Step::StartStream { pick }),
         1 => any::<usize>().prop_map(|pick| Step::Disconnect { pick }),
         1 => (any::<usize>(), any::<bool>()).prop_map(|(pick, held)| Step::AnswerReservation { pick, held }),
-        1 => (0..HOSTS, state, any::<bool>())
+        1 => (0..ENDPOINTS, state, any::<bool>())
             .prop_map(|(endpoint, state, restart)| Step::UpdateEndpoint { endpoint, state, restart }),
     ]
 }
 
-fn holds_under(effect: Idempotency) {
+fn holds_under(idempotency: Idempotency) {
     let config = Config {
         cases: 150,
         failure_persistence: None,
@@ -442,14 +448,14 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let course = (any::<bool>(), prop::collection::vec(step(), 1..90));
     let ran = runner.run(&course, |(decode_can_prefill, steps)| {
-        run(effect, decode_can_prefill, &steps);
+        run(idempotency, decode_can_prefill, &steps);
         Ok(())
     });
     ran.unwrap_or_else(|error| panic!("{error}"));
 }
 
 #[test]
-fn the_rules_hold_for_safe_requests() {
+fn the_rules_hold_for_idempotent_requests() {
     holds_under(Idempotency::Idempotent);
 }
 
@@ -460,11 +466,12 @@
 }
 
 #[test]
-fn the_rules_hold_for_unsafe_requests() {
+fn the_rules_hold_for_non_idempotent_requests() {
     holds_under(Idempotency::NonIdempotent);
 }
 
-/// Settings of another deployment: any effect, window, limits and permissions, each of which may be missing.
+/// Settings of another deployment: any effect, window, limits and permissions, each of which may be
+/// missing.
 fn any_settings() -> impl Strategy<Value = Settings> {
     let idempotency = prop_oneof![
         Just(Idempotency::Idempotent),
@@ -521,9 +528,9 @@
     })
 }
 
-/// Guards against a value, an order or a key of one deployment that the module takes for granted.
+/// No value, order or key of one deployment may be taken for granted.
 #[test]
-fn the_rules_hold_under_settings_of_any_deployment() {
+fn the_rules_hold_under_any_settings() {
     let config = Config {
         cases: 400,
         failure_persistence: None,
--- /dev/null
+++ b/crates/routing-policy/tests/shared_prefixes.rs
@@ -0,0 +1,166 @@
+//! Where shared prefixes that many sessions share are read: at few prefill endpoints, on which
+//! routers agree without talking.
+
+mod common;
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use common::*;
+use cranetack_routing_policy::*;
+
+const PREFILL_ENDPOINTS: u64 = 20;
+const PREFIX_TOKENS: u64 = 4_000;
+const TURN_TOKENS: u64 = 1_000;
+
+/// Dispatchers of one fleet, each with a seed of its own, and prefill endpoints that keep all that
+/// they have read.
+struct Fleet {
+    drivers: Vec<Driver>,
+    kept: BTreeMap<u64, BTreeSet<u64>>,
+    asked: u32,
+    /// Tokens that were read, and those of them that belong to shared prefixes.
+    read: u64,
+    of_prefixes: u64,
+}
+
+impl Fleet {
+    fn new(routers: u32) -> Fleet {
+        Fleet::with(routers, PREFILL_ENDPOINTS)
+    }
+
+    fn with(routers: u32, prefill_endpoints: u64) -> Fleet {
+        let prefill_endpoints =
+            (1..=prefill_endpoints).map(|endpoint| endpoint_spec(endpoint, 0, 0));
+        let specs: Vec<EndpointSpec> = prefill_endpoints
+            .chain([endpoint_spec(100, 1, 0)])
+            .collect();
+        let driver = |me: u32| {
+            let settings = Settings {
+                router_count: Some(routers),
+                router_index: Some(me),
+                ..settings(Idempotency::Idempotent)
+            };
+            Driver::seeded(settings, specs.clone(), u64::from(me) + 1).0
+        };
+        Fleet {
+            drivers: (0..routers).map(driver).collect(),
+            kept: BTreeMap::new(),
+            asked: 0,
+            read: 0,
+            of_prefixes: 0,
+        }
+    }
+
+    /// A new session that begins with this shared prefix, at the next router in turn. Gives its
+    /// prefill endpoint.
+    fn arrive(&mut self, prefix: u64) -> u64 {
+        let id = self.asked;
+        let turn = id as usize % self.drivers.len();
+        let driver = &mut self.drivers[turn];
+        self.asked += 1;
+        let asked = RequestSpec {
+            session: Some(SessionId(u64::from(id) * 7_919 + 1)),
+            shared_prefix: Some(PrefixId(prefix * 104_729 + 5)),
+            prompt_tokens: PREFIX_TOKENS + TURN_TOKENS,
+            shared_prefix_tokens: PREFIX_TOKENS,
+            ..request_spec(id, driver.now)
+        };
+        let sent = routes(&driver.arrive(asked));
+        let prefill = sent[0].1;
+        let known = !self.kept.entry(prefill).or_default().insert(prefix);
+        self.of_prefixes += if known { 0 } else { PREFIX_TOKENS };
+        self.read += TURN_TOKENS + if known { 0 } else { PREFIX_TOKENS };
+        driver.pass(10_000);
+        let answers = routes(&driver.on(result(id, 0, prefill, PREFILLED)));
+        assert_eq!(answers, vec![(id, 100)]);
+        driver.on(Event::StreamStarted {
+            id: RequestId(id),
+            attempt: 1,
+            endpoint: EndpointId(100),
+            elapsed: 1,
+        });
+        driver.on(result(id, 1, 100, Outcome::Completed));
+        driver.pass(SECOND);
+        prefill
+    }
+
+    fn endpoints_with(&self, prefix: u64) -> usize {
+        self.kept
+            .values()
+            .filter(|prefixes| prefixes.contains(&prefix))
+            .count()
+    }
+}
+
+/// With hundreds of routers each sees a shared prefix once or never, and draws by sessions alone
+/// would spread it over all prefill endpoints.
+#[test]
+fn an_unpopular_prefix_is_prefilled_at_few_endpoints_by_all_routers() {
+    let mut fleet = Fleet::new(100);
+    for turn in 0..2_000 {
+        // Each shared prefix comes to every router in its turn.
+        fleet.arrive((turn + turn / 100) % 100);
+    }
+    let most = (0..100).map(|prefix| fleet.endpoints_with(prefix)).max();
+    assert!(most <= Some(3), "{most:?} endpoints");
+    // Each shared prefix is asked for 20 times. Read at every prefill endpoint that its sessions
+    // reach it would be most of the work.
+    let share = fleet.of_prefixes as f64 / fleet.read as f64;
+    assert!(
+        share < 0.25,
+        "a share of {share} of the tokens read belongs to shared prefixes"
+    );
+}
+
+/// No single endpoint must bear a shared prefix that half of all requests have.
+#[test]
+fn a_popular_prefix_is_spread_over_many_endpoints() {
+    let mut fleet = Fleet::new(3);
+    for turn in 0..200 {
+        fleet.arrive(1 + turn % 50);
+    }
+    assert_eq!(fleet.endpoints_with(0), 0);
+    let mut sends = BTreeMap::new();
+    for turn in 0..600 {
+        let prefill = fleet.arrive(if turn % 2 == 0 { 0 } else { 1 + turn % 50 });
+        *sends.entry(prefill).or_insert(0) += u32::from(turn >= 300);
+    }
+    let prefill_endpoints = fleet.endpoints_with(0);
+    assert!(
+        prefill_endpoints >= PREFILL_ENDPOINTS as usize / 2,
+        "{prefill_endpoints} endpoints"
+    );
+    let most = sends.values().max().copied().unwrap_or(0);
+    assert!(
+        most < 3 * 300 / PREFILL_ENDPOINTS as u32,
+        "{most} of 300 requests at one endpoint"
+    );
+}
+
+/// With few prefill endpoints a single target where two are nearer to the share would be a good
+/// part of them.
+#[test]
+fn a_prefix_has_as_many_targets_as_are_nearest_to_its_share_of_few_endpoints() {
+    let mut fleet = Fleet::with(1, 4);
+    for turn in 0..400 {
+        // A share of 0.2 of 4 prefill endpoints is 0.8 of one; twice that many affinity targets are
+        // 1.6.
+        fleet.arrive(if turn % 5 == 0 { 0 } else { 1 + turn });
+    }
+    assert_eq!(fleet.endpoints_with(0), 2);
+}
+
+/// Targets must not leave endpoints idle, also where more prefixes arrive than are counted.
+#[test]
+fn prefixes_that_are_requested_once_are_spread_evenly() {
+    let mut fleet = Fleet::new(1);
+    let mut sends = BTreeMap::new();
+    for turn in 0..2_400 {
+        *sends.entry(fleet.arrive(turn)).or_insert(0) += 1;
+    }
+    let (least, most) = (sends.values().min(), sends.values().max());
+    assert!(
+        sends.len() == PREFILL_ENDPOINTS as usize && least > Some(&60) && most < Some(&240),
+        "{sends:?}"
+    );
+}
--- /dev/null
+++ b/crates/routing-policy/tests/slow_start.rs
@@ -0,0 +1,110 @@
+//! What endpoints are sent after their start.
+
+mod common;
+
+use common::*;
+use cranetack_routing_policy::*;
+
+const PREFILL: u64 = 1;
+const DECODE: u64 = 2;
+
+/// Sends to a restarted prefill endpoint within any two seconds of its warm-up, by all of
+/// `router_count` routers together, each of which carried one request a second at two warm prefill
+/// endpoints before.
+fn most_sends_to_a_cold_endpoint(router_count: u32) -> (usize, f64) {
+    let mut times = Vec::new();
+    for me in 0..router_count {
+        let settings = Settings {
+            router_count: Some(router_count),
+            router_index: Some(me),
+            ..settings(Idempotency::Idempotent)
+        };
+        let specs = vec![
+            endpoint_spec(PREFILL, 0, 0),
+            endpoint_spec(3, 0, 0),
+            endpoint_spec(4, 0, 0),
+            endpoint_spec(DECODE, 1, 0),
+        ];
+        let (mut driver, _) = Driver::seeded(settings, specs, u64::from(me) + 1);
+        let served = |driver: &mut Driver, id: u32| {
+            let sent = routes(&driver.arrive(request_spec(id, driver.now)));
+            for (id, endpoint) in &sent {
+                driver.on(result(*id, 0, *endpoint, PREFILLED));
+                driver.on(Event::StreamStarted {
+                    id: RequestId(*id),
+                    attempt: 1,
+                    endpoint: EndpointId(DECODE),
+                    elapsed: 1,
+                });
+                driver.on(result(*id, 1, DECODE, Outcome::Completed));
+            }
+            driver.pass(SECOND);
+            sent
+        };
+        (0..10).for_each(|id| drop(served(&mut driver, id)));
+        let cold = EndpointSpec {
+            started_at: Some(driver.now),
+            ..endpoint_spec(PREFILL, 0, 0)
+        };
+        driver.on(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![cold])));
+        for id in 10..22 {
+            let at = driver.now;
+            let to_cold = served(&mut driver, id)
+                .iter()
+                .filter(|(_, endpoint)| *endpoint == PREFILL)
+                .count();
+            times.extend(vec![at; to_cold]);
+        }
+    }
+    let bears = |t: Micros| {
+        let warmth = 0.25 + 0.75 * (t - START - 10 * SECOND) as f64 / (13 * SECOND) as f64;
+        (2.0 * f64::from(router_count) / 2.0 * 2.5 * warmth).max(1.0)
+    };
+    let sent = |t: Micros| {
+        times
+            .iter()
+            .filter(|u| (t..t + 2 * SECOND).contains(u))
+            .count()
+    };
+    let worst = times
+        .iter()
+        .map(|t| sent(*t) as f64 / bears(*t))
+        .fold(0.0, f64::max);
+    (times.len(), worst)
+}
+
+#[test]
+fn many_routers_together_do_not_overload_a_restarted_endpoint() {
+    // Half of what comes in is what each of the two warm prefill endpoints carries meanwhile; the
+    // cold one bears 2.5 times the part of that which it can do by then in two seconds: a quarter
+    // at first, all of it after 13 s.
+    for router_count in [3, 120] {
+        let (sent, worst) = most_sends_to_a_cold_endpoint(router_count);
+        assert!(
+            worst <= 1.0,
+            "{router_count} routers sent {sent}, {worst} of its capacity"
+        );
+    }
+    // It is given a good part of what it can do as it warms, else the warm ones carry all of it.
+    let (sent, _) = most_sends_to_a_cold_endpoint(120);
+    assert!(sent > 120, "{sent} sends in 12 s");
+}
+
+#[test]
+fn a_new_router_sends_no_burst_to_a_restarted_endpoint() {
+    for router_count in [None, Some(0), Some(3), Some(300)] {
+        let cold = EndpointSpec {
+            started_at: Some(START - 1),
+            ..endpoint_spec(PREFILL, 0, 0)
+        };
+        let settings = Settings {
+            router_count,
+            ..settings(Idempotency::Idempotent)
+        };
+        let (mut driver, _) = Driver::new(settings, vec![cold, endpoint_spec(DECODE, 1, 0)]);
+        let sent: usize = (0..20)
+            .map(|id| routes(&driver.arrive(request_spec(id, START))).len())
+            .sum();
+        assert!(sent <= 1, "{sent} with {router_count:?} routers");
+    }
+}
