--- /dev/null
+++ b/crates/routing-policy/tests/decision_trace/scenarios.rs
@@ -0,0 +1,322 @@
+//! The courses: settings, endpoints and scripts.
+
+use cranetack_routing_policy::*;
+
+use crate::common;
+use crate::course::{Behaviour, Change, Course, MILLISECOND, SECOND};
+
+fn class(idempotency: Idempotency, aim: Micros, worth: f64) -> Class {
+    Class {
+        latency_objective: Some(aim),
+        latency_objective_per_1000_tokens: Some(120_000.0),
+        token_interval_objective: Some(70_000),
+        idempotency,
+        dedup_window: Some(2 * SECOND),
+        priority_weight: Some(worth),
+    }
+}
+
+fn settings() -> Settings {
+    Settings {
+        router_count: Some(4),
+        router_index: Some(1),
+        zone: Some(ZoneId(0)),
+        classes: vec![
+            class(Idempotency::Idempotent, SECOND, 1.0),
+            class(Idempotency::Keyed(KeyScope::All), 800 * MILLISECOND, 3.0),
+            class(Idempotency::Keyed(KeyScope::Zone), 2 * SECOND, 0.5),
+            class(Idempotency::Keyed(KeyScope::Cell), SECOND, 1.5),
+            class(Idempotency::NonIdempotent, SECOND, 2.0),
+        ],
+        kinds: [Role::Prefill, Role::Decode, Role::Mixed]
+            .map(|kind_of| Kind {
+                role: Some(kind_of),
+                memory_tokens: Some(100_000.0),
+            })
+            .to_vec(),
+        event_interval: Some(2_000),
+        slot_reservations: true,
+        resumable_streams: true,
+        kv_lease_timeout: Some(SECOND / 2),
+        load_reporting: LoadReporting::WithOutcomes,
+        cancellation: true,
+        gossip: true,
+        max_attempts: Some(4),
+        retry_after: true,
+        max_retry_after: Some(2 * SECOND),
+        response_slack: Some(8_000),
+        overload_multiple: Some(2.5),
+        overload_window: Some(2 * SECOND),
+        cold_capacity: Some(0.25),
+        warm_up: Some(8 * SECOND),
+        ..Settings::default()
+    }
+}
+
+fn server(number: u64, kind: usize, cell: i64) -> EndpointSpec {
+    EndpointSpec {
+        zone: ZoneId((cell / 2) as usize),
+        ..common::endpoint_spec(number, kind, cell)
+    }
+}
+
+/// Prefill servers 1 to 9, decode servers from 11, in four cells of two zones.
+fn split_servers() -> Vec<EndpointSpec> {
+    let prefill_endpoints = (1..=7).map(|n| server(n, 0, (n % 4) as i64));
+    let decode_endpoints = (11..=16).map(|n| server(n, 1, (n % 4) as i64));
+    prefill_endpoints.chain(decode_endpoints).collect()
+}
+
+fn mixed_servers() -> Vec<EndpointSpec> {
+    let whole = (21..=25).map(|n| server(n, 2, (n % 4) as i64));
+    let decode_endpoints = (11..=12).map(|n| server(n, 1, (n % 4) as i64));
+    whole.chain(decode_endpoints).collect()
+}
+
+fn calm_then_faults() -> Course {
+    let mut course = Course::new(settings(), split_servers(), 1);
+    let script = vec![
+        (0, Change::Rate(25.0)),
+        (4 * SECOND, Change::Behave(3, Behaviour::Failing)),
+        (6 * SECOND, Change::Behave(12, Behaviour::Full)),
+        (8 * SECOND, Change::Behave(5, Behaviour::Slow)),
+        (10 * SECOND, Change::Behave(3, Behaviour::Normal)),
+        (12 * SECOND, Change::Statuses),
+        (14 * SECOND, Change::Behave(12, Behaviour::Normal)),
+        (15 * SECOND, Change::Behave(14, Behaviour::Silent)),
+        (18 * SECOND, Change::Behave(2, Behaviour::Silent)),
+        (22 * SECOND, Change::Behave(14, Behaviour::Normal)),
+        (23 * SECOND, Change::Statuses),
+    ];
+    course.play(26 * SECOND, script);
+    course
+}
+
+fn list_updates() -> Course {
+    let mut course = Course::new(settings(), split_servers(), 2);
+    let script = vec![
+        (0, Change::Rate(20.0)),
+        (SECOND, Change::Snapshot),
+        (3 * SECOND, Change::Drain(1)),
+        (3 * SECOND, Change::Drain(11)),
+        (5 * SECOND, Change::Remove(1)),
+        (6 * SECOND, Change::Restart(11)),
+        (7 * SECOND, Change::Add(server(8, 0, 1))),
+        (8 * SECOND, Change::PollFailed),
+        (9 * SECOND, Change::Restart(2)),
+        (9 * SECOND, Change::Restart(3)),
+        (12 * SECOND, Change::Statuses),
+        (13 * SECOND, Change::Restored),
+        (14 * SECOND, Change::Add(server(17, 1, 3))),
+        (16 * SECOND, Change::Remove(12)),
+        (17 * SECOND, Change::Snapshot),
+        (20 * SECOND, Change::Statuses),
+    ];
+    course.play(24 * SECOND, script);
+    course
+}
+
+fn slow_start_in_a_large_fleet() -> Course {
+    let settings = Settings {
+        router_count: Some(40),
+        ..settings()
+    };
+    let mut course = Course::new(settings, split_servers(), 3);
+    let restarts = [1, 2, 3, 4, 11, 12, 13].map(|n| {
+        (
+            8 * SECOND + n as Micros * 20 * MILLISECOND,
+            Change::Restart(n),
+        )
+    });
+    let mut script = vec![
+        (0, Change::Rate(6.0)),
+        (SECOND, Change::Snapshot),
+        (8 * SECOND, Change::Snapshot),
+    ];
+    script.extend(restarts);
+    script.push((10 * SECOND, Change::Statuses));
+    script.push((12 * SECOND, Change::Rate(20.0)));
+    course.play(20 * SECOND, script);
+    course
+}
+
+fn overload() -> Course {
+    let mut course = Course::new(settings(), split_servers(), 4);
+    let script = vec![
+        (0, Change::Rate(150.0)),
+        (4 * SECOND, Change::Behave(2, Behaviour::Full)),
+        (5 * SECOND, Change::Behave(13, Behaviour::Slow)),
+        (8 * SECOND, Change::Rate(15.0)),
+        (12 * SECOND, Change::Statuses),
+    ];
+    course.play(14 * SECOND, script);
+    course
+}
+
+fn mixed_servers_that_report_on_probes() -> Course {
+    let settings = Settings {
+        load_reporting: LoadReporting::OnHealthCheck,
+        health_checks: true,
+        decode_can_prefill: true,
+        slot_reservations: false,
+        endpoints_are_polled: true,
+        poll_interval: Some(3 * SECOND),
+        router_count: Some(0),
+        ..settings()
+    };
+    let mut course = Course::new(settings, mixed_servers(), 5);
+    let script = vec![
+        (0, Change::Rate(12.0)),
+        (4 * SECOND, Change::Behave(22, Behaviour::Silent)),
+        (6 * SECOND, Change::Behave(23, Behaviour::Slow)),
+        (8 * SECOND, Change::Restart(24)),
+        (9 * SECOND, Change::Rate(50.0)),
+        (11 * SECOND, Change::Statuses),
+        (12 * SECOND, Change::Behave(22, Behaviour::Normal)),
+        (13 * SECOND, Change::Rate(8.0)),
+        (14 * SECOND, Change::Remove(21)),
+    ];
+    course.play(18 * SECOND, script);
+    course
+}
+
+fn probes_before_prefills() -> Course {
+    let settings = Settings {
+        load_reporting: LoadReporting::OnHealthCheck,
+        health_checks: true,
+        ..settings()
+    };
+    let mut course = Course::new(settings, split_servers(), 6);
+    let script = vec![
+        (0, Change::Rate(6.0)),
+        (5 * SECOND, Change::Behave(4, Behaviour::Silent)),
+        (8 * SECOND, Change::Rate(25.0)),
+        (10 * SECOND, Change::Behave(4, Behaviour::Normal)),
+        (11 * SECOND, Change::Statuses),
+    ];
+    course.play(14 * SECOND, script);
+    course
+}
+
+fn shutdown_with_gossip() -> Course {
+    let settings = Settings {
+        router_count: Some(9),
+        ..settings()
+    };
+    let mut course = Course::new(settings, split_servers(), 7);
+    let script = vec![
+        (0, Change::Rate(40.0)),
+        (SECOND, Change::PeerLeaves(2)),
+        (2 * SECOND, Change::PeerLeaves(1)),
+        (3 * SECOND, Change::PeerLeaves(3)),
+        (5 * SECOND, Change::Behave(6, Behaviour::Silent)),
+        (5 * SECOND, Change::PeerLeaves(5)),
+        (
+            6 * SECOND,
+            Change::Shutdown {
+                from: 700 * MILLISECOND,
+                by: 3 * SECOND,
+            },
+        ),
+        (6_500 * MILLISECOND, Change::Rate(4.0)),
+    ];
+    course.play(12 * SECOND, script);
+    course
+}
+
+fn shutdown_while_all_peers_are_away() -> Course {
+    let settings = Settings {
+        router_count: Some(3),
+        ..settings()
+    };
+    let mut course = Course::new(settings, split_servers(), 8);
+    let script = vec![
+        (0, Change::Rate(30.0)),
+        (2 * SECOND, Change::PeerLeaves(0)),
+        (2 * SECOND, Change::PeerLeaves(2)),
+        (
+            3 * SECOND,
+            Change::Shutdown {
+                from: 500 * MILLISECOND,
+                by: 6 * SECOND,
+            },
+        ),
+        (4 * SECOND, Change::Rate(10.0)),
+    ];
+    course.play(12 * SECOND, script);
+    course
+}
+
+fn nothing_optional() -> Course {
+    let settings = Settings {
+        classes: vec![
+            Class::default(),
+            Class {
+                idempotency: Idempotency::Idempotent,
+                ..Class::default()
+            },
+        ],
+        kinds: settings().kinds,
+        ..Settings::default()
+    };
+    let mut course = Course::new(settings, split_servers(), 9);
+    let script = vec![
+        (0, Change::Rate(25.0)),
+        (4 * SECOND, Change::Restart(3)),
+        (5 * SECOND, Change::Behave(15, Behaviour::Silent)),
+        (
+            8 * SECOND,
+            Change::Shutdown {
+                from: SECOND,
+                by: 2 * SECOND,
+            },
+        ),
+    ];
+    course.play(12 * SECOND, script);
+    course
+}
+
+fn many_sessions_and_prefixes_in_skewed_cells() -> Course {
+    let mut servers = split_servers();
+    servers.retain(|member| member.cell.0 != 2 || member.kind.0 == 0);
+    servers.extend((31..=33).map(|n| server(n, 2, 1)));
+    let settings = Settings {
+        zone: Some(ZoneId(1)),
+        cancellation: false,
+        ..settings()
+    };
+    let mut course = Course::new(settings, servers, 10);
+    let script = vec![
+        (0, Change::Rate(60.0)),
+        (6 * SECOND, Change::Behave(31, Behaviour::Slow)),
+        (8 * SECOND, Change::Behave(4, Behaviour::Slow)),
+        (10 * SECOND, Change::Statuses),
+    ];
+    course.play(16 * SECOND, script);
+    course
+}
+
+/// All courses with their names in the record.
+pub fn courses() -> Vec<(&'static str, Course)> {
+    vec![
+        ("calm_then_faults", calm_then_faults()),
+        ("list_updates", list_updates()),
+        ("slow_start_in_a_large_fleet", slow_start_in_a_large_fleet()),
+        ("overload", overload()),
+        (
+            "mixed_servers_that_report_on_probes",
+            mixed_servers_that_report_on_probes(),
+        ),
+        ("probes_before_prefills", probes_before_prefills()),
+        ("shutdown_with_gossip", shutdown_with_gossip()),
+        (
+            "shutdown_while_all_peers_are_away",
+            shutdown_while_all_peers_are_away(),
+        ),
+        ("nothing_optional", nothing_optional()),
+        (
+            "many_sessions_and_prefixes_in_skewed_cells",
+            many_sessions_and_prefixes_in_skewed_cells(),
+        ),
+    ]
+}
