--- a/crates/router/tests/core.rs
+++ b/crates/router/tests/core.rs
@@ -1,4 +1,4 @@
-//! The core alone, with an upstream that only outbound what it is calls and a clock that is set by hand.
+//! The core alone, with an upstream that only records its calls and a clock that is set by hand.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -30,11 +30,11 @@
 struct RecordingOutbound {
     calls: Rc<RefCell<Vec<Call>>>,
     panics: Rc<Cell<bool>>,
-    /// By when the attempt made last must have a connection.
+    /// By when the latest attempt must have a connection.
     write_by: Rc<Cell<Option<Instant>>>,
-    /// Whether the request of the attempt made last still wants an answer.
+    /// Whether the request of the latest attempt still needs a response.
     is_live: Rc<RefCell<Rc<Cell<bool>>>>,
-    /// The servers through which something was let go last, in the order in which they are tried.
+    /// The endpoints through which state was released last, in the order in which they are tried.
     through: Rc<RefCell<Vec<String>>>,
 }
 
@@ -58,8 +58,8 @@
     fn cancel(&mut self, attempt: AttemptId, _streaming: bool) {
         self.record(Call::Cancel(attempt));
     }
-    fn reserve_slot(&mut self, _prefill: AttemptId, _request_id: Rc<str>, writer: Rc<Endpoint>) {
-        self.record(Call::ReserveSlot(writer.name.clone()));
+    fn reserve_slot(&mut self, _prefill: AttemptId, _request_id: Rc<str>, decode: Rc<Endpoint>) {
+        self.record(Call::ReserveSlot(decode.name.clone()));
     }
     fn release_state(
         &mut self,
@@ -67,8 +67,12 @@
         request_id: Rc<str>,
         endpoints: Vec<Rc<Endpoint>>,
     ) {
-        self.through
-            .replace(endpoints.iter().map(|h| h.name.clone()).collect());
+        self.through.replace(
+            endpoints
+                .iter()
+                .map(|endpoint| endpoint.name.clone())
+                .collect(),
+        );
         self.record(Call::Release(request_id.to_string()));
     }
     fn health_check(&mut self, _endpoint: Rc<Endpoint>) {}
@@ -78,14 +82,14 @@
     fn gossip(&mut self, _to: Option<u32>, _payload: Vec<u8>) {}
 }
 
-struct Bench {
+struct CoreHarness {
     core: Core<RecordingOutbound>,
     outbound: RecordingOutbound,
     handle: Handle,
     events: UnboundedReceiver<CoreEvent>,
 }
 
-fn listed(name: &str, kind: usize, state: EndpointState) -> EndpointEntry {
+fn entry(name: &str, kind: usize, state: EndpointState) -> EndpointEntry {
     EndpointEntry {
         name: name.to_owned(),
         address: "127.0.0.1:1".parse().unwrap(),
@@ -98,8 +102,8 @@
     }
 }
 
-impl Bench {
-    fn new(effect: Idempotency) -> Bench {
+impl CoreHarness {
+    fn new(effect: Idempotency) -> CoreHarness {
         let settings = Settings {
             classes: vec![Class {
                 idempotency: effect,
@@ -121,14 +125,14 @@
         };
         let (outbound, (handle, events)) = (RecordingOutbound::default(), Handle::new());
         let mut core = Core::new(settings, 7, Clock::system(), outbound.clone());
-        let lines = vec![
-            listed("reader", 0, EndpointState::Active),
-            listed("writer", 1, EndpointState::Active),
+        let entries = vec![
+            entry("prefill", 0, EndpointState::Active),
+            entry("decode", 1, EndpointState::Active),
         ];
         core.handle(CoreEvent::EndpointsUpdated(EndpointListUpdate::Restored(
-            lines,
+            entries,
         )));
-        Bench {
+        CoreHarness {
             core,
             outbound,
             handle,
@@ -142,46 +146,46 @@
         }
     }
 
-    fn ask(&mut self) -> ResponseHandle {
-        let caller = hand_in(&self.handle, "q");
+    fn submit(&mut self) -> ResponseHandle {
+        let response = submit(&self.handle, "q");
         self.drain();
-        caller
+        response
     }
 
-    fn ended(&mut self, number: u32, outcome: Outcome) {
+    fn end_attempt(&mut self, number: u32, outcome: Outcome) {
         self.core.handle(CoreEvent::AttemptEnded {
             attempt: attempt(number),
             report: AttemptReport::from(outcome),
         });
     }
 
-    /// A prompt that has been read: the attempt at the writer is out.
-    fn read(&mut self) -> ResponseHandle {
-        let caller = self.ask();
-        self.ended(0, Outcome::Prefilled { cached_tokens: 0 });
+    /// A prompt that has been processed: the attempt at the decode endpoint is in flight.
+    fn prefill(&mut self) -> ResponseHandle {
+        let response = self.submit();
+        self.end_attempt(0, Outcome::Prefilled { cached_tokens: 0 });
         assert_eq!(
             self.outbound.take(),
             [
-                Call::Send(attempt(0), "reader".to_owned()),
-                Call::ReserveSlot("writer".to_owned()),
-                Call::Send(attempt(1), "writer".to_owned())
+                Call::Send(attempt(0), "prefill".to_owned()),
+                Call::ReserveSlot("decode".to_owned()),
+                Call::Send(attempt(1), "decode".to_owned())
             ]
         );
-        caller
+        response
     }
 
-    fn placed(&mut self, place: SlotReservation) {
-        let endpoint = Endpoint::new("writer", "127.0.0.1:1".parse().unwrap()).id;
+    fn answer_reservation(&mut self, reservation: SlotReservation) {
+        let endpoint = Endpoint::new("decode", "127.0.0.1:1".parse().unwrap()).id;
         self.core.handle(CoreEvent::SlotReservationAnswered {
             prefill_attempt: attempt(0),
             request_id: "q".into(),
             endpoint,
-            reservation: place,
+            reservation,
         });
     }
 }
 
-fn hand_in(handle: &Handle, name: &str) -> ResponseHandle {
+fn submit(handle: &Handle, name: &str) -> ResponseHandle {
     handle.submit(incoming(name))
 }
 
@@ -211,161 +215,164 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_client_that_leaves_has_its_attempt_withdrawn_and_its_state_released_at_once() {
-    let mut bench = Bench::new(Idempotency::Idempotent);
-    let caller = bench.ask();
-    bench.outbound.take();
-    drop(caller);
-    bench.drain();
-    assert_eq!(bench.outbound.take(), [Call::Cancel(attempt(0))]);
-    bench.ended(0, Outcome::Cancelled);
-    assert_eq!(bench.outbound.take(), [Call::Release("q".to_owned())]);
+async fn a_disconnected_client_has_its_attempt_cancelled_and_its_state_released_at_once() {
+    let mut harness = CoreHarness::new(Idempotency::Idempotent);
+    let response = harness.submit();
+    harness.outbound.take();
+    drop(response);
+    harness.drain();
+    assert_eq!(harness.outbound.take(), [Call::Cancel(attempt(0))]);
+    harness.end_attempt(0, Outcome::Cancelled);
+    assert_eq!(harness.outbound.take(), [Call::Release("q".to_owned())]);
 }
 
-/// Guards against an attempt that is written after its request has ended, as its connection came up late: also where
-/// the settings do not let attempts be called off.
+/// Its connection may come up late, also where the settings do not let attempts be cancelled.
 #[tokio::test(start_paused = true)]
 async fn an_attempt_that_is_not_written_yet_sees_that_its_request_has_ended() {
-    let mut bench = Bench::new(Idempotency::Idempotent);
-    let caller = bench.ask();
-    assert!(bench.outbound.is_live.borrow().get());
-    drop(caller);
-    bench.drain();
-    assert!(!bench.outbound.is_live.borrow().get());
+    let mut harness = CoreHarness::new(Idempotency::Idempotent);
+    let response = harness.submit();
+    assert!(harness.outbound.is_live.borrow().get());
+    drop(response);
+    harness.drain();
+    assert!(!harness.outbound.is_live.borrow().get());
 }
 
-/// Guards against connections to a process that has gone, whose machine may have vanished without a word.
+/// The process before is gone, and its machine may have vanished without a word.
 #[tokio::test(start_paused = true)]
-async fn a_server_that_has_started_anew_has_its_kept_connections_closed() {
-    let mut bench = Bench::new(Idempotency::Idempotent);
-    let reader = Endpoint::new("reader", "127.0.0.1:1".parse().unwrap()).id;
+async fn a_restarted_endpoint_has_its_idle_connections_closed() {
+    let mut harness = CoreHarness::new(Idempotency::Idempotent);
+    let prefill = Endpoint::new("prefill", "127.0.0.1:1".parse().unwrap()).id;
     for (started_at, calls) in [
         (None, vec![]),
-        (Some(7), vec![Call::Closed(reader)]),
+        (Some(7), vec![Call::Closed(prefill)]),
         (Some(7), vec![]),
     ] {
-        let line = EndpointEntry {
+        let entry = EndpointEntry {
             started_at,
-            ..listed("reader", 0, EndpointState::Active)
+            ..entry("prefill", 0, EndpointState::Active)
         };
-        bench
+        harness
             .core
             .handle(CoreEvent::EndpointsUpdated(EndpointListUpdate::Delta(
-                vec![line],
+                vec![entry],
             )));
-        assert_eq!(bench.outbound.take(), calls, "{started_at:?}");
+        assert_eq!(harness.outbound.take(), calls, "{started_at:?}");
     }
 }
 
-/// Guards against a drain that is not heard, as nothing but the name can be read of its line.
+/// No more than the name could be read of its entry.
 #[tokio::test(start_paused = true)]
-async fn a_server_of_which_only_its_leaving_is_told_gets_nothing_new() {
-    let mut bench = Bench::new(Idempotency::Idempotent);
-    bench.core.handle(CoreEvent::EndpointsDraining(vec![
-        "reader".to_owned(),
+async fn an_endpoint_of_which_only_the_drain_is_known_gets_no_requests() {
+    let mut harness = CoreHarness::new(Idempotency::Idempotent);
+    harness.core.handle(CoreEvent::EndpointsDraining(vec![
+        "prefill".to_owned(),
         "unknown".to_owned(),
     ]));
-    let _caller = bench.ask();
-    bench.drain();
-    assert!(!bench
+    let _caller = harness.submit();
+    harness.drain();
+    assert!(!harness
         .outbound
         .take()
         .iter()
         .any(|calls| matches!(calls, Call::Send(..))));
 }
 
-/// Guards against a place that stays held: the writer's answer crossed the end of the request.
+/// The decode endpoint's response may cross the end of the request.
 #[tokio::test(start_paused = true)]
-async fn a_place_granted_after_the_end_is_released() {
-    for place in [SlotReservation::Granted, SlotReservation::Unknown] {
-        let mut bench = Bench::new(Idempotency::Idempotent);
-        drop(bench.ask());
-        bench.drain();
-        bench.ended(0, Outcome::Cancelled);
-        bench.outbound.take();
-        bench.placed(place);
-        assert_eq!(bench.outbound.take(), [Call::Release("q".to_owned())]);
+async fn a_slot_reserved_after_the_end_is_released() {
+    for reservation in [SlotReservation::Granted, SlotReservation::Unknown] {
+        let mut harness = CoreHarness::new(Idempotency::Idempotent);
+        drop(harness.submit());
+        harness.drain();
+        harness.end_attempt(0, Outcome::Cancelled);
+        harness.outbound.take();
+        harness.answer_reservation(reservation);
+        assert_eq!(harness.outbound.take(), [Call::Release("q".to_owned())]);
     }
-    let mut bench = Bench::new(Idempotency::Idempotent);
-    let _caller = bench.ask();
-    bench.outbound.take();
-    bench.placed(SlotReservation::Granted);
-    assert_eq!(bench.outbound.take(), [], "one that is still is_live stays");
+    let mut harness = CoreHarness::new(Idempotency::Idempotent);
+    let _caller = harness.submit();
+    harness.outbound.take();
+    harness.answer_reservation(SlotReservation::Granted);
+    assert_eq!(
+        harness.outbound.take(),
+        [],
+        "a slot that is still needed stays"
+    );
 }
 
-/// Guards against a place that is held for nobody: the read was written to a connection that had gone silent, so that
-/// none of the attempts was out, and the writer answered after 0.3 s that it knew of no read.
+/// The prefill may have been written to a connection that had fallen silent, so that no attempt is
+/// in flight, and the decode endpoint responds after 0.3 s that it knows of no prefill.
 #[tokio::test(start_paused = true)]
-async fn a_place_of_which_the_writer_is_unsure_is_released_while_the_read_is_awaited() {
-    let mut bench = Bench::new(Idempotency::Idempotent);
-    let _caller = bench.ask();
-    bench.outbound.take();
-    bench.placed(SlotReservation::Unknown);
-    assert_eq!(bench.outbound.take(), [Call::Release("q".to_owned())]);
-    // The read comes to its end after all: it is answered as ever.
-    bench.ended(0, Outcome::Prefilled { cached_tokens: 0 });
+async fn an_unconfirmed_slot_is_released_while_the_prefill_is_waited_for() {
+    let mut harness = CoreHarness::new(Idempotency::Idempotent);
+    let _caller = harness.submit();
+    harness.outbound.take();
+    harness.answer_reservation(SlotReservation::Unknown);
+    assert_eq!(harness.outbound.take(), [Call::Release("q".to_owned())]);
+    // The prefill ends after all: the request is served as usual.
+    harness.end_attempt(0, Outcome::Prefilled { cached_tokens: 0 });
     assert_eq!(
-        bench.outbound.take(),
-        [Call::Send(attempt(1), "writer".to_owned())]
+        harness.outbound.take(),
+        [Call::Send(attempt(1), "decode".to_owned())]
     );
-    bench.placed(SlotReservation::Unknown);
+    harness.answer_reservation(SlotReservation::Unknown);
     assert_eq!(
-        bench.outbound.take(),
+        harness.outbound.take(),
         [],
-        "a state that is being written is not let go under it"
+        "KV state that is being fetched is not released"
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_unsafe_request_that_may_have_run_fails_at_once_and_is_not_sent_again() {
-    let mut bench = Bench::new(Idempotency::NonIdempotent);
-    let caller = bench.read();
-    bench.ended(1, Outcome::ConnectionReset(ResetCause::InUse));
-    assert_eq!(bench.outbound.take(), [Call::Release("q".to_owned())]);
-    assert!(matches!(caller.response().await.0, FinalResponse::Failed));
+async fn a_non_idempotent_request_that_may_have_been_executed_fails_at_once_without_a_retry() {
+    let mut harness = CoreHarness::new(Idempotency::NonIdempotent);
+    let response = harness.prefill();
+    harness.end_attempt(1, Outcome::ConnectionReset(ResetCause::InUse));
+    assert_eq!(harness.outbound.take(), [Call::Release("q".to_owned())]);
+    assert!(matches!(response.response().await.0, FinalResponse::Failed));
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_unsafe_request_that_cannot_have_run_is_sent_again() {
-    let mut bench = Bench::new(Idempotency::NonIdempotent);
-    let _caller = bench.read();
-    bench.ended(1, Outcome::ConnectFailed(ConnectFailure::Unreachable));
-    // The writer that failed is set aside; the state waits no longer than its limit.
-    assert_eq!(bench.outbound.take(), []);
+async fn a_non_idempotent_request_that_was_not_executed_is_retried() {
+    let mut harness = CoreHarness::new(Idempotency::NonIdempotent);
+    let _caller = harness.prefill();
+    harness.end_attempt(1, Outcome::ConnectFailed(ConnectFailure::Unreachable));
+    // The decode endpoint that failed is ejected; the KV state waits no longer than its lease.
+    assert_eq!(harness.outbound.take(), []);
     tokio::time::advance(Duration::from_millis(200)).await;
-    bench.core.fire();
-    assert_eq!(bench.outbound.take()[0], Call::Release("q".to_owned()));
+    harness.core.fire();
+    assert_eq!(harness.outbound.take()[0], Call::Release("q".to_owned()));
 }
 
-/// Guards against a state that stays held while one writer after another cannot be reached, as where a zone is cut off:
-/// each connection had 250 ms, and the time began anew after each.
+/// Where a zone is cut off, one decode endpoint after another cannot be reached: the attempts
+/// together take no longer than the KV lease.
 #[tokio::test(start_paused = true)]
-async fn what_is_held_waits_no_longer_than_its_limit_for_connections_that_do_not_come_up() {
-    let mut bench = Bench::new(Idempotency::NonIdempotent);
-    let writers = (0..9)
-        .map(|n| listed(&format!("writer {n}"), 1, EndpointState::Active))
+async fn kv_state_waits_no_longer_than_its_lease_for_connections_that_do_not_come_up() {
+    let mut harness = CoreHarness::new(Idempotency::NonIdempotent);
+    let decode_entries = (0..9)
+        .map(|n| entry(&format!("decode {n}"), 1, EndpointState::Active))
         .collect();
-    bench
+    harness
         .core
         .handle(CoreEvent::EndpointsUpdated(EndpointListUpdate::Delta(
-            writers,
+            decode_entries,
         )));
-    let _caller = bench.ask();
-    bench.ended(0, Outcome::Prefilled { cached_tokens: 0 });
+    let _caller = harness.submit();
+    harness.end_attempt(0, Outcome::Prefilled { cached_tokens: 0 });
     let read = Instant::now();
     let mut tried = 0;
     loop {
-        let calls = bench.outbound.take();
+        let calls = harness.outbound.take();
         if calls.contains(&Call::Release("q".to_owned())) {
             break;
         }
         let sent = calls.iter().find_map(|calls| match calls {
-            Call::Send(attempt, endpoint) if endpoint != "reader" => Some(attempt.number),
+            Call::Send(attempt, endpoint) if endpoint != "prefill" => Some(attempt.number),
             _ => None,
         });
-        tokio::time::sleep_until(bench.outbound.write_by.get().unwrap()).await;
-        bench.ended(
-            sent.expect("another writer, or the end"),
+        tokio::time::sleep_until(harness.outbound.write_by.get().unwrap()).await;
+        harness.end_attempt(
+            sent.expect("another decode endpoint, or the end"),
             Outcome::ConnectFailed(ConnectFailure::Unreachable),
         );
         tried += 1;
@@ -377,83 +384,86 @@
     );
 }
 
-/// Guards against calls that let go at one unreachable server after another while what is held waits.
+/// Releases must not be tried at one unreachable endpoint after another.
 #[tokio::test(start_paused = true)]
-async fn what_is_held_is_let_go_through_the_servers_that_answered_last() {
-    let mut bench = Bench::new(Idempotency::NonIdempotent);
+async fn state_is_released_through_the_endpoints_that_responded_last() {
+    let mut harness = CoreHarness::new(Idempotency::NonIdempotent);
     let others = (0..20)
-        .map(|n| listed(&format!("other {n}"), 1, EndpointState::Active))
+        .map(|n| entry(&format!("other {n}"), 1, EndpointState::Active))
         .collect();
-    bench
+    harness
         .core
         .handle(CoreEvent::EndpointsUpdated(EndpointListUpdate::Delta(
             others,
         )));
-    let probed = Endpoint::new("other 7", "127.0.0.1:1".parse().unwrap()).id;
+    let checked = Endpoint::new("other 7", "127.0.0.1:1".parse().unwrap()).id;
     let (outcome, elapsed) = (Outcome::Completed, Duration::from_millis(1));
-    bench.core.handle(CoreEvent::HealthChecked {
-        endpoint: probed,
+    harness.core.handle(CoreEvent::HealthChecked {
+        endpoint: checked,
         outcome,
         elapsed,
         load: None,
     });
     tokio::time::advance(Duration::from_millis(1)).await;
-    let caller = bench.ask();
-    bench.ended(0, Outcome::Prefilled { cached_tokens: 0 });
-    drop(caller);
-    bench.drain();
-    bench.ended(1, Outcome::ConnectFailed(ConnectFailure::Unreachable));
-    assert_eq!(bench.outbound.through.borrow()[..2], ["reader", "other 7"]);
-    assert_eq!(bench.outbound.through.borrow().len(), 22);
+    let response = harness.submit();
+    harness.end_attempt(0, Outcome::Prefilled { cached_tokens: 0 });
+    drop(response);
+    harness.drain();
+    harness.end_attempt(1, Outcome::ConnectFailed(ConnectFailure::Unreachable));
+    assert_eq!(
+        harness.outbound.through.borrow()[..2],
+        ["prefill", "other 7"]
+    );
+    assert_eq!(harness.outbound.through.borrow().len(), 22);
 }
 
-/// Guards against two ends of one request: what comes after the answer has begun changes nothing.
+/// What comes after the response has begun changes nothing.
 #[tokio::test(start_paused = true)]
-async fn an_answer_that_has_begun_is_the_only_one() {
-    let mut bench = Bench::new(Idempotency::Idempotent);
-    let caller = bench.read();
+async fn a_response_that_has_begun_is_the_only_one() {
+    let mut harness = CoreHarness::new(Idempotency::Idempotent);
+    let response = harness.prefill();
     let (sender, body) = exchange::body_channel();
     let media_type = "text/event-stream".to_owned();
-    bench.core.handle(CoreEvent::StreamStarted {
+    harness.core.handle(CoreEvent::StreamStarted {
         attempt: attempt(1),
         media_type,
         body,
     });
     drop(sender);
-    bench.ended(1, Outcome::ConnectionReset(ResetCause::InUse));
-    bench.ended(1, Outcome::Completed);
-    let (answer, _gone) = caller.response().await;
+    harness.end_attempt(1, Outcome::ConnectionReset(ResetCause::InUse));
+    harness.end_attempt(1, Outcome::Completed);
+    let (answer, _gone) = response.response().await;
     let FinalResponse::Streaming { mut body, .. } = answer else {
         panic!("{answer:?}")
     };
     let broken = std::future::poll_fn(|cx| body.poll_next(cx)).await;
     assert_eq!(broken, Some(Err(exchange::IncompleteBody)));
     tokio::time::advance(Duration::from_secs(3)).await;
-    bench.core.fire();
-    assert_eq!(bench.outbound.take(), [], "nothing further is sent");
+    harness.core.fire();
+    assert_eq!(harness.outbound.take(), [], "nothing further is sent");
 }
 
-/// Guards against a panic that loses the process: what is open fails, and what comes next is served.
+/// A panic must not end the process.
 #[tokio::test(start_paused = true)]
-async fn a_panic_fails_what_is_open_and_the_next_request_is_served() {
-    let bench = Bench::new(Idempotency::Idempotent);
-    bench.outbound.panics.set(true);
-    let first = hand_in(&bench.handle, "q");
-    let Bench {
+async fn a_panic_fails_open_requests_and_the_next_one_is_served() {
+    let harness = CoreHarness::new(Idempotency::Idempotent);
+    harness.outbound.panics.set(true);
+    let first = submit(&harness.handle, "q");
+    let CoreHarness {
         core,
         outbound,
         handle,
         events,
-    } = bench;
+    } = harness;
     let serving = async {
         assert!(matches!(first.response().await.0, FinalResponse::Failed));
         assert_eq!(
             outbound.take(),
             [Call::Cancel(attempt(0)), Call::Release("q".to_owned())]
         );
-        let _second = hand_in(&handle, "r");
+        let _second = submit(&handle, "r");
         tokio::time::sleep(Duration::from_millis(1)).await;
-        let sent = |calls: &Call| matches!(calls, Call::Send(_, endpoint) if endpoint == "reader");
+        let sent = |calls: &Call| matches!(calls, Call::Send(_, endpoint) if endpoint == "prefill");
         assert!(outbound.take().iter().any(sent));
     };
     tokio::select! {
@@ -462,73 +472,73 @@
     }
 }
 
-/// Guards against a wait past the deadline, and against a final answer that is held back until then: where
-/// no server takes the request the refusal comes as soon as there is no hope.
+/// Where no endpoint takes the request it is rejected as soon as there is no chance, not at its
+/// deadline.
 #[tokio::test(start_paused = true)]
-async fn a_request_without_hope_is_refused_no_later_than_its_deadline() {
-    let mut bench = Bench::new(Idempotency::Idempotent);
-    let lines = vec![
-        listed("reader", 0, EndpointState::Draining),
-        listed("writer", 1, EndpointState::Removed),
+async fn a_request_without_endpoints_is_rejected_no_later_than_its_deadline() {
+    let mut harness = CoreHarness::new(Idempotency::Idempotent);
+    let entries = vec![
+        entry("prefill", 0, EndpointState::Draining),
+        entry("decode", 1, EndpointState::Removed),
     ];
-    bench
+    harness
         .core
         .handle(CoreEvent::EndpointsUpdated(EndpointListUpdate::Delta(
-            lines,
+            entries,
         )));
-    bench.outbound.take();
-    let caller = bench.ask();
+    harness.outbound.take();
+    let response = harness.submit();
     tokio::time::advance(Duration::from_millis(2_010)).await;
-    bench.core.fire();
+    harness.core.fire();
     assert_eq!(
-        bench.outbound.take(),
+        harness.outbound.take(),
         [],
-        "nothing is sent to what drains or is gone"
+        "nothing is sent to endpoints that drain or were removed"
     );
     assert!(matches!(
-        caller.response().await.0,
+        response.response().await.0,
         FinalResponse::Rejected(_)
     ));
 }
 
-/// Guards against a refusal that overtakes its attempt: a client may ask again at once, while a server still works for
-/// the first try. Seen as an order refused at its deadline just before its read was called off.
+/// A client may try again as soon as it is rejected, while an endpoint still works for the first
+/// attempt.
 #[tokio::test(start_paused = true)]
-async fn a_refusal_waits_until_the_attempt_that_is_out_has_been_called_off() {
-    let mut bench = Bench::new(Idempotency::NonIdempotent);
-    let caller = bench.ask();
-    bench.outbound.take();
+async fn a_rejection_waits_until_the_attempt_in_flight_has_been_cancelled() {
+    let mut harness = CoreHarness::new(Idempotency::NonIdempotent);
+    let response = harness.submit();
+    harness.outbound.take();
     tokio::time::advance(Duration::from_millis(2_010)).await;
-    bench.core.fire();
-    assert_eq!(bench.outbound.take(), [Call::Cancel(attempt(0))]);
-    let answer = caller.response();
+    harness.core.fire();
+    assert_eq!(harness.outbound.take(), [Call::Cancel(attempt(0))]);
+    let answer = response.response();
     tokio::pin!(answer);
     assert!(
         std::future::poll_fn(|cx| std::task::Poll::Ready(answer.as_mut().poll(cx).is_pending()))
             .await
     );
-    bench.ended(0, Outcome::Cancelled);
+    harness.end_attempt(0, Outcome::Cancelled);
     assert!(matches!(answer.await.0, FinalResponse::Rejected(_)));
 }
 
-/// Guards against memory held for bodies while their answers stream: nothing further is sent for them.
+/// Nothing further is sent for a request while its response streams, so its body need not be kept.
 #[tokio::test(start_paused = true)]
-async fn a_body_is_let_go_once_its_answer_has_begun() {
-    let mut bench = Bench::new(Idempotency::Idempotent);
+async fn a_request_body_is_dropped_once_its_response_has_begun() {
+    let mut harness = CoreHarness::new(Idempotency::Idempotent);
     let message = Rc::new(Message {
         target: "/x".to_owned(),
         ..Message::default()
     });
-    let _caller = bench.handle.submit(IncomingRequest {
+    let _caller = harness.handle.submit(IncomingRequest {
         message: message.clone(),
         ..incoming("q")
     });
-    bench.drain();
-    bench.ended(0, Outcome::Prefilled { cached_tokens: 0 });
+    harness.drain();
+    harness.end_attempt(0, Outcome::Prefilled { cached_tokens: 0 });
     assert_eq!(Rc::strong_count(&message), 2);
     let (_sender, body) = exchange::body_channel();
     let media_type = "text/event-stream".to_owned();
-    bench.core.handle(CoreEvent::StreamStarted {
+    harness.core.handle(CoreEvent::StreamStarted {
         attempt: attempt(1),
         media_type,
         body,
@@ -536,31 +546,31 @@
     assert_eq!(Rc::strong_count(&message), 1);
 }
 
-/// Guards against tables and connections kept for each machine that ever was.
+/// Machines are replaced by others for as long as a router runs.
 #[tokio::test(start_paused = true)]
-async fn a_machine_that_is_gone_is_forgotten_with_its_connections() {
-    let mut bench = Bench::new(Idempotency::Idempotent);
-    let reader = Endpoint::new("reader", "127.0.0.1:1".parse().unwrap()).id;
-    bench
+async fn a_removed_endpoint_is_forgotten_with_its_connections() {
+    let mut harness = CoreHarness::new(Idempotency::Idempotent);
+    let prefill = Endpoint::new("prefill", "127.0.0.1:1".parse().unwrap()).id;
+    harness
         .core
         .handle(CoreEvent::EndpointsUpdated(EndpointListUpdate::Delta(
-            vec![listed("reader", 0, EndpointState::Removed)],
+            vec![entry("prefill", 0, EndpointState::Removed)],
         )));
-    assert_eq!(bench.outbound.take(), [Call::Closed(reader)]);
-    bench
+    assert_eq!(harness.outbound.take(), [Call::Closed(prefill)]);
+    harness
         .core
         .handle(CoreEvent::EndpointsUpdated(EndpointListUpdate::Delta(
-            vec![listed("writer", 1, EndpointState::Draining)],
+            vec![entry("decode", 1, EndpointState::Draining)],
         )));
     assert_eq!(
-        bench.outbound.take(),
+        harness.outbound.take(),
         [],
-        "one that drains finishes what it has"
+        "a draining endpoint finishes its requests"
     );
-    bench
+    harness
         .core
         .handle(CoreEvent::EndpointsUpdated(EndpointListUpdate::Snapshot(
-            vec![listed("reader", 0, EndpointState::Active)],
+            vec![entry("prefill", 0, EndpointState::Active)],
         )));
-    assert_eq!(bench.outbound.take().len(), 1);
+    assert_eq!(harness.outbound.take().len(), 1);
 }
