--- a/crates/router/src/framing.rs
+++ b/crates/router/src/framing.rs
@@ -1,177 +1,243 @@
-//! Where one message of a connection ends and the next begins, seen among the bytes that come in. The library
-//! behind both sides reads the messages; this guards against what it lets pass: a request with both a length and
-//! an encoding, of which two readers may take two ends, and so one that hides another in its body; and a part of
-//! an answer that is said to be larger than any can be, and keeps coming.
+//! Finds where HTTP/1 messages begin and end among the bytes that arrive on a connection. The HTTP
+//! library decodes the messages; this detects what it accepts and this router must not: a request
+//! with both a length and a transfer encoding, which two servers may end at different bytes
+//! (request smuggling), and a response with a chunk larger than any can be.
 
-/// As much of a line as is kept: all that matters is shorter.
-const LINE_MOST: usize = 128;
-/// The most that one part of an answer may hold.
-const PART_MOST: u64 = 4 * 1024 * 1024;
+/// How much of a line is stored: everything of interest is shorter.
+const LINE_BYTES_LIMIT: usize = 128;
+/// The most bytes of one chunk of a response.
+const CHUNK_BYTES_LIMIT: u64 = 4 * 1024 * 1024;
+/// The length of the line end after a chunk.
+const CHUNK_END_BYTES: u64 = 2;
 
-/// Follows heads, lengths of bodies and, of answers, sizes of parts. It reads nothing else.
+/// Follows the heads and bodies of the messages of one direction of a connection.
 pub struct Framing {
-    answers: bool,
-    at: At,
-    /// The line that is coming, and the status of the head that is, once it has a first line.
+    kind: MessageKind,
+    position: Position,
+    /// The line that is arriving.
     line: Vec<u8>,
-    begun: Option<u16>,
-    length: Option<u64>,
-    encoded: bool,
+    head: Head,
     ambiguous: bool,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum At {
+enum MessageKind {
+    Request,
+    Response,
+}
+
+/// Where in a message the next byte belongs.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Position {
     Head,
-    /// So much of a body is to come.
-    Body(u64),
-    /// The line with a part's size is to come, or so much of the part, or what follows the last.
-    Size,
-    Part(u64),
+    Body {
+        bytes_left: u64,
+    },
+    /// The line with the size of a chunk.
+    ChunkSize,
+    /// A chunk and the line end after it.
+    Chunk {
+        bytes_left: u64,
+    },
     Trailer,
-    /// The end of this message is the connection's, or not followed.
-    Last,
-    Spoilt,
+    /// A message that ends with the connection, or whose end is not followed.
+    LastMessage,
+    /// What arrived is no valid message.
+    Invalid,
+}
+
+/// What is known of the head that is arriving.
+#[derive(Default)]
+struct Head {
+    /// The status of a response, 0 for a request or an unreadable one; absent before the first line.
+    status: Option<u16>,
+    content_length: Option<u64>,
+    has_transfer_encoding: bool,
 }
 
 impl Framing {
-    /// Follows what clients send. An encoded body is not followed: its request is the connection's last.
+    /// Follows requests. A body with a transfer encoding is not followed: its request counts as the
+    /// connection's last.
     pub fn of_requests() -> Framing {
+        Framing::new(MessageKind::Request)
+    }
+
+    /// Follows responses.
+    pub fn of_responses() -> Framing {
+        Framing::new(MessageKind::Response)
+    }
+
+    fn new(kind: MessageKind) -> Framing {
         Framing {
-            answers: false,
-            at: At::Head,
+            kind,
+            position: Position::Head,
             line: Vec::new(),
-            begun: None,
-            length: None,
-            encoded: false,
+            head: Head::default(),
             ambiguous: false,
         }
     }
 
-    /// Follows what workers send.
-    pub fn of_answers() -> Framing {
-        Framing {
-            answers: true,
-            ..Framing::of_requests()
+    /// Follows the bytes that have arrived.
+    pub fn push(&mut self, bytes: &[u8]) {
+        let mut rest = bytes;
+        while !rest.is_empty() {
+            rest = match self.position {
+                Position::LastMessage | Position::Invalid => return,
+                Position::Body { bytes_left } => self.push_body(bytes_left, rest),
+                Position::Chunk { bytes_left } => self.push_chunk(bytes_left, rest),
+                Position::Head | Position::ChunkSize | Position::Trailer => self.push_line(rest),
+            };
         }
     }
 
-    /// Takes what has come in.
-    pub fn take(&mut self, mut bytes: &[u8]) {
-        while !bytes.is_empty() {
-            match self.at {
-                At::Last | At::Spoilt => return,
-                At::Body(left) | At::Part(left) => {
-                    let here = usize::try_from(left).unwrap_or(usize::MAX).min(bytes.len());
-                    bytes = &bytes[here..];
-                    let left = left - here as u64;
-                    self.at = match self.at {
-                        At::Body(_) if left == 0 => At::Head,
-                        At::Body(_) => At::Body(left),
-                        _ if left == 0 => At::Size,
-                        _ => At::Part(left),
-                    };
-                }
-                At::Head | At::Size | At::Trailer => {
-                    let end = bytes.iter().position(|b| *b == b'\n');
-                    let part = &bytes[..end.unwrap_or(bytes.len())];
-                    self.line
-                        .extend(part.iter().take(LINE_MOST - self.line.len()));
-                    bytes = end.map_or(&[], |end| &bytes[end + 1..]);
-                    if end.is_some() {
-                        let line = std::mem::take(&mut self.line);
-                        self.take_line(line.trim_ascii());
-                    }
-                }
-            }
-        }
+    /// Skips what belongs to a body; the rest follows it.
+    fn push_body<'a>(&mut self, bytes_left: u64, bytes: &'a [u8]) -> &'a [u8] {
+        let (bytes_left, rest) = skip(bytes_left, bytes);
+        self.position = if bytes_left == 0 {
+            Position::Head
+        } else {
+            Position::Body { bytes_left }
+        };
+        rest
+    }
+
+    /// Skips what belongs to a chunk; the rest follows it.
+    fn push_chunk<'a>(&mut self, bytes_left: u64, bytes: &'a [u8]) -> &'a [u8] {
+        let (bytes_left, rest) = skip(bytes_left, bytes);
+        self.position = if bytes_left == 0 {
+            Position::ChunkSize
+        } else {
+            Position::Chunk { bytes_left }
+        };
+        rest
     }
 
-    fn take_line(&mut self, line: &[u8]) {
+    /// Takes bytes of a line, and follows it once it is complete; the rest follows the line.
+    fn push_line<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
+        let line_end = bytes.iter().position(|byte| *byte == b'\n');
+        let part = &bytes[..line_end.unwrap_or(bytes.len())];
+        let room = LINE_BYTES_LIMIT - self.line.len();
+        self.line.extend(part.iter().take(room));
+        let Some(line_end) = line_end else {
+            return &[];
+        };
+        let line = std::mem::take(&mut self.line);
+        let line = line.trim_ascii();
         let text = std::str::from_utf8(line).unwrap_or("");
-        match self.at {
-            At::Size => {
-                let size = text
-                    .split(';')
-                    .next()
-                    .map(|size| u64::from_str_radix(size.trim(), 16));
-                self.at = match size {
-                    Some(Ok(0)) => At::Trailer,
-                    // A part ends with an end of line.
-                    Some(Ok(size)) if size <= PART_MOST => At::Part(size + 2),
-                    _ => At::Spoilt,
-                };
-            }
-            At::Trailer if line.is_empty() => self.at = At::Head,
-            At::Head if line.is_empty() => {
-                if let Some(status) = self.begun.take() {
-                    self.end_head(status);
-                }
-            }
-            At::Head if self.begun.is_none() => {
-                self.begun = Some(
-                    text.split(' ')
-                        .nth(1)
-                        .and_then(|s| s.parse().ok())
-                        .unwrap_or(0),
-                );
-            }
-            At::Head => {
-                let (name, value) = text.split_once(':').unwrap_or_default();
-                if name.trim().eq_ignore_ascii_case("content-length") {
-                    // What is no number is refused by whoever reads the head.
-                    self.length = Some(value.trim().parse().unwrap_or(0));
-                } else if name.trim().eq_ignore_ascii_case("transfer-encoding") {
-                    self.encoded = true;
-                }
-            }
+        match self.position {
+            Position::ChunkSize => self.end_chunk_size(text),
+            Position::Trailer if line.is_empty() => self.position = Position::Head,
+            Position::Head if line.is_empty() => self.end_head(),
+            Position::Head => self.head.push_line(text),
             _ => {}
         }
+        &bytes[line_end + 1..]
+    }
+
+    fn end_chunk_size(&mut self, line: &str) {
+        let size = line.split(';').next().unwrap_or("");
+        self.position = match u64::from_str_radix(size.trim(), 16) {
+            Ok(0) => Position::Trailer,
+            Ok(size) if size <= CHUNK_BYTES_LIMIT => Position::Chunk {
+                bytes_left: size + CHUNK_END_BYTES,
+            },
+            _ => Position::Invalid,
+        };
     }
 
-    fn end_head(&mut self, status: u16) {
-        let (length, encoded) = (self.length.take(), std::mem::take(&mut self.encoded));
-        self.ambiguous |= encoded && length.is_some();
-        self.at = match length {
-            _ if self.answers && (status < 200 || status == 204 || status == 304) => At::Head,
-            _ if self.answers && encoded => At::Size,
-            _ if encoded => At::Last,
-            Some(0) => At::Head,
-            Some(length) => At::Body(length),
-            None if self.answers => At::Last,
-            None => At::Head,
+    /// Follows the blank line after a head; one before a head means nothing.
+    fn end_head(&mut self) {
+        let Some(status) = self.head.status else {
+            return;
+        };
+        let head = std::mem::take(&mut self.head);
+        self.ambiguous |= head.has_transfer_encoding && head.content_length.is_some();
+        self.position = match self.kind {
+            MessageKind::Request => head.position_after_request(),
+            MessageKind::Response => head.position_after_response(status),
         };
     }
 
-    /// Whether no part of a message has come since the last one ended.
+    /// Whether no part of a message has arrived since the last one ended.
     pub fn is_between(&self) -> bool {
-        self.at == At::Head && self.begun.is_none() && self.line.is_empty()
+        self.position == Position::Head && self.head.status.is_none() && self.line.is_empty()
     }
 
-    /// Whether part of a head is here.
+    /// Whether a part of a head has arrived.
     pub fn is_in_head(&self) -> bool {
-        self.at == At::Head && !self.is_between()
+        self.position == Position::Head && !self.is_between()
     }
 
-    /// Whether a part of an answer, or its size, has begun and not ended.
-    pub fn is_in_part(&self) -> bool {
-        matches!(self.at, At::Part(_)) || (self.at == At::Size && !self.line.is_empty())
+    /// Whether a chunk of a response, or its size, has begun and not ended.
+    pub fn is_in_chunk(&self) -> bool {
+        match self.position {
+            Position::Chunk { .. } => true,
+            Position::ChunkSize => !self.line.is_empty(),
+            _ => false,
+        }
     }
 
-    /// Whether a message has come whose end is in doubt.
+    /// Whether a message has arrived whose end is ambiguous.
     pub fn is_ambiguous(&self) -> bool {
         self.ambiguous
     }
 
-    /// Whether no further message can be told from this one.
+    /// Whether the end of this message is that of the connection, or is not followed.
     pub fn is_last(&self) -> bool {
-        self.at == At::Last
+        self.position == Position::LastMessage
     }
 
-    /// Whether something has come that no message can hold.
-    pub fn is_spoilt(&self) -> bool {
-        self.at == At::Spoilt
+    /// Whether something has arrived that no valid message contains.
+    pub fn is_invalid(&self) -> bool {
+        self.position == Position::Invalid
+    }
+}
+
+impl Head {
+    fn push_line(&mut self, line: &str) {
+        if self.status.is_none() {
+            let status = line
+                .split(' ')
+                .nth(1)
+                .and_then(|status| status.parse().ok());
+            self.status = Some(status.unwrap_or(0));
+            return;
+        }
+        let (name, value) = line.split_once(':').unwrap_or_default();
+        if name.trim().eq_ignore_ascii_case("content-length") {
+            // The HTTP library rejects a length that is no number.
+            self.content_length = Some(value.trim().parse().unwrap_or(0));
+        } else if name.trim().eq_ignore_ascii_case("transfer-encoding") {
+            self.has_transfer_encoding = true;
+        }
     }
+
+    fn position_after_request(&self) -> Position {
+        match self.content_length {
+            _ if self.has_transfer_encoding => Position::LastMessage,
+            None | Some(0) => Position::Head,
+            Some(bytes_left) => Position::Body { bytes_left },
+        }
+    }
+
+    fn position_after_response(&self, status: u16) -> Position {
+        let has_no_body = status < 200 || status == 204 || status == 304;
+        match self.content_length {
+            _ if has_no_body => Position::Head,
+            _ if self.has_transfer_encoding => Position::ChunkSize,
+            Some(0) => Position::Head,
+            Some(bytes_left) => Position::Body { bytes_left },
+            None => Position::LastMessage,
+        }
+    }
+}
+
+/// Skips up to `bytes_left` bytes: how many are left then, and what follows the skipped ones.
+fn skip(bytes_left: u64, bytes: &[u8]) -> (u64, &[u8]) {
+    let skipped = usize::try_from(bytes_left)
+        .unwrap_or(usize::MAX)
+        .min(bytes.len());
+    (bytes_left - skipped as u64, &bytes[skipped..])
 }
 
 #[cfg(test)]
--- a/crates/router/src/framing/tests.rs
+++ b/crates/router/src/framing/tests.rs
@@ -1,29 +1,35 @@
-//! Tests of `framing`.
+//! Messages whose bytes arrive in two parts, split at every byte.
 
 use super::*;
 
-/// What holds at the end, wherever reads split the text.
-fn at_end<T: PartialEq + std::fmt::Debug>(
+/// What is observed once all of the text has arrived; the same wherever reads split it.
+fn observe_at_end<T: PartialEq + std::fmt::Debug>(
     new: fn() -> Framing,
     text: &str,
-    seen: impl Fn(&Framing) -> T,
+    observe: impl Fn(&Framing) -> T,
 ) -> T {
-    let one = |split: usize| {
+    let observe_split_at = |split: usize| {
         let mut framing = new();
-        framing.take(&text.as_bytes()[..split]);
-        framing.take(&text.as_bytes()[split..]);
-        seen(&framing)
+        framing.push(&text.as_bytes()[..split]);
+        framing.push(&text.as_bytes()[split..]);
+        observe(&framing)
     };
-    let whole = one(0);
-    (0..=text.len()).for_each(|split| assert_eq!(one(split), whole, "{text:?} split at {split}"));
-    whole
+    let unsplit = observe_split_at(0);
+    for split in 0..=text.len() {
+        assert_eq!(
+            observe_split_at(split),
+            unsplit,
+            "{text:?} split at {split}"
+        );
+    }
+    unsplit
 }
 
-/// Guards against a hidden request: whichever header comes first, however written, wherever reads split.
+/// A request must not be smuggled in a body: whichever header comes first, however it is written.
 #[test]
-fn a_length_beside_an_encoding_is_seen_and_a_body_is_not_taken_for_a_head() {
+fn content_length_beside_transfer_encoding_is_ambiguous_and_a_body_is_no_head() {
     const BOTH: &str = "content-length: 3\r\ntransfer-encoding: chunked\r\n\r\n";
-    for (text, between, last, ambiguous) in [
+    for (text, is_between, is_last, is_ambiguous) in [
         (format!("POST /x HTTP/1.1\r\n{BOTH}"), false, true, true),
         (
             "POST /x HTTP/1.1\nTRANSFER-Encoding:chunked\nContent-LENGTH:3\n\n".into(),
@@ -66,26 +72,25 @@
         ),
         ("GET /x HT".into(), false, false, false),
     ] {
-        let seen = |f: &Framing| (f.is_between(), f.is_last(), f.is_ambiguous());
+        let observe = |f: &Framing| (f.is_between(), f.is_last(), f.is_ambiguous());
         assert_eq!(
-            at_end(Framing::of_requests, &text, seen),
-            (between, last, ambiguous),
+            observe_at_end(Framing::of_requests, &text, observe),
+            (is_between, is_last, is_ambiguous),
             "{text:?}"
         );
     }
 }
 
-/// Guards against a part without end, and against an answer's end that is missed or found too early.
 #[test]
-fn an_answers_parts_are_followed_to_its_end() {
+fn chunks_of_a_response_are_followed_to_its_end() {
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
     let early = "HTTP/1.1 103 Early Hints\r\nlink: </x>\r\n\r\n";
-    let seen = |f: &Framing| {
+    let observe = |f: &Framing| {
         (
             f.is_between(),
             f.is_in_head(),
-            f.is_in_part(),
-            f.is_spoilt(),
+            f.is_in_chunk(),
+            f.is_invalid(),
         )
     };
     for (text, expected) in [
@@ -119,7 +124,7 @@
         ),
     ] {
         assert_eq!(
-            at_end(Framing::of_answers, &text, seen),
+            observe_at_end(Framing::of_responses, &text, observe),
             expected,
             "{text:?}"
         );
--- a/crates/router/src/frontend/client_stream.rs
+++ b/crates/router/src/frontend/client_stream.rs
@@ -109,7 +109,7 @@
         let before = buf.filled().len();
         let read = self.poll_next_bytes(cx, buf);
         let mut framing = self.state.framing.borrow_mut();
-        framing.take(&buf.filled()[before..]);
+        framing.push(&buf.filled()[before..]);
         if matches!(self.state.activity.get(), Activity::Idle(_)) && !framing.is_between() {
             self.state.activity.set(Activity::Receiving(Instant::now()));
         }
--- a/crates/router/src/upstream/progress.rs
+++ b/crates/router/src/upstream/progress.rs
@@ -39,7 +39,7 @@
             written: Cell::default(),
             written_all: Notify::new(),
             bytes: Cell::default(),
-            answers: RefCell::new(Framing::of_answers()),
+            answers: RefCell::new(Framing::of_responses()),
             partial_since: Cell::default(),
         }
     }
@@ -128,13 +128,13 @@
         self.bytes.set((sent, received + bytes.len() as u64));
         let mut answers = self.answers.borrow_mut();
         let unasked = answers.is_between() && self.nothing_written();
-        answers.take(bytes);
+        answers.push(bytes);
         self.partial_since.set(match self.partial_since.get() {
             since @ Some(_) if answers.is_in_head() => since,
-            _ if answers.is_in_head() || answers.is_in_part() => Some(Instant::now()),
+            _ if answers.is_in_head() || answers.is_in_chunk() => Some(Instant::now()),
             _ => None,
         });
-        if unasked || answers.is_spoilt() {
+        if unasked || answers.is_invalid() {
             return Err(io::ErrorKind::InvalidData.into());
         }
         Ok(())
