--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -17,6 +17,7 @@
 pub mod peers;
 pub mod shutdown;
 mod socket;
+pub mod tasks;
 pub mod tenants;
 pub mod upstream;
 
@@ -36,6 +37,7 @@
 use crate::frontend::inference::Inference;
 use crate::frontend::platform::Platform;
 use crate::peers::Peers;
+use crate::tasks::TaskGroup;
 use crate::tenants::Tenants;
 use crate::upstream::Upstream;
 
@@ -226,6 +228,7 @@
             discovery,
             peers,
         } = self;
+        let tasks = TaskGroup::default();
         let (handle, events) = Handle::new();
         if let Some(peers) = &peers {
             spawn_local(peers.clone().receive(handle.clone()));
@@ -243,16 +246,16 @@
         let options = upstream::Options {
             connection_limit: each,
             connect_timeout: allowed.connect_timeout().unwrap_or(CONNECT_TIMEOUT),
-            idle_close: allowed.idle_close().unwrap_or(IDLE_CLOSE),
-            silence: if config.settings.resumable_streams {
+            server_idle_timeout: allowed.idle_close().unwrap_or(IDLE_CLOSE),
+            stream_idle_timeout: if config.settings.resumable_streams {
                 SILENCE_RESUMED
             } else {
                 SILENCE
             },
             report: config.site.report.clone(),
         };
-        let outbound = Upstream::new(handle.clone(), options, peers);
-        let mut releases = outbound.releases();
+        let outbound = Upstream::new(handle.clone(), options, peers, tasks.spawner());
+        let mut releases = outbound.releases_in_progress();
         let settings = config.settings.clone();
         let core = Core::new(config.settings, config.seed, Clock::system(), outbound);
         spawn_local(core.run(events));
--- /dev/null
+++ b/crates/router/src/upstream/attempt/relay.rs
@@ -0,0 +1,57 @@
+//! Relays a streaming response from an endpoint to the frontend.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use cranetack_routing_policy::{Outcome, ResetCause};
+use http_body_util::BodyExt;
+use hyper::body::Incoming;
+use tokio::time::timeout;
+
+use crate::exchange::BodySender;
+use crate::upstream::progress::{wait_stalled, WireProgress};
+use crate::upstream::stream_tail::StreamTail;
+
+/// How long a client may leave data unread before its stream is cancelled.
+const CLIENT_READ_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// Passes a response body on unchanged, chunk by chunk, to its end; `first_chunk` has been read
+/// from it already. An error is the outcome of the attempt.
+pub(super) async fn relay(
+    body: &mut Incoming,
+    first_chunk: Bytes,
+    sender: BodySender,
+    idle_timeout: Duration,
+    progress: Option<&WireProgress>,
+) -> Result<StreamTail, Outcome> {
+    const BROKEN: Outcome = Outcome::ConnectionReset(ResetCause::InUse);
+    let mut tail = StreamTail::default();
+    let mut chunk = Some(first_chunk);
+    loop {
+        if let Some(chunk) = chunk.take() {
+            tail.push(&chunk);
+            send_to_client(&sender, chunk).await?;
+        }
+        tokio::select! {
+            frame = timeout(idle_timeout, body.frame()) => match frame {
+                Ok(Some(Ok(frame))) => chunk = frame.into_data().ok(),
+                Ok(None) => break,
+                Ok(Some(Err(_))) | Err(_) => return Err(BROKEN),
+            },
+            () = sender.closed() => return Err(Outcome::Cancelled),
+            () = wait_stalled(progress) => return Err(BROKEN),
+        }
+    }
+    // A client that disconnects now has the whole response.
+    let _ = timeout(CLIENT_READ_TIMEOUT, sender.finish()).await;
+    Ok(tail)
+}
+
+/// Hands a chunk to the frontend. A client that has disconnected, or reads nothing for too long,
+/// cancels the attempt.
+async fn send_to_client(sender: &BodySender, chunk: Bytes) -> Result<(), Outcome> {
+    match timeout(CLIENT_READ_TIMEOUT, sender.send(chunk)).await {
+        Ok(Ok(())) => Ok(()),
+        Ok(Err(_)) | Err(_) => Err(Outcome::Cancelled),
+    }
+}
--- a/crates/router/src/upstream/dial.rs
+++ b/crates/router/src/upstream/dial.rs
@@ -1,4 +1,4 @@
-//! Making a connection: which failures are the server's, and which this machine's for a moment.
+//! Establishes connections, and tells failures of the endpoint from a shortage on this machine.
 
 use std::future::Future;
 use std::io::{self, ErrorKind};
@@ -6,25 +6,25 @@
 
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// After a failure of this machine, the system is asked again so much later.
+/// The delay before another attempt to connect after a failure of this machine.
 const RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// No connection could be had in time.
+/// Why there was no connection in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectError {
-    /// The server refused it, or could not be reached in time.
-    #[error("the server gives no connection")]
-    Server,
-    /// This machine had none to give, which says nothing of the server.
-    #[error("there is no connection to be had here")]
-    Local,
+    /// The endpoint refused it, or could not be reached in time.
+    #[error("the endpoint accepted no connection")]
+    Endpoint,
+    /// This machine could not open one, which is no sign of a fault of the endpoint.
+    #[error("this machine could not open a connection")]
+    LocalResources,
 }
 
-/// Whether a failure to connect is this machine's own, and may be over in a moment: descriptors, ports, memory or a route
-/// are short, or the call was interrupted.
+/// Whether a failure to connect is this machine's own, and may be over in a moment: descriptors,
+/// ports, memory or a route are missing, or the call was interrupted.
 fn is_local(error: &io::Error) -> bool {
-    let out_of_descriptors = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS];
-    matches!(
+    const OUT_OF_DESCRIPTORS_OR_BUFFERS: [i32; 3] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS];
+    let is_local_kind = matches!(
         error.kind(),
         ErrorKind::AddrNotAvailable
             | ErrorKind::AddrInUse
@@ -33,34 +33,36 @@
             | ErrorKind::OutOfMemory
             | ErrorKind::Interrupted
             | ErrorKind::WouldBlock
-    ) || error
-        .raw_os_error()
-        .is_some_and(|code| out_of_descriptors.contains(&code))
+    );
+    is_local_kind
+        || error
+            .raw_os_error()
+            .is_some_and(|code| OUT_OF_DESCRIPTORS_OR_BUFFERS.contains(&code))
 }
 
-/// Connects by `until`. What fails here is tried again until then: guards against failures of a moment that set one
-/// server after the other aside, and use up the attempts of a request.
+/// Connects by `until`. Failures of this machine are retried until then: counted against endpoints,
+/// a short one would eject them one after the other and use up the attempts of requests.
 pub async fn dial<T, C: Future<Output = io::Result<T>>>(
     until: Instant,
     connect: impl Fn() -> C,
 ) -> Result<T, ConnectError> {
-    let mut failed_here = false;
+    let mut failed_locally = false;
     loop {
         match timeout_at(until, connect()).await {
             Ok(Ok(stream)) => return Ok(stream),
             Ok(Err(error)) if is_local(&error) => {
-                tracing::debug!(%error, "this machine has no connection to give: it is asked again");
-                failed_here = true;
+                tracing::debug!(%error, "connect failed on this machine, retrying");
+                failed_locally = true;
             }
             Ok(Err(error)) => {
-                tracing::debug!(%error, "a server gives no connection");
-                return Err(ConnectError::Server);
+                tracing::debug!(%error, "connect failed at the endpoint");
+                return Err(ConnectError::Endpoint);
             }
-            Err(_) if failed_here => return Err(ConnectError::Local),
-            Err(_) => return Err(ConnectError::Server),
+            Err(_) if failed_locally => return Err(ConnectError::LocalResources),
+            Err(_) => return Err(ConnectError::Endpoint),
         }
         if timeout_at(until, sleep(RETRY_DELAY)).await.is_err() {
-            return Err(ConnectError::Local);
+            return Err(ConnectError::LocalResources);
         }
     }
 }
--- a/crates/router/src/upstream/dial/tests.rs
+++ b/crates/router/src/upstream/dial/tests.rs
@@ -1,4 +1,4 @@
-//! Failures to connect, by their kinds, on a paused clock.
+//! Failures to connect, by their kind, on a paused clock.
 
 use std::cell::Cell;
 
@@ -6,9 +6,16 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Connects with the first calls failing like this; the outcome, how many calls there were, and the time it took.
-async fn dialled(code: i32, failures: usize) -> (Result<(), ConnectError>, usize, Duration) {
-    let (calls, began) = (Cell::new(0), Instant::now());
+struct Dialled {
+    outcome: Result<(), ConnectError>,
+    calls: usize,
+    elapsed: Duration,
+}
+
+/// Connects while the first calls fail with this error of the system.
+async fn dial_failing(code: i32, failures: usize) -> Dialled {
+    let calls = Cell::new(0);
+    let started = Instant::now();
     let connect = || {
         calls.set(calls.get() + 1);
         let fails = calls.get() <= failures;
@@ -20,32 +27,37 @@
             }
         }
     };
-    let outcome = dial(began + 250 * MS, connect).await;
-    (outcome, calls.get(), began.elapsed())
+    let outcome = dial(started + 250 * MS, connect).await;
+    Dialled {
+        outcome,
+        calls: calls.get(),
+        elapsed: started.elapsed(),
+    }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_failure_of_this_machine_for_a_moment_costs_some_milliseconds() {
+async fn a_short_local_failure_delays_the_connection_by_milliseconds() {
     // EINTR, EAGAIN, ENFILE, EMFILE, EADDRINUSE, EADDRNOTAVAIL, ENETUNREACH, ENOBUFS.
     for code in [4, 11, 23, 24, 98, 99, 101, 105] {
-        let (outcome, calls, took) = dialled(code, 3).await;
-        assert_eq!((outcome, calls), (Ok(()), 4), "{code}");
-        assert!(took < 40 * MS, "{code}: {took:?}");
+        let dialled = dial_failing(code, 3).await;
+        assert_eq!((dialled.outcome, dialled.calls), (Ok(()), 4), "{code}");
+        assert!(dialled.elapsed < 40 * MS, "{code}: {:?}", dialled.elapsed);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_that_lasts_ends_in_time_and_is_not_the_servers() {
-    let (outcome, _, took) = dialled(99, usize::MAX).await;
-    assert_eq!(outcome, Err(ConnectError::Local));
-    assert!(took <= 251 * MS, "{took:?}");
+async fn a_lasting_local_failure_ends_in_time_and_is_not_the_endpoints() {
+    let dialled = dial_failing(99, usize::MAX).await;
+    assert_eq!(dialled.outcome, Err(ConnectError::LocalResources));
+    assert!(dialled.elapsed <= 251 * MS, "{:?}", dialled.elapsed);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_server_that_refuses_is_not_asked_again() {
+async fn a_connection_that_the_endpoint_refuses_is_not_retried() {
     // ECONNREFUSED, EHOSTUNREACH, ETIMEDOUT, ECONNRESET.
     for code in [111, 113, 110, 104] {
-        let (outcome, calls, _) = dialled(code, 1).await;
-        assert_eq!((outcome, calls), (Err(ConnectError::Server), 1), "{code}");
+        let dialled = dial_failing(code, 1).await;
+        let refused = (Err(ConnectError::Endpoint), 1);
+        assert_eq!((dialled.outcome, dialled.calls), refused, "{code}");
     }
 }
--- a/crates/router/src/upstream/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -1,46 +1,49 @@
-//! The client side: attempts, probes, and places held at workers, over connections that it owns.
+//! The client side: attempts, health checks, slot reservations and releases of KV state at
+//! endpoints, over pooled connections.
 
 mod attempt;
 mod calls;
+mod connection;
 mod dial;
-#[cfg(test)]
-mod model;
+mod load_report;
+mod observed_stream;
 mod pool;
 mod progress;
-mod reply;
+mod response;
+mod stream_tail;
 
 use std::cell::RefCell;
 use std::collections::HashMap;
-use std::rc::Rc;
+use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-use cranetack_routing_policy::{EndpointId, Outcome, RejectReason, RequestId, ResetCause};
+use cranetack_routing_policy::{EndpointId, Outcome, RequestId, ResetCause};
 use cranetack_settings::Report;
-use http::StatusCode;
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
 use crate::core::{AttemptId, AttemptSpec, CoreEvent, Endpoint, Handle, Outbound};
 use crate::peers::Peers;
-use attempt::{Attempt, Reporter};
+use crate::tasks::TaskSpawner;
+use attempt::{Attempt, AttemptEndGuard};
 use pool::ConnectionPool;
 
-/// The most of an answer that is held at once; streams are not held.
-const BODY_MOST: usize = 64 * 1024;
-/// The interval between two looks for connections whose time is up.
+/// The most bytes of a response body that are buffered; streams are not buffered.
+const BODY_BYTES_LIMIT: usize = 64 * 1024;
+/// The interval at which expired idle connections are closed.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Timings and sizes of the client side.
 #[derive(Clone)]
 pub struct Options {
-    /// Connections to all workers together.
+    /// The most connections to all endpoints together.
     pub connection_limit: usize,
-    /// How long a connection may take to come up.
+    /// How long establishing a connection may take.
     pub connect_timeout: Duration,
-    /// When workers close an idle connection.
-    pub idle_close: Duration,
-    /// How long a stream may be silent.
-    pub silence: Duration,
+    /// After how long endpoints close an idle connection.
+    pub server_idle_timeout: Duration,
+    /// How long a stream may deliver nothing.
+    pub stream_idle_timeout: Duration,
     /// The names of the figures in load reports.
     pub report: Report,
 }
@@ -48,99 +51,116 @@
 /// The client side.
 pub struct Upstream {
     shared: Rc<Shared>,
-    running: Running,
+    attempts: AttemptTable,
     peers: Option<Peers>,
+    tasks: TaskSpawner,
 }
 
+/// What the tasks of the client side share.
 struct Shared {
     handle: Handle,
-    /// How many releases have not ended.
-    releases: watch::Sender<usize>,
+    releases_in_progress: watch::Sender<usize>,
     pool: ConnectionPool,
     options: Options,
 }
 
-/// Attempts that are out, by their ids.
-type Running = Rc<RefCell<HashMap<AttemptId, Control>>>;
+/// The attempts in flight, by their ids.
+type AttemptTable = Rc<RefCell<HashMap<AttemptId, AttemptControl>>>;
 
-struct Control {
+/// The outside's hold on an attempt in flight.
+struct AttemptControl {
+    /// Cancels the attempt while its response has not begun.
     cancel: Option<oneshot::Sender<()>>,
-    break_off: Option<oneshot::Sender<()>>,
-    written: watch::Receiver<bool>,
+    /// Breaks its response off.
+    abort_stream: Option<oneshot::Sender<()>>,
+    /// Whether the request's last byte has been written.
+    request_written: watch::Receiver<bool>,
 }
 
 impl Upstream {
-    /// A client side that reports to this handle. Must be called within a `LocalSet`.
-    pub fn new(handle: Handle, options: Options, peers: Option<Peers>) -> Upstream {
+    /// A client side that reports to `handle` and runs its tasks in the group of `tasks`. Must be
+    /// called within a `LocalSet`.
+    pub fn new(
+        handle: Handle,
+        options: Options,
+        peers: Option<Peers>,
+        tasks: TaskSpawner,
+    ) -> Upstream {
         let pool = ConnectionPool::new(
             options.connection_limit,
             options.connect_timeout,
-            options.idle_close,
+            options.server_idle_timeout,
         );
         let shared = Rc::new(Shared {
             handle,
-            releases: watch::Sender::new(0),
+            releases_in_progress: watch::Sender::new(0),
             pool,
             options,
         });
-        let weak = Rc::downgrade(&shared);
-        tokio::task::spawn_local(async move {
-            while let Some(shared) = weak.upgrade() {
-                shared.pool.close_expired();
-                drop(shared);
-                tokio::time::sleep(EXPIRY_INTERVAL).await;
-            }
-        });
+        tasks.spawn(close_expired_connections(Rc::downgrade(&shared)));
         Upstream {
             shared,
-            running: Running::default(),
+            attempts: AttemptTable::default(),
             peers,
+            tasks,
         }
     }
+
+    /// The number of releases in progress.
+    pub fn releases_in_progress(&self) -> watch::Receiver<usize> {
+        self.shared.releases_in_progress.subscribe()
+    }
 }
 
-impl Upstream {
-    /// How many releases have not ended.
-    pub fn releases(&self) -> watch::Receiver<usize> {
-        self.shared.releases.subscribe()
+/// Closes expired idle connections for as long as the client side exists.
+async fn close_expired_connections(shared: Weak<Shared>) {
+    while let Some(shared) = shared.upgrade() {
+        shared.pool.close_expired();
+        drop(shared);
+        tokio::time::sleep(EXPIRY_INTERVAL).await;
     }
 }
 
 impl Outbound for Upstream {
     fn send(&mut self, spec: AttemptSpec) {
         let (cancel, cancelled) = oneshot::channel();
-        let (break_off, broken_off) = oneshot::channel();
-        let (written_tx, written) = watch::channel(false);
-        let control = Control {
+        let (abort_stream, stream_aborted) = oneshot::channel();
+        let (written_sender, request_written) = watch::channel(false);
+        let control = AttemptControl {
             cancel: Some(cancel),
-            break_off: Some(break_off),
-            written,
+            abort_stream: Some(abort_stream),
+            request_written,
         };
-        let report = Reporter {
+        self.attempts.borrow_mut().insert(spec.attempt, control);
+        let end_guard = AttemptEndGuard {
             attempt: spec.attempt,
             handle: self.shared.handle.clone(),
-            running: self.running.clone(),
-            ended: Outcome::ConnectionReset(ResetCause::InUse).into(),
+            attempts: self.attempts.clone(),
+            report: Outcome::ConnectionReset(ResetCause::InUse).into(),
         };
-        self.running.borrow_mut().insert(spec.attempt, control);
         let attempt = Attempt {
             shared: self.shared.clone(),
             spec,
-            written: written_tx,
+            request_written: written_sender,
             cancelled,
-            broken_off,
+            stream_aborted,
         };
-        tokio::task::spawn_local(attempt.run(report));
+        self.tasks.spawn(attempt.run(end_guard));
     }
 
     fn cancel(&mut self, attempt: AttemptId, streaming: bool) {
-        if let Some(control) = self.running.borrow_mut().get_mut(&attempt) {
-            let word = if streaming {
-                &mut control.break_off
-            } else {
-                &mut control.cancel
-            };
-            word.take().map(|w| w.send(()));
+        let mut attempts = self.attempts.borrow_mut();
+        let Some(control) = attempts.get_mut(&attempt) else {
+            return;
+        };
+        let signal = if streaming {
+            control.abort_stream.take()
+        } else {
+            control.cancel.take()
+        };
+        if let Some(signal) = signal {
+            // An attempt that has just ended no longer listens.
+            let _ = signal.send(());
         }
     }
 
@@ -148,28 +168,24 @@
         &mut self,
         prefill_attempt: AttemptId,
         request_id: Rc<str>,
-        writer: Rc<Endpoint>,
+        decode: Rc<Endpoint>,
     ) {
-        let Some(written) = self
-            .running
-            .borrow()
-            .get(&prefill_attempt)
-            .map(|c| c.written.clone())
-        else {
+        let attempts = self.attempts.borrow();
+        let Some(control) = attempts.get(&prefill_attempt) else {
             return;
         };
+        let prefill_written = control.request_written.clone();
         let shared = self.shared.clone();
-        tokio::task::spawn_local(async move {
-            if let Some(place) = shared
-                .request_reservation(written, &request_id, &writer)
-                .await
-            {
-                let endpoint = writer.id;
+        self.tasks.spawn(async move {
+            let reservation = shared
+                .request_reservation(prefill_written, &request_id, &decode)
+                .await;
+            if let Some(reservation) = reservation {
                 shared.handle.send(CoreEvent::SlotReservationAnswered {
                     prefill_attempt,
                     request_id,
-                    endpoint,
-                    reservation: place,
+                    endpoint: decode.id,
+                    reservation,
                 });
             }
         });
@@ -182,29 +198,25 @@
         endpoints: Vec<Rc<Endpoint>>,
     ) {
         let shared = self.shared.clone();
-        shared.releases.send_modify(|running| *running += 1);
-        tokio::task::spawn_local(async move {
-            shared.clone().let_go(request_id, endpoints).await;
-            shared.releases.send_modify(|running| *running -= 1);
+        shared.releases_in_progress.send_modify(|count| *count += 1);
+        self.tasks.spawn(async move {
+            shared.clone().release(request_id, endpoints).await;
+            shared.releases_in_progress.send_modify(|count| *count -= 1);
         });
     }
 
     fn health_check(&mut self, endpoint: Rc<Endpoint>) {
         let shared = self.shared.clone();
-        tokio::task::spawn_local(async move {
-            let began = Instant::now();
-            let (outcome, load) = match shared.load(&endpoint).await {
-                Ok((StatusCode::OK, text)) => (
-                    Outcome::Completed,
-                    reply::load(&text, &shared.options.report),
-                ),
-                Ok(_) => (Outcome::Rejected(RejectReason::Overloaded), None),
+        self.tasks.spawn(async move {
+            let started = Instant::now();
+            let (outcome, load) = match shared.fetch_load_report(&endpoint).await {
+                Ok(load) => (Outcome::Completed, load),
                 Err(outcome) => (outcome, None),
             };
             shared.handle.send(CoreEvent::HealthChecked {
                 endpoint: endpoint.id,
                 outcome,
-                elapsed: began.elapsed(),
+                elapsed: started.elapsed(),
                 load,
             });
         });
@@ -220,3 +232,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/router/src/upstream/pool/tests/model.rs
@@ -0,0 +1,213 @@
+//! A model of the pool, against which random steps are checked: which connections stay idle, which
+//! are used again, and how many there are.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use proptest::prelude::*;
+use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
+use tokio::time::Instant;
+
+use crate::core::Endpoint;
+use crate::upstream::calls::empty_request;
+use crate::upstream::connection::PooledConnection;
+use crate::upstream::pool::{ConnectionPool, REUSE_DELAY};
+use cranetack_testkit::{run_paused, Behaviour, Worker};
+
+const CONNECTION_LIMIT: usize = 3;
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+
+#[derive(Debug, Clone, Copy)]
+enum Step {
+    /// Acquires a connection to this endpoint.
+    Acquire(usize),
+    /// Sends a request over this connection.
+    Call(usize),
+    /// Gives this connection back.
+    Release(usize),
+    /// Closes this connection.
+    Close(usize),
+    /// This endpoint closes all of its connections.
+    CloseAtEndpoint(usize),
+    /// Waits for this many milliseconds.
+    Wait(u64),
+    /// Closes expired connections.
+    CloseExpired,
+    /// Closes the idle connections to this endpoint.
+    CloseIdle(usize),
+}
+
+/// A connection as the model has it.
+#[derive(Clone, Copy)]
+struct ModelConnection {
+    endpoint: usize,
+    closed_at_endpoint: bool,
+    /// Whether it has been idle in the pool.
+    was_idle: bool,
+    /// Since when it is in use, or idle.
+    since: Instant,
+}
+
+impl ModelConnection {
+    fn usable(&self) -> bool {
+        !self.closed_at_endpoint && self.since.elapsed() < IDLE_TIMEOUT
+    }
+}
+
+fn step() -> impl Strategy<Value = Step> {
+    prop_oneof![
+        4 => (0..2_usize).prop_map(Step::Acquire),
+        2 => (0..CONNECTION_LIMIT).prop_map(Step::Call),
+        3 => (0..CONNECTION_LIMIT).prop_map(Step::Release),
+        1 => (0..CONNECTION_LIMIT).prop_map(Step::Close),
+        1 => (0..2_usize).prop_map(Step::CloseAtEndpoint),
+        1 => (1..4_000_u64).prop_map(Step::Wait),
+        1 => Just(Step::CloseExpired),
+        1 => (0..2_usize).prop_map(Step::CloseIdle),
+    ]
+}
+
+struct PoolUnderTest {
+    pool: ConnectionPool,
+    endpoints: [Endpoint; 2],
+    workers: [Rc<Worker>; 2],
+    in_use: Vec<(PooledConnection, ModelConnection)>,
+    idle: Vec<ModelConnection>,
+}
+
+impl PoolUnderTest {
+    async fn check(&mut self, step: Step) {
+        match step {
+            Step::Acquire(endpoint) => self.acquire(endpoint).await,
+            Step::Call(n) if n < self.in_use.len() => {
+                let (connection, model) = &mut self.in_use[n];
+                let request = empty_request(http::Method::GET, "/metrics/load").unwrap();
+                let response = connection.send(request).await;
+                assert_eq!(response.is_ok(), !model.closed_at_endpoint);
+                assert_eq!(
+                    connection.progress().request_complete(),
+                    !model.closed_at_endpoint,
+                    "nothing is written to a closed connection"
+                );
+                assert_eq!(
+                    connection.was_stale(),
+                    model.closed_at_endpoint && model.was_idle,
+                    "only one that was idle may be replaced"
+                );
+            }
+            Step::Release(n) if n < self.in_use.len() => {
+                let (connection, model) = self.in_use.remove(n);
+                self.pool.release(connection).await;
+                if !model.closed_at_endpoint {
+                    self.idle.push(ModelConnection {
+                        was_idle: true,
+                        since: Instant::now(),
+                        ..model
+                    });
+                }
+            }
+            Step::Close(n) if n < self.in_use.len() => self.in_use.remove(n).0.close().await,
+            Step::CloseAtEndpoint(endpoint) => {
+                self.workers[endpoint].cut();
+                let in_use = self.in_use.iter_mut().map(|(_, model)| model);
+                for model in in_use.chain(&mut self.idle) {
+                    if model.endpoint == endpoint {
+                        model.closed_at_endpoint = true;
+                    }
+                }
+            }
+            Step::Wait(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
+            Step::CloseExpired => {
+                self.pool.close_expired();
+                self.idle.retain(ModelConnection::usable);
+                let has_idle =
+                    |endpoint: &usize| self.idle.iter().any(|model| model.endpoint == *endpoint);
+                let known_endpoints = [0, 1].iter().filter(|endpoint| has_idle(endpoint)).count();
+                assert_eq!(self.pool.known_endpoints(), known_endpoints);
+            }
+            Step::CloseIdle(endpoint) => {
+                self.pool.close_idle(self.endpoints[endpoint].id);
+                self.idle.retain(|model| model.endpoint != endpoint);
+            }
+            _ => {}
+        }
+        // A close on one side is noticed on the other.
+        tokio::time::sleep(Duration::from_millis(1)).await;
+        assert_eq!(
+            self.pool.available_permits(),
+            CONNECTION_LIMIT - self.in_use.len() - self.idle.len()
+        );
+    }
+
+    async fn acquire(&mut self, endpoint: usize) {
+        let mut expected = None;
+        // One that has just become idle is not used at once.
+        let may_be_used = |model: &ModelConnection| {
+            model.endpoint == endpoint && model.since.elapsed() >= REUSE_DELAY
+        };
+        while let Some(last_used) = self.idle.iter().rposition(may_be_used) {
+            let candidate = self.idle.remove(last_used);
+            if candidate.usable() {
+                expected = Some(candidate);
+                break;
+            }
+        }
+        let has_capacity = self.in_use.len() < CONNECTION_LIMIT;
+        if expected.is_none()
+            && has_capacity
+            && self.in_use.len() + self.idle.len() == CONNECTION_LIMIT
+        {
+            self.idle.remove(0); // the one that has been idle for longest is evicted
+        }
+        let until = Instant::now() + Duration::from_millis(100);
+        match self.pool.acquire(&self.endpoints[endpoint], until).await {
+            Ok(connection) => {
+                assert!(expected.is_some() || has_capacity, "more than the limit");
+                assert_eq!(connection.idle_for().is_some(), expected.is_some());
+                let new = ModelConnection {
+                    endpoint,
+                    closed_at_endpoint: false,
+                    was_idle: false,
+                    since: Instant::now(),
+                };
+                self.in_use.push((connection, expected.unwrap_or(new)));
+            }
+            Err(_) => assert!(expected.is_none() && !has_capacity),
+        }
+    }
+}
+
+#[test]
+fn connections_match_the_model() {
+    let config = Config {
+        cases: 150,
+        failure_persistence: None,
+        ..Config::default()
+    };
+    let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
+    let mut runner = TestRunner::new_with_rng(config, rng);
+    let checked = runner.run(&prop::collection::vec(step(), 1..40), |steps| {
+        run_paused(async {
+            let [a, b] = [
+                Worker::start(8, Behaviour::Answer).await,
+                Worker::start(8, Behaviour::Answer).await,
+            ];
+            let mut pool = PoolUnderTest {
+                pool: ConnectionPool::new(
+                    CONNECTION_LIMIT,
+                    Duration::from_millis(250),
+                    2 * IDLE_TIMEOUT,
+                ),
+                endpoints: [Endpoint::new("a", a.address), Endpoint::new("b", b.address)],
+                workers: [a, b],
+                in_use: Vec::new(),
+                idle: Vec::new(),
+            };
+            for step in steps {
+                pool.check(step).await;
+            }
+        });
+        Ok(())
+    });
+    checked.unwrap();
+}
--- a/crates/router/src/upstream/progress/tests.rs
+++ b/crates/router/src/upstream/progress/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Guards against an `unsafe` request that is sent twice: its last byte must be seen wherever writes split.
+/// A request that must not be executed twice is retried only if its last byte was not written.
 #[test]
-fn the_last_byte_is_found_wherever_the_writes_are_split() {
+fn the_last_byte_of_a_request_is_found_wherever_writes_split_it() {
     let head = b"POST /x HTTP/1.1\r\nhost: a\r\n\r\r\n\r\n".as_slice();
     for body in [b"".as_slice(), b"\r\n\r\n12345"] {
         let all = [head, body].concat();
@@ -13,12 +13,12 @@
             progress.on_written(&all[..split]);
             assert_eq!(progress.nothing_written(), split == 0);
             assert_eq!(
-                progress.all_written(),
+                progress.request_complete(),
                 split == all.len(),
                 "split at {split}"
             );
             progress.on_written(&all[split..]);
-            assert!(progress.all_written());
+            assert!(progress.request_complete());
         }
     }
 }
--- /dev/null
+++ b/crates/router/src/upstream/response.rs
@@ -0,0 +1,65 @@
+//! What the head of an endpoint's response means for an attempt.
+
+use cranetack_routing_policy::{Outcome, RejectReason};
+use http::{HeaderMap, StatusCode};
+use serde::Deserialize;
+
+/// The header by which an endpoint promises that it has not executed the request.
+const NOT_EXECUTED_HEADER: &str = "x-not-run";
+/// The statuses beside which that promise means that the endpoint has rejected the request.
+const REJECTION_STATUSES: [StatusCode; 2] =
+    [StatusCode::SERVICE_UNAVAILABLE, StatusCode::GATEWAY_TIMEOUT];
+
+/// The meaning of a response's head.
+#[derive(Debug, PartialEq)]
+pub enum ResponseKind {
+    /// The response streams.
+    Stream,
+    /// The prompt has been processed; the body holds the number of cached tokens.
+    Prefilled,
+    /// The attempt has ended with this outcome.
+    Ended(Outcome),
+}
+
+/// What an endpoint is asked for, and so which responses are valid.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Expected {
+    /// The KV state of the prompt.
+    KvState,
+    /// The response as a stream.
+    Stream,
+}
+
+impl ResponseKind {
+    /// Decodes the head of a response. A status that is not valid for what was asked for counts as
+    /// an error, after which the request may have been executed; so does the promise of not having
+    /// executed it beside any status for which the protocol does not define it.
+    pub fn decode(expected: Expected, status: StatusCode, headers: &HeaderMap) -> ResponseKind {
+        let not_executed = headers
+            .get(NOT_EXECUTED_HEADER)
+            .is_some_and(|value| value.as_bytes() == b"1");
+        match (expected, status) {
+            (Expected::Stream, StatusCode::OK) => ResponseKind::Stream,
+            (Expected::KvState, StatusCode::ACCEPTED) => ResponseKind::Prefilled,
+            (_, StatusCode::GONE) if not_executed => {
+                ResponseKind::Ended(Outcome::Rejected(RejectReason::NoKvState))
+            }
+            (_, status) if not_executed && REJECTION_STATUSES.contains(&status) => {
+                ResponseKind::Ended(Outcome::Rejected(RejectReason::Overloaded))
+            }
+            _ => ResponseKind::Ended(Outcome::ServerError),
+        }
+    }
+}
+
+/// The number of cached prompt tokens that the body of a prefill response holds.
+pub fn cached_tokens(body: &[u8]) -> u64 {
+    #[derive(Deserialize)]
+    struct PrefillBody {
+        cached_tokens: u64,
+    }
+    serde_json::from_slice::<PrefillBody>(body).map_or(0, |body| body.cached_tokens)
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/router/src/upstream/stream_tail.rs
@@ -0,0 +1,62 @@
+//! The end of a stream, whose last events hold the number of cached tokens and a load report.
+
+use cranetack_routing_policy::Outcome;
+use cranetack_settings::Report;
+
+use super::load_report;
+use crate::core::AttemptReport;
+
+/// How many bytes of a stream's end are searched: its last few events.
+const TAIL_BYTES: usize = 1_024;
+/// The key of the number of cached tokens, in the usage event.
+const CACHED_TOKENS_KEY: &str = "\"cached_tokens\":";
+/// The comment that carries a load report.
+const LOAD_COMMENT: &str = ": X-LoadReport:";
+
+/// The last bytes of a stream.
+#[derive(Default)]
+pub struct StreamTail(Vec<u8>);
+
+impl StreamTail {
+    /// Adds what has arrived.
+    pub fn push(&mut self, data: &[u8]) {
+        self.0.extend_from_slice(data);
+        if self.0.len() > 2 * TAIL_BYTES {
+            self.0.drain(..self.0.len() - TAIL_BYTES);
+        }
+    }
+
+    /// The report of the attempt whose stream ended like this.
+    pub fn report(&self, columns: &Report) -> AttemptReport {
+        let text = String::from_utf8_lossy(&self.0);
+        let cached_tokens = after_last(&text, CACHED_TOKENS_KEY)
+            .and_then(leading_number)
+            .unwrap_or(0);
+        let load = after_last(&text, LOAD_COMMENT)
+            .and_then(|rest| rest.lines().next())
+            .and_then(|line| load_report::parse(line, columns));
+        AttemptReport {
+            cached_tokens,
+            load,
+            ..Outcome::Completed.into()
+        }
+    }
+}
+
+/// What follows the last occurrence of a word.
+fn after_last<'a>(text: &'a str, word: &str) -> Option<&'a str> {
+    text.rfind(word).map(|at| &text[at + word.len()..])
+}
+
+/// The number with which a text begins.
+fn leading_number(text: &str) -> Option<u64> {
+    let digits: String = text
+        .trim_start()
+        .chars()
+        .take_while(char::is_ascii_digit)
+        .collect();
+    digits.parse().ok()
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/router/src/upstream/tests.rs
@@ -0,0 +1,72 @@
+//! Attempts on a paused clock.
+
+use std::cell::Cell;
+
+use cranetack_routing_policy::ConnectFailure;
+use cranetack_testkit::{run_paused, Behaviour, Worker};
+
+use super::*;
+use crate::core::AttemptReport;
+use crate::tasks::TaskGroup;
+
+/// Longer than anything in a test.
+const LONG: Duration = Duration::from_secs(5);
+
+/// KV state at a prefill endpoint must not be held for as long as a connection to a decode endpoint
+/// may take.
+#[test]
+fn an_attempt_without_a_connection_ends_at_write_by() {
+    run_paused(async {
+        let worker = Worker::start(1, Behaviour::Answer).await;
+        let tasks = TaskGroup::default();
+        let (handle, mut events) = Handle::new();
+        let options = Options {
+            connection_limit: 1,
+            connect_timeout: Duration::from_millis(250),
+            server_idle_timeout: LONG,
+            stream_idle_timeout: LONG,
+            report: Report::default(),
+        };
+        let mut upstream = Upstream::new(handle, options, None, tasks.spawner());
+        let endpoint = Rc::new(Endpoint::new("a", worker.address));
+        let now = Instant::now();
+        let _only_connection = upstream
+            .shared
+            .pool
+            .connect(&endpoint, now + LONG)
+            .await
+            .unwrap();
+        let attempt = AttemptId {
+            request: RequestId(1),
+            number: 1,
+        };
+        let expires_at = now + LONG;
+        let write_by = now + Duration::from_millis(90);
+        upstream.send(AttemptSpec {
+            attempt,
+            request_id: "q".into(),
+            endpoint,
+            expires_at,
+            write_by,
+            is_live: Rc::new(Cell::new(true)),
+            prefill_only: false,
+            non_idempotent: true,
+            message: Rc::default(),
+        });
+        let event = events.recv().await;
+        let Some(CoreEvent::AttemptEnded {
+            report: AttemptReport { outcome, .. },
+            ..
+        }) = event
+        else {
+            panic!("the attempt has not ended")
+        };
+        assert_eq!(
+            outcome,
+            Outcome::ConnectFailed(ConnectFailure::LocalResources),
+            "the pool is full"
+        );
+        let expected = Duration::from_millis(90)..Duration::from_millis(100);
+        assert!(expected.contains(&now.elapsed()), "{:?}", now.elapsed());
+    });
+}
