--- a/crates/router/src/backoff/tests.rs
+++ b/crates/router/src/backoff/tests.rs
@@ -1,20 +1,19 @@
-//! Tests of `backoff`.
-
 use super::*;
 
 #[test]
-fn bounds_double_up_to_the_most_and_begin_anew_after_a_success() {
-    let (first, most) = (Duration::from_millis(100), Duration::from_millis(450));
+fn bounds_double_up_to_the_maximum_and_start_again_after_a_success() {
+    let first_bound = Duration::from_millis(100);
+    let max_bound = Duration::from_millis(450);
     let mut longest = [Duration::ZERO; 5];
     let mut backoffs: Vec<_> = (0..400)
-        .map(|seed| Backoff::new(first, most, seed))
+        .map(|seed| Backoff::new(first_bound, max_bound, seed))
         .collect();
     for backoff in &mut backoffs {
         for longest in &mut longest {
-            *longest = backoff.failed().max(*longest);
+            *longest = backoff.record_failure().max(*longest);
         }
-        backoff.succeeded();
-        assert!(backoff.failed() <= first);
+        backoff.record_success();
+        assert!(backoff.record_failure() <= first_bound);
     }
     for (longest, bound) in longest.iter().zip([100, 200, 400, 450, 450]) {
         let bound = Duration::from_millis(bound);
@@ -26,22 +25,26 @@
 }
 
 #[test]
-fn routers_with_seeds_of_their_own_do_not_come_back_together() {
-    let first = |seed| Backoff::new(Duration::from_secs(1), Duration::from_secs(1), seed).failed();
-    let mut spans: Vec<_> = (0..100).map(first).collect();
-    spans.sort();
-    let tenths = |n: u32| {
-        spans
+fn routers_with_different_seeds_do_not_retry_together() {
+    let first_delay =
+        |seed| Backoff::new(Duration::from_secs(1), Duration::from_secs(1), seed).record_failure();
+    let mut delays: Vec<_> = (0..100).map(first_delay).collect();
+    delays.sort();
+    let count_in_tenth = |tenth: u32| {
+        delays
             .iter()
-            .filter(|s| s.as_millis() / 100 == u128::from(n))
+            .filter(|delay| delay.as_millis() / 100 == u128::from(tenth))
             .count()
     };
-    assert!((0..10).all(|n| (3..=20).contains(&tenths(n))), "{spans:?}");
+    assert!(
+        (0..10).all(|tenth| (3..=20).contains(&count_in_tenth(tenth))),
+        "{delays:?}"
+    );
 }
 
 #[test]
-fn any_bounds_and_any_number_of_failures_are_borne() {
+fn no_bounds_and_no_number_of_failures_overflow() {
     let mut backoff = Backoff::new(Duration::MAX / 8, Duration::ZERO, 1);
     backoff.failures = u32::MAX;
-    assert!(backoff.failed() <= Duration::MAX / 8);
+    assert!(backoff.record_failure() <= Duration::MAX / 8);
 }
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use tokio::sync::watch;
 
-use crate::discovery::List;
+use crate::discovery::EndpointList;
 
 /// A file that cannot be used is read again after this ...
 const SETTLE_DELAY: Duration = Duration::from_millis(50);
@@ -99,7 +99,7 @@
     #[serde(default)]
     peers: Vec<SocketAddr>,
     peers_all: Option<SocketAddr>,
-    known: Option<List>,
+    known: Option<EndpointList>,
     settings: SiteSettings,
 }
 
@@ -177,7 +177,7 @@
     /// Messages between routers, where there are any.
     pub peering: Option<Peering>,
     /// The last list of workers that it held.
-    pub known: Option<List>,
+    pub known: Option<EndpointList>,
     /// The settings by name.
     pub site: SiteSettings,
     /// The settings in the module's types.
--- /dev/null
+++ b/crates/router/src/discovery/client.rs
@@ -0,0 +1,137 @@
+//! The HTTP client of the discovery service: one connection, and one call of it.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http::{Request, StatusCode};
+use http_body_util::{BodyExt, Empty, Limited};
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper_util::rt::TokioIo;
+use tokio::io::{AsyncRead, AsyncWrite};
+use tokio::net::TcpStream;
+use tokio::task::JoinHandle;
+use tokio::time::{timeout, Instant};
+
+use super::list::EndpointList;
+use super::schedule::{CONNECT_TIMEOUT, RESPONSE_TIMEOUT, WATCH_GRACE};
+use crate::socket::Socket;
+
+/// The most bytes of an endpoint list.
+const LIST_BYTES_LIMIT: usize = 4 * 1024 * 1024;
+
+/// Why a call of discovery failed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub(super) enum CallError {
+    /// No response came in time: the connection is broken, or discovery is down.
+    #[error("no response in time")]
+    TimedOut,
+    /// The service rejected it: it is overloaded.
+    #[error("rejected")]
+    Rejected,
+    /// There was no connection, or the response is no endpoint list.
+    #[error("not reached")]
+    Unreachable,
+}
+
+/// A call of the discovery service.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct ListRequest {
+    /// Asks for the changes since this version; for the complete list without one.
+    pub(super) since_version: Option<u64>,
+    /// For how long the service may wait for a change.
+    pub(super) hold: Duration,
+}
+
+/// A connection to the discovery service. Dropping it closes it.
+pub(super) struct DiscoveryConnection {
+    sender: SendRequest<Empty<Bytes>>,
+    driver: JoinHandle<()>,
+}
+
+impl Drop for DiscoveryConnection {
+    fn drop(&mut self) {
+        self.driver.abort();
+    }
+}
+
+impl DiscoveryConnection {
+    /// Connects to the service.
+    pub(super) async fn connect(address: SocketAddr) -> std::io::Result<DiscoveryConnection> {
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
+        stream.set_nodelay(true)?;
+        DiscoveryConnection::start(Socket::from(stream)).await
+    }
+
+    /// Starts HTTP over a stream.
+    pub(super) async fn start(
+        stream: impl AsyncRead + AsyncWrite + Unpin + 'static,
+    ) -> std::io::Result<DiscoveryConnection> {
+        let (sender, connection) = http1::handshake(TokioIo::new(stream))
+            .await
+            .map_err(std::io::Error::other)?;
+        // How the connection ends is seen by the call that it carries.
+        let driver = tokio::task::spawn_local(async move { drop(connection.await) });
+        Ok(DiscoveryConnection { sender, driver })
+    }
+
+    /// Asks for the endpoint list, or its changes. After a failure a new connection is needed.
+    pub(super) async fn fetch(&mut self, request: ListRequest) -> Result<EndpointList, CallError> {
+        let started = Instant::now();
+        let response = timeout(request.timeout(), self.exchange(request)).await;
+        let status = match &response {
+            Ok(Ok((status, _))) => Some(*status),
+            _ => None,
+        };
+        tracing::debug!(
+            since_version = request.since_version,
+            elapsed = ?started.elapsed(),
+            timed_out = response.is_err(),
+            ?status,
+            "discovery call ended"
+        );
+        let (status, body) = response.map_err(|_| CallError::TimedOut)??;
+        if status != StatusCode::OK {
+            return Err(CallError::Rejected);
+        }
+        serde_json::from_slice(&body).map_err(|error| {
+            tracing::warn!(%error, "endpoint list cannot be decoded");
+            CallError::Unreachable
+        })
+    }
+
+    async fn exchange(&mut self, request: ListRequest) -> Result<(StatusCode, Bytes), CallError> {
+        let request = Request::get(request.target())
+            .header("host", "discovery")
+            .body(Empty::new())
+            .map_err(|_| CallError::Unreachable)?;
+        let unreachable = |_| CallError::Unreachable;
+        self.sender.ready().await.map_err(unreachable)?;
+        let response = self.sender.send_request(request).await;
+        let response = response.map_err(unreachable)?;
+        let status = response.status();
+        let body = Limited::new(response.into_body(), LIST_BYTES_LIMIT);
+        let body = body.collect().await.map_err(|_| CallError::Unreachable)?;
+        Ok((status, body.to_bytes()))
+    }
+}
+
+impl ListRequest {
+    fn target(&self) -> String {
+        match self.since_version {
+            Some(version) => {
+                let hold_ms = self.hold.as_millis();
+                format!("/discovery/hosts?from={version}&hold_ms={hold_ms}")
+            }
+            None => "/discovery/hosts".to_owned(),
+        }
+    }
+
+    fn timeout(&self) -> Duration {
+        if self.hold.is_zero() {
+            RESPONSE_TIMEOUT
+        } else {
+            self.hold + WATCH_GRACE
+        }
+    }
+}
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -261,7 +261,7 @@
         spawn_local(core.run(events));
         if let Some(known) = &config.known {
             handle.send(CoreEvent::EndpointsUpdated(EndpointListUpdate::Restored(
-                known.listed(&config.site),
+                known.entries(&config.site),
             )));
         }
         let (fresh_tx, fresh) = watch::channel(false);
@@ -270,12 +270,16 @@
             .poll_interval
             .and_then(|us| u64::try_from(us).ok())
             .map(Duration::from_micros);
-        let pace = discovery::Pace::new(settings.router_count, poll_interval, config.seed);
-        let known = config.known.as_ref().map(|list| list.index);
-        let (site, told) = (config.site.clone(), handle.clone());
-        spawn_local(discovery::watch(
-            discovery, known, site, told, fresh_tx, pace,
-        ));
+        let schedule =
+            discovery::PollSchedule::new(settings.router_count, poll_interval, config.seed);
+        let known = config.known.as_ref().map(|list| list.version);
+        let list_watch = discovery::ListWatch {
+            site: config.site.clone(),
+            handle: handle.clone(),
+            list_received: fresh_tx,
+            schedule,
+        };
+        spawn_local(discovery::watch_list(discovery, known, list_watch));
         spawn_local(async move {
             tokio::time::sleep(FRESH_WAIT).await;
             late.send_replace(true);
