--- a/crates/router/src/tenants.rs
+++ b/crates/router/src/tenants.rs
@@ -1,22 +1,19 @@
-//! Tenants from an LDAP directory: whose key a client of the second front bears. Off unless an operator's file
-//! sets it up. The directory holds digests of keys, never the keys.
+//! Tenants from an LDAP directory: which tenant a client's key belongs to. They are off unless an
+//! operator's file enables them. The directory holds digests of keys, never the keys.
+
+mod directory;
 
 use std::collections::HashMap;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 
-use ldap3::{Ldap, LdapConnAsync, LdapConnSettings, LdapError, Scope, SearchEntry};
 use serde::Deserialize;
 use sha2::{Digest, Sha256};
 use tokio::sync::watch;
-use tokio::time::timeout;
 
-/// How long a connection, and each answer of the directory, may take.
-const CONNECT_WAIT: Duration = Duration::from_secs(2);
-const ANSWER_WAIT: Duration = Duration::from_secs(10);
-/// After how long a directory that failed is asked again.
-const AGAIN: Duration = Duration::from_secs(2);
+/// The delay before a directory that failed is read again.
+const RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// The operator's file.
 #[derive(Debug, Clone, Deserialize)]
@@ -24,21 +21,21 @@
 pub struct Setup {
     /// The directory, as `ldap://host:port`.
     pub url: String,
-    /// Who asks; anonymous without it.
+    /// The name with which to bind; anonymous without it.
     pub bind_dn: Option<String>,
     /// The file that holds its password.
     pub password_file: Option<PathBuf>,
-    /// Where tenants are.
+    /// The base of the search.
     pub base: String,
-    /// Which entries there are tenants.
+    /// The filter of the search: which entries are tenants.
     #[serde(default = "default_filter")]
     pub filter: String,
     /// The attribute that names a tenant.
-    #[serde(default = "default_name")]
+    #[serde(default = "default_name_attribute")]
     pub name_attribute: String,
     /// The attribute that holds the SHA-256 digests of its keys, in hexadecimal.
     pub key_attribute: String,
-    /// How often the directory is read.
+    /// The interval at which the directory is read, in seconds.
     #[serde(default = "default_refresh")]
     pub refresh_s: u32,
 }
@@ -47,7 +44,7 @@
     "(objectClass=*)".to_owned()
 }
 
-fn default_name() -> String {
+fn default_name_attribute() -> String {
     "uid".to_owned()
 }
 
@@ -73,12 +70,15 @@
     }
 }
 
-/// Tenants by the digests of their keys.
-type Table = HashMap<[u8; 32], Rc<str>>;
+/// The SHA-256 digest of a key.
+type KeyDigest = [u8; 32];
+
+/// The names of tenants by the digests of their keys.
+type TenantTable = HashMap<KeyDigest, Rc<str>>;
 
-/// The tenants as the directory had them last.
+/// The tenants as they were last read from the directory.
 #[derive(Clone)]
-pub struct Tenants(watch::Receiver<Option<Table>>);
+pub struct Tenants(watch::Receiver<Option<TenantTable>>);
 
 /// Whose key it is.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -92,35 +92,18 @@
 }
 
 impl Tenants {
-    /// Begins to read the directory, again and again while anybody looks. Must be called within a `LocalSet`.
+    /// Starts to read the directory at intervals, for as long as the tenants are in use. Must be
+    /// called within a `LocalSet`.
     pub fn follow(setup: Setup) -> Tenants {
-        let (tx, rx) = watch::channel(None);
-        tokio::task::spawn_local(async move {
-            loop {
-                let wait = match read(&setup).await {
-                    Ok(table) => {
-                        tracing::debug!(keys = table.len(), "tenants read");
-                        tx.send_replace(Some(table));
-                        Duration::from_secs(setup.refresh_s.into())
-                    }
-                    // What was known stays valid: a directory that is down must not lock tenants out.
-                    Err(error) => {
-                        tracing::warn!(%error, "the directory of tenants cannot be read");
-                        AGAIN
-                    }
-                };
-                tokio::select! {
-                    () = tokio::time::sleep(wait) => {}
-                    () = tx.closed() => return,
-                }
-            }
-        });
-        Tenants(rx)
+        let (sender, receiver) = watch::channel(None);
+        // The task ends once the last receiver has been dropped.
+        tokio::task::spawn_local(refresh(setup, sender));
+        Tenants(receiver)
     }
 
     /// Whose key this is.
     pub fn bearer(&self, key: &str) -> Bearer {
-        let digest: [u8; 32] = Sha256::digest(key.as_bytes()).into();
+        let digest: KeyDigest = Sha256::digest(key.as_bytes()).into();
         match &*self.0.borrow() {
             None => Bearer::NotYet,
             Some(table) => table
@@ -131,79 +114,26 @@
     }
 }
 
-/// Why the directory was not read.
-#[derive(Debug, thiserror::Error)]
-enum ReadError {
-    #[error("{0}")]
-    Ldap(#[from] LdapError),
-    #[error("the password's file: {0}")]
-    Password(#[from] std::io::Error),
-    #[error("it took too long")]
-    Slow(#[from] tokio::time::error::Elapsed),
-}
-
-async fn read(setup: &Setup) -> Result<Table, ReadError> {
-    let settings = LdapConnSettings::new().set_conn_timeout(CONNECT_WAIT);
-    let (connection, mut ldap) = LdapConnAsync::with_settings(settings, &setup.url).await?;
-    let driver = tokio::task::spawn_local(async move { drop(connection.drive().await) });
-    let table = timeout(ANSWER_WAIT, search(&mut ldap, setup)).await;
-    // Whatever came of it, the connection ends here.
-    let _ = timeout(CONNECT_WAIT, ldap.unbind()).await;
-    driver.abort();
-    table?
-}
-
-async fn search(ldap: &mut Ldap, setup: &Setup) -> Result<Table, ReadError> {
-    if let (Some(dn), Some(file)) = (&setup.bind_dn, &setup.password_file) {
-        let password = std::fs::read_to_string(file)?;
-        ldap.simple_bind(dn, password.trim_end_matches(['\r', '\n']))
-            .await?
-            .success()?;
-    }
-    let attributes = [setup.name_attribute.as_str(), setup.key_attribute.as_str()];
-    let found = ldap
-        .search(&setup.base, Scope::Subtree, &setup.filter, attributes)
-        .await?;
-    let mut table = Table::new();
-    for entry in found.success()?.0 {
-        let entry = SearchEntry::construct(entry);
-        let Some(name) = values(&entry, &setup.name_attribute).next() else {
-            tracing::warn!(dn = entry.dn, "a tenant without a name is left out");
-            continue;
-        };
-        for key in values(&entry, &setup.key_attribute) {
-            match digest(key) {
-                Some(digest) => drop(table.insert(digest, name.as_str().into())),
-                None => tracing::warn!(
-                    dn = entry.dn,
-                    "a key that is not a SHA-256 digest is left out"
-                ),
+/// Reads the directory at intervals until nobody observes the table. The last table that was read
+/// stays valid: a directory that is down must not lock tenants out.
+async fn refresh(setup: Setup, table: watch::Sender<Option<TenantTable>>) {
+    loop {
+        let delay = match directory::read(&setup).await {
+            Ok(new) => {
+                tracing::debug!(keys = new.len(), "tenants read");
+                table.send_replace(Some(new));
+                Duration::from_secs(setup.refresh_s.into())
             }
+            Err(error) => {
+                tracing::warn!(%error, "directory of tenants cannot be read, retrying");
+                RETRY_DELAY
+            }
+        };
+        tokio::select! {
+            () = tokio::time::sleep(delay) => {}
+            () = table.closed() => return,
         }
     }
-    Ok(table)
-}
-
-/// The values of an attribute, whose name the directory may write in its own way.
-fn values<'a>(entry: &'a SearchEntry, name: &'a str) -> impl Iterator<Item = &'a String> {
-    let same = entry
-        .attrs
-        .iter()
-        .filter(move |(n, _)| n.eq_ignore_ascii_case(name));
-    same.flat_map(|(_, values)| values)
-}
-
-/// 64 hexadecimal digits.
-fn digest(text: &str) -> Option<[u8; 32]> {
-    let text = text.trim().as_bytes();
-    let mut digest = [0; 32];
-    if text.len() != 64 || !text.iter().all(u8::is_ascii_hexdigit) {
-        return None;
-    }
-    for (byte, pair) in digest.iter_mut().zip(text.chunks_exact(2)) {
-        *byte = u8::from_str_radix(std::str::from_utf8(pair).ok()?, 16).ok()?;
-    }
-    Some(digest)
 }
 
 #[cfg(test)]
