--- a/crates/router/src/closing.rs
+++ b/crates/router/src/closing.rs
@@ -1,4 +1,5 @@
-//! How connections are closed: in order, after what still comes has been read.
+//! Closes connections in order: what still arrives is read first, as data that is unread at the
+//! close would reset the connection.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -10,20 +11,23 @@
 
 use crate::socket::Socket;
 
-/// What is thrown away at once.
-const PIECE: usize = 2 * 1024;
+/// How much is discarded with one read.
+const DISCARD_BUFFER_BYTES: usize = 2 * 1024;
 
-/// Closes our side of a connection and throws away what still comes, until the other side closes or fails.
+/// Closes this side of a connection and discards what still arrives, until the other side closes or
+/// fails.
 pub async fn shut_down_and_drain(stream: &RefCell<Socket>) {
-    // Fails where the client has reset the connection: then there is nothing to read either.
+    // Fails if the other side has reset the connection: then there is nothing to read either.
     let _ = poll_fn(|cx| Pin::new(&mut *stream.borrow_mut()).poll_shutdown(cx)).await;
-    while poll_fn(|cx| poll_discard(stream, cx))
-        .await
-        .is_ok_and(|length| length > 0)
-    {}
+    loop {
+        match poll_fn(|cx| poll_discard(stream, cx)).await {
+            Ok(0) | Err(_) => return,
+            Ok(_) => {}
+        }
+    }
 }
 
-/// Throws away what has been received, without waiting for more.
+/// Discards what has been received, without waiting for more.
 pub async fn discard_received(stream: &RefCell<Socket>) {
     poll_fn(|cx| {
         while matches!(poll_discard(stream, cx), Poll::Ready(Ok(length)) if length > 0) {}
@@ -32,9 +36,10 @@
     .await;
 }
 
+/// Discards what one read returns: its length, 0 at the end.
 fn poll_discard(stream: &RefCell<Socket>, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
-    let mut piece = [0; PIECE];
-    let mut read = ReadBuf::new(&mut piece);
+    let mut buffer = [0; DISCARD_BUFFER_BYTES];
+    let mut read = ReadBuf::new(&mut buffer);
     ready!(Pin::new(&mut *stream.borrow_mut()).poll_read(cx, &mut read))?;
     Poll::Ready(Ok(read.filled().len()))
 }
--- a/crates/router/src/socket.rs
+++ b/crates/router/src/socket.rs
@@ -1,4 +1,4 @@
-//! A connection whose reads and writes may be short at any time, or interrupted.
+//! A TCP stream that tolerates short and interrupted reads and writes.
 
 use std::io::{self, ErrorKind};
 use std::mem::MaybeUninit;
@@ -10,9 +10,11 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A TCP stream that asks the system again until it says that it would block. The runtime's own takes a short read or
-/// write for the sign that the system's buffer is empty or full, and waits for an event that need not come: guards
-/// against a connection that hangs for ever after a call that was short for another reason.
+/// A TCP stream that repeats a call until the system says that it would block.
+///
+/// The runtime's own stream takes a short read or write as the sign that the system's buffer is empty
+/// or full, and waits for a readiness event. A call that was short for another reason produces no
+/// such event, so that the connection would hang.
 #[derive(Debug)]
 pub struct Socket(TcpStream);
 
@@ -23,7 +25,7 @@
 }
 
 impl Socket {
-    /// Whether the system holds something that was not read yet.
+    /// Whether the system has received data that has not been read yet.
     pub fn has_received(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         SockRef::from(self)
@@ -38,7 +40,7 @@
     }
 }
 
-/// Whether a call has to be made again once the socket is ready.
+/// Whether a call has to be repeated once the socket is ready.
 fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
