--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -1,4 +1,4 @@
-//! What a router is told: the configuration file, at its start and again at each hangup.
+//! The router's configuration file, and its reload at each SIGHUP.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,12 +12,16 @@
 
 use crate::discovery::EndpointList;
 
-/// A file that cannot be used is read again after this ...
-const SETTLE_DELAY: Duration = Duration::from_millis(50);
-/// ... so many times, before it counts as wrong.
-const SETTLE_TRIES: u32 = 20;
+/// The delay before a file that cannot be used is read again.
+const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// How often it is read again before it counts as invalid.
+const RELOAD_RETRIES: u32 = 20;
+/// The fewest file descriptors with which a router can run.
+const SOCKETS_MIN: usize = 64;
+/// The number of file descriptors where the configuration names none.
+const DEFAULT_SOCKETS: usize = 1_024;
 
-/// Why a configuration cannot be used: one line that names the key.
+/// Why a file cannot be used: one line that names the file and the key.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file cannot be read.
@@ -30,7 +34,7 @@
     },
     /// A key is missing, of the wrong type or out of range.
     #[error("{path}: {message}")]
-    Wrong {
+    Invalid {
         /// The file's path.
         path: String,
         /// The key and what is wrong with it.
@@ -38,44 +42,87 @@
     },
 }
 
-/// Reads an operator's file and checks it. The message names the key that is wrong.
+impl ConfigError {
+    fn unreadable(path: &Path, source: std::io::Error) -> ConfigError {
+        ConfigError::Unreadable {
+            path: path.display().to_string(),
+            source,
+        }
+    }
+
+    fn invalid(path: &Path, message: String) -> ConfigError {
+        ConfigError::Invalid {
+            path: path.display().to_string(),
+            message,
+        }
+    }
+
+    /// Whether reading the file may succeed a moment later.
+    fn is_transient(&self) -> bool {
+        const TRANSIENT_ERRORS: [i32; 5] = [
+            libc::EIO,
+            libc::ENFILE,
+            libc::EMFILE,
+            libc::EINTR,
+            libc::EAGAIN,
+        ];
+        match self {
+            ConfigError::Unreadable { source, .. } => source
+                .raw_os_error()
+                .is_some_and(|code| TRANSIENT_ERRORS.contains(&code)),
+            ConfigError::Invalid { .. } => false,
+        }
+    }
+}
+
+/// What is wrong with the contents of a configuration: the text begins with the key.
+#[derive(Debug, thiserror::Error)]
+pub enum InvalidConfig {
+    /// A key is missing or of the wrong type.
+    #[error("{}: {}", .0.path(), .0.inner())]
+    Key(serde_path_to_error::Error<serde_json::Error>),
+    /// The seed is no hexadecimal number.
+    #[error("seed: not hexadecimal: {0}")]
+    Seed(std::num::ParseIntError),
+    /// There are too few file descriptors.
+    #[error("limits.sockets: {0} is too few, at least {SOCKETS_MIN} are needed")]
+    TooFewSockets(usize),
+    /// The settings contradict each other or are out of range.
+    #[error("settings: {0}")]
+    Settings(String),
+}
+
+/// Reads an operator's file and checks it.
 pub fn load_toml<T: DeserializeOwned>(
     path: &Path,
     check: impl FnOnce(&T) -> Result<(), String>,
 ) -> Result<T, ConfigError> {
-    let shown = path.display().to_string();
-    match std::fs::read_to_string(path) {
-        Ok(text) => {
-            let read = parse_toml(&text).and_then(|file| check(&file).map(|()| file));
-            read.map_err(|message| ConfigError::Wrong {
-                path: shown,
-                message,
-            })
-        }
-        Err(source) => Err(ConfigError::Unreadable {
-            path: shown,
-            source,
-        }),
-    }
+    let text =
+        std::fs::read_to_string(path).map_err(|source| ConfigError::unreadable(path, source))?;
+    let invalid = |message| ConfigError::invalid(path, message);
+    let file = parse_toml(&text).map_err(invalid)?;
+    check(&file).map_err(invalid)?;
+    Ok(file)
 }
 
-/// Reads an operator's file from its text.
+/// Decodes an operator's file. The message names the key that is wrong.
 pub fn parse_toml<T: DeserializeOwned>(text: &str) -> Result<T, String> {
-    let toml = toml::Deserializer::parse(text).map_err(|e| format!("not TOML: {}", e.message()))?;
+    let toml = toml::Deserializer::parse(text)
+        .map_err(|error| format!("not TOML: {}", error.message()))?;
     serde_path_to_error::deserialize(toml)
-        .map_err(|e| format!("{}: {}", e.path(), e.inner().message()))
+        .map_err(|error| format!("{}: {}", error.path(), error.inner().message()))
 }
 
 /// What one router may use.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct Limits {
-    /// File descriptors that it may hold.
+    /// The most file descriptors.
     #[serde(default = "default_sockets")]
     pub sockets: usize,
 }
 
 fn default_sockets() -> usize {
-    1_024
+    DEFAULT_SOCKETS
 }
 
 impl Default for Limits {
@@ -86,7 +133,7 @@
     }
 }
 
-/// The file, as it is written.
+/// The file as it is written.
 #[derive(Deserialize)]
 struct File {
     name: String,
@@ -98,156 +145,127 @@
     peer_listen: Option<SocketAddr>,
     #[serde(default)]
     peers: Vec<SocketAddr>,
-    peers_all: Option<SocketAddr>,
-    known: Option<EndpointList>,
+    #[serde(rename = "peers_all")]
+    peers_broadcast: Option<SocketAddr>,
+    #[serde(rename = "known")]
+    known_endpoints: Option<EndpointList>,
     settings: SiteSettings,
 }
 
-/// Addresses for messages between routers.
+/// Addresses for gossip between routers.
 #[derive(Debug, Clone)]
-pub struct Peering {
-    /// Where messages arrive.
+pub struct GossipConfig {
+    /// The address on which this router receives.
     pub listen: SocketAddr,
-    /// One address for each router of the tier, by its number.
+    /// The addresses of all routers, by their number.
     pub peers: Vec<SocketAddr>,
     /// The address that reaches all of them.
-    pub all: Option<SocketAddr>,
+    pub broadcast: Option<SocketAddr>,
 }
 
-/// Reads the file again at each hangup, for as long as anybody wants to know where discovery answers. Nothing
-/// else of it takes effect before the next start. Guards against a bad file that costs a running router what it
-/// has: then all stays as it was.
-pub async fn follow(
+/// Reads the file again at each hangup and publishes the address of discovery, for as long as
+/// anybody observes it. Nothing else in the file takes effect before the next start. A file that
+/// cannot be used changes nothing.
+pub async fn reload_on_hangup(
     path: &Path,
     mut hangup: impl AsyncFnMut() -> Option<()>,
-    discovery: watch::Sender<SocketAddr>,
+    discovery_address: watch::Sender<SocketAddr>,
 ) {
     loop {
         tokio::select! {
-            heard = hangup() => if heard.is_none() { return },
-            () = discovery.closed() => return,
+            received = hangup() => if received.is_none() { return },
+            () = discovery_address.closed() => return,
         }
-        match load_settled(path).await {
+        match load_with_retries(path).await {
             Ok(config) => {
-                tracing::info!(discovery = %config.discovery, "the configuration has been read again");
-                discovery.send_replace(config.discovery);
+                tracing::info!(discovery = %config.discovery, "configuration reloaded");
+                discovery_address.send_replace(config.discovery);
             }
-            Err(error) => tracing::error!(%error, "the configuration stays as it was"),
+            Err(error) => tracing::error!(%error, "configuration not reloaded"),
         }
     }
 }
 
-/// Whether a reading may succeed a moment later.
-fn is_momentary(error: &std::io::Error) -> bool {
-    let codes = [
-        libc::EIO,
-        libc::ENFILE,
-        libc::EMFILE,
-        libc::EINTR,
-        libc::EAGAIN,
-    ];
-    error
-        .raw_os_error()
-        .is_some_and(|code| codes.contains(&code))
-}
-
-/// The file once it can be used: it may be half written, or its reading fail for a moment, and no further signal comes.
-async fn load_settled(path: &Path) -> Result<Config, ConfigError> {
-    for _ in 0..SETTLE_TRIES {
+/// Reads the file once it can be used. It may be written at this moment, or reading it may fail for
+/// a moment, and no further signal follows.
+async fn load_with_retries(path: &Path) -> Result<Config, ConfigError> {
+    for _ in 0..RELOAD_RETRIES {
         if let Ok(config) = Config::load(path) {
             return Ok(config);
         }
-        tokio::time::sleep(SETTLE_DELAY).await;
+        tokio::time::sleep(RELOAD_RETRY_DELAY).await;
     }
     Config::load(path)
 }
 
-/// All that a router is told.
+/// The configuration of a router.
 pub struct Config {
     /// Its name.
     pub name: String,
-    /// Where clients connect.
+    /// The address for clients of the platform API.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// For random numbers.
+    /// The seed of random numbers.
     pub seed: u64,
     /// What it may use.
     pub limits: Limits,
-    /// Messages between routers, where there are any.
-    pub peering: Option<Peering>,
-    /// The last list of workers that it held.
-    pub known: Option<EndpointList>,
-    /// The settings by name.
+    /// Gossip between routers, if it is enabled.
+    pub gossip: Option<GossipConfig>,
+    /// The endpoint list as this router last had it.
+    pub known_endpoints: Option<EndpointList>,
+    /// The settings as they are named in the file.
     pub site: SiteSettings,
-    /// The settings in the module's types.
+    /// The settings in the policy's types.
     pub settings: Settings,
 }
 
 impl Config {
-    /// Reads a configuration file for a start: a reading that fails for a moment is made again, for a second.
+    /// Reads the file for a start. Failures that may be over in a moment are retried for a second.
     pub fn load_for_start(path: &Path) -> Result<Config, ConfigError> {
-        for _ in 0..SETTLE_TRIES {
+        for _ in 0..RELOAD_RETRIES {
             match Config::load(path) {
-                Err(ConfigError::Unreadable { source, .. }) if is_momentary(&source) => {
-                    std::thread::sleep(SETTLE_DELAY);
-                }
+                Err(error) if error.is_transient() => std::thread::sleep(RELOAD_RETRY_DELAY),
                 loaded => return loaded,
             }
         }
         Config::load(path)
     }
 
-    /// Reads a configuration file.
+    /// Reads the file.
     pub fn load(path: &Path) -> Result<Config, ConfigError> {
-        let shown = path.display().to_string();
-        match std::fs::read(path) {
-            Ok(bytes) => Config::parse(&bytes).map_err(|message| ConfigError::Wrong {
-                path: shown,
-                message,
-            }),
-            Err(source) => Err(ConfigError::Unreadable {
-                path: shown,
-                source,
-            }),
-        }
+        let bytes = std::fs::read(path).map_err(|source| ConfigError::unreadable(path, source))?;
+        Config::parse(&bytes).map_err(|error| ConfigError::invalid(path, error.to_string()))
     }
 
-    /// Reads a configuration from its text. The message names the key that is wrong.
-    pub fn parse(bytes: &[u8]) -> Result<Config, String> {
+    /// Decodes the contents of a file and checks them.
+    pub fn parse(bytes: &[u8]) -> Result<Config, InvalidConfig> {
         let json = &mut serde_json::Deserializer::from_slice(bytes);
-        let file: File = serde_path_to_error::deserialize(json)
-            .map_err(|e| format!("{}: {}", e.path(), e.inner()))?;
-        let seed = u64::from_str_radix(&file.seed, 16)
-            .map_err(|e| format!("seed: not hexadecimal: {e}"))?;
-        if file.limits.sockets < 64 {
-            return Err(format!(
-                "limits.sockets: {} is too few, at least 64 are needed",
-                file.limits.sockets
-            ));
+        let file: File = serde_path_to_error::deserialize(json).map_err(InvalidConfig::Key)?;
+        let seed = u64::from_str_radix(&file.seed, 16).map_err(InvalidConfig::Seed)?;
+        if file.limits.sockets < SOCKETS_MIN {
+            return Err(InvalidConfig::TooFewSockets(file.limits.sockets));
         }
         let mut site = file.settings;
         site.name_columns();
-        // Discovery is always watched here, so the module never has to ask for the list.
         let settings = Settings {
+            // Discovery is always watched here, so the policy never has to poll the list.
             endpoints_are_polled: false,
-            ..site
-                .policy_settings()
-                .map_err(|message| format!("settings: {message}"))?
+            ..site.policy_settings().map_err(InvalidConfig::Settings)?
         };
-        let peering = file.peer_listen.filter(|_| settings.gossip);
+        let gossip_listen = file.peer_listen.filter(|_| settings.gossip);
         Ok(Config {
             name: file.name,
             listen: file.listen,
             discovery: file.discovery,
             seed,
             limits: file.limits,
-            peering: peering.map(|listen| Peering {
+            gossip: gossip_listen.map(|listen| GossipConfig {
                 listen,
                 peers: file.peers,
-                all: file.peers_all,
+                broadcast: file.peers_broadcast,
             }),
-            known: file.known,
+            known_endpoints: file.known_endpoints,
             site,
             settings,
         })
--- a/crates/router/src/frontend/inference/mod.rs
+++ b/crates/router/src/frontend/inference/mod.rs
@@ -577,7 +577,7 @@
                 Sliced::Taken => return Err(Failure::Taken),
                 // A router that leaves waits for nothing: its clients ask another one.
                 Sliced::Failed(SliceFailure::NoRoom(pause))
-                    if *self.phase.borrow() >= Phase::Leaving =>
+                    if *self.phase.borrow() >= Phase::Draining =>
                 {
                     ticket.failed(SliceFailure::Refused(pause));
                 }
--- a/crates/router/src/frontend/mod.rs
+++ b/crates/router/src/frontend/mod.rs
@@ -231,7 +231,7 @@
             };
             let mut response = front.answer(request.map(arriving)).await;
             // A client that is told now asks elsewhere next, and its connection needs no closing later.
-            if *phase.borrow() >= Phase::Leaving || requests.is_last() {
+            if *phase.borrow() >= Phase::Draining || requests.is_last() {
                 response
                     .headers_mut()
                     .insert(CONNECTION, HeaderValue::from_static("close"));
--- /dev/null
+++ b/crates/router/src/router.rs
@@ -0,0 +1,146 @@
+//! A router as a whole: it binds its addresses, starts its parts, and ends them in order.
+
+mod bind;
+mod parts;
+
+use std::future::Future;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use tokio::net::TcpListener;
+use tokio::sync::watch;
+use tokio::time::timeout;
+
+use crate::config::Config;
+use crate::control;
+use crate::frontend::inference::{self, Inference};
+use crate::frontend::platform::Platform;
+use crate::frontend::{self, Readiness};
+use crate::gossip::GossipSocket;
+use crate::tenants::Tenants;
+use parts::Parts;
+
+/// How long the core has, after the last response, to start the releases of requests that were
+/// given up at the end ...
+const FINAL_EVENTS_SPAN: Duration = Duration::from_millis(50);
+/// ... and how long these releases may take.
+const FINAL_RELEASES_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// Why a router cannot start.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// An address cannot be listened on.
+    #[error("{key}: {address} cannot be listened on: {source}")]
+    Listen {
+        /// The key in the configuration.
+        key: &'static str,
+        /// The address.
+        address: SocketAddr,
+        /// Why.
+        source: std::io::Error,
+    },
+    /// The runtime cannot be built.
+    #[error("the runtime cannot be started: {0}")]
+    Runtime(std::io::Error),
+}
+
+/// What an operator may enable beside the platform API. All of it is off by default.
+#[derive(Default)]
+pub struct Extras {
+    /// The inference API.
+    pub inference: Option<inference::Setup>,
+    /// The tenants whose keys the inference API accepts; it is open to anybody without them.
+    pub tenants: Option<Tenants>,
+    /// The control service.
+    pub control: Option<control::Setup>,
+    /// The address of discovery, if it may change while the router runs.
+    pub discovery: Option<watch::Receiver<SocketAddr>>,
+}
+
+/// A router that listens and does not serve yet.
+pub struct Router {
+    config: Config,
+    platform: TcpListener,
+    inference: Option<(TcpListener, inference::Setup)>,
+    tenants: Option<Tenants>,
+    control: Option<(TcpListener, control::Setup)>,
+    discovery_address: watch::Receiver<SocketAddr>,
+    gossip: Option<GossipSocket>,
+}
+
+impl Router {
+    /// The address for clients of the platform API.
+    pub fn address(&self) -> std::io::Result<SocketAddr> {
+        self.platform.local_addr()
+    }
+
+    /// The address for clients of the inference API, if it is enabled.
+    pub fn inference_address(&self) -> Option<std::io::Result<SocketAddr>> {
+        let (listener, _) = self.inference.as_ref()?;
+        Some(listener.local_addr())
+    }
+
+    /// The address for other proxies, if the control service is enabled.
+    pub fn control_address(&self) -> Option<std::io::Result<SocketAddr>> {
+        let (listener, _) = self.control.as_ref()?;
+        Some(listener.local_addr())
+    }
+
+    /// Serves until `signal` completes and all accepted requests have their final response. Must
+    /// run within a `LocalSet`.
+    pub async fn serve(self, signal: impl Future<Output = ()> + 'static) {
+        let Router {
+            config,
+            platform,
+            inference,
+            tenants,
+            control,
+            discovery_address,
+            gossip,
+        } = self;
+        let (parts, events) = Parts::new(config, gossip.as_ref(), signal);
+        let mut releases_in_progress = parts.start_core(events, gossip);
+        let list_received = parts.start_discovery(discovery_address);
+        parts.start_shutdown_events();
+        let readiness = Readiness::new(list_received, parts.phase.clone());
+        let service = Platform::new(parts.handle.clone(), &parts.config.site, readiness);
+        tracing::info!(name = parts.config.name, listen = %parts.config.listen, "serving");
+        let connection_limit = parts.client_connection_limit(inference.is_some());
+        let control_tasks = control.map(|(listener, setup)| parts.start_control(listener, setup));
+        tokio::join!(
+            frontend::serve(platform, service, connection_limit, parts.phase.clone()),
+            serve_inference(&parts, inference, tenants, connection_limit)
+        );
+        // Proxies stay subscribed for as long as they run; no accepted request depends on them.
+        drop(control_tasks);
+        tracing::info!("all accepted requests answered");
+        tokio::time::sleep(FINAL_EVENTS_SPAN).await;
+        let released = releases_in_progress.wait_for(|count| *count == 0);
+        if timeout(FINAL_RELEASES_TIMEOUT, released).await.is_err() {
+            tracing::warn!("router ends before all KV state is released");
+        }
+    }
+}
+
+/// Serves the inference API, if it is enabled.
+async fn serve_inference(
+    parts: &Parts,
+    inference: Option<(TcpListener, inference::Setup)>,
+    tenants: Option<Tenants>,
+    connection_limit: usize,
+) {
+    let Some((listener, setup)) = inference else {
+        return;
+    };
+    tracing::info!(listen = %setup.listen, "serving the inference API");
+    let service = Inference::new(
+        parts.handle.clone(),
+        setup,
+        &parts.config.site,
+        &parts.config.settings,
+        tenants,
+        parts.config.seed,
+        parts.phase.clone(),
+    );
+    frontend::serve(listener, service, connection_limit, parts.phase.clone()).await;
+}
--- /dev/null
+++ b/crates/router/src/router/bind.rs
@@ -0,0 +1,86 @@
+//! Binds the addresses of a router.
+
+use std::future::Future;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use tokio::net::TcpListener;
+use tokio::sync::watch;
+use tokio::time::Instant;
+
+use super::{Extras, Router, StartError};
+use crate::config::Config;
+use crate::gossip::GossipSocket;
+
+/// For how long binding an address is retried.
+const BIND_RETRY_SPAN: Duration = Duration::from_secs(3);
+/// The delay between two attempts.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(50);
+
+impl Router {
+    /// Binds the addresses of the configuration, and of what else is enabled.
+    pub async fn bind(config: Config, extras: Extras) -> Result<Router, StartError> {
+        let platform = bind_listener("listen", config.listen).await?;
+        let inference = match extras.inference {
+            Some(setup) => Some((
+                bind_listener("inference listen", setup.listen).await?,
+                setup,
+            )),
+            None => None,
+        };
+        let control = match extras.control {
+            Some(setup) => Some((bind_listener("control listen", setup.listen).await?, setup)),
+            None => None,
+        };
+        let gossip = match &config.gossip {
+            Some(gossip) => {
+                let bind = || GossipSocket::bind(gossip.clone());
+                Some(bind_with_retries("peer_listen", gossip.listen, bind).await?)
+            }
+            None => None,
+        };
+        let discovery_address = extras
+            .discovery
+            .unwrap_or_else(|| watch::channel(config.discovery).1);
+        Ok(Router {
+            config,
+            platform,
+            inference,
+            tenants: extras.tenants,
+            control,
+            discovery_address,
+            gossip,
+        })
+    }
+}
+
+/// Listens on the address that the configuration gives under this key.
+async fn bind_listener(key: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
+    bind_with_retries(key, address, || TcpListener::bind(address)).await
+}
+
+/// Binds an address, with retries: descriptors may be short for a moment, or the process before this
+/// one may not have released the address yet.
+async fn bind_with_retries<T, F: Future<Output = std::io::Result<T>>>(
+    key: &'static str,
+    address: SocketAddr,
+    bind: impl Fn() -> F,
+) -> Result<T, StartError> {
+    let give_up = Instant::now() + BIND_RETRY_SPAN;
+    loop {
+        match bind().await {
+            Ok(bound) => return Ok(bound),
+            Err(error) if Instant::now() < give_up => {
+                tracing::warn!(%error, key, %address, "address cannot be listened on, retrying");
+                tokio::time::sleep(BIND_RETRY_DELAY).await;
+            }
+            Err(source) => {
+                return Err(StartError::Listen {
+                    key,
+                    address,
+                    source,
+                })
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/src/router/parts.rs
@@ -0,0 +1,198 @@
+//! The parts of a running router: each is started as tasks of one group.
+
+use std::future::Future;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use cranetack_settings::ClassSettings;
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, watch};
+use tokio::time::Instant;
+
+use crate::config::Config;
+use crate::control;
+use crate::core::{Clock, Core, CoreEvent, EndpointListUpdate, Handle};
+use crate::discovery::{self, ListWatch, PollSchedule};
+use crate::gossip::GossipSocket;
+use crate::shutdown::{self, Phase, ShutdownSchedule};
+use crate::tasks::TaskGroup;
+use crate::upstream::{self, Upstream};
+
+/// After how long without a response of discovery the router is ready with the list that it has.
+const LIST_WAIT_MAX: Duration = Duration::from_millis(1_500);
+/// File descriptors for all but connections to clients and endpoints: listeners, discovery, logs
+/// and the runtime.
+const RESERVED_DESCRIPTORS: usize = 32;
+/// The most connections of clients, however many descriptors there are: each may hold a body of
+/// 256 KiB, and a buffer.
+const CLIENT_CONNECTIONS_MAX: usize = 384;
+/// How long a stream may deliver nothing before it counts as broken, as a machine that has vanished
+/// sends nothing. Clients wait for at most 5 s after the last event. Where they resume streams at
+/// another router, an early end lets them.
+const RESUMABLE_STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// Where they do not, a stream that is ended is lost, so it has as much of the 5 s as is safe.
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(4_500);
+/// How long establishing a connection may take, where the settings name no span.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// After how long endpoints close idle connections, where the settings name no span.
+const DEFAULT_SERVER_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+
+/// What the parts of a running router share. Dropping it ends their tasks.
+pub(super) struct Parts {
+    pub(super) config: Config,
+    pub(super) handle: Handle,
+    pub(super) phase: watch::Receiver<Phase>,
+    tasks: TaskGroup,
+}
+
+/// What the core receives.
+type CoreEvents = mpsc::UnboundedReceiver<CoreEvent>;
+
+impl Parts {
+    /// Starts to receive gossip and to watch for the shutdown, whose signal is `signal`.
+    pub(super) fn new(
+        config: Config,
+        gossip: Option<&GossipSocket>,
+        signal: impl Future<Output = ()> + 'static,
+    ) -> (Parts, CoreEvents) {
+        let tasks = TaskGroup::default();
+        let (handle, events) = Handle::new();
+        if let Some(gossip) = gossip {
+            tasks.spawn(gossip.clone().receive(handle.clone()));
+        }
+        let phase = shutdown::start_phases(signal, &tasks);
+        let parts = Parts {
+            config,
+            handle,
+            phase,
+            tasks,
+        };
+        (parts, events)
+    }
+
+    /// Starts the core and the upstream, with the endpoint list as this router last had it. Returns
+    /// the number of releases of KV state in progress.
+    pub(super) fn start_core(
+        &self,
+        events: CoreEvents,
+        gossip: Option<GossipSocket>,
+    ) -> watch::Receiver<usize> {
+        let upstream = Upstream::new(
+            self.handle.clone(),
+            self.upstream_options(),
+            gossip,
+            self.tasks.spawner(),
+        );
+        let releases_in_progress = upstream.releases_in_progress();
+        let settings = self.config.settings.clone();
+        let core = Core::new(settings, self.config.seed, Clock::system(), upstream);
+        self.tasks.spawn(core.run(events));
+        if let Some(list) = &self.config.known_endpoints {
+            let update = EndpointListUpdate::Restored(list.entries(&self.config.site));
+            self.handle.send(CoreEvent::EndpointsUpdated(update));
+        }
+        releases_in_progress
+    }
+
+    fn upstream_options(&self) -> upstream::Options {
+        let allowed = &self.config.site.allowed;
+        upstream::Options {
+            connection_limit: self.connection_limit(),
+            connect_timeout: allowed.connect_timeout().unwrap_or(DEFAULT_CONNECT_TIMEOUT),
+            server_idle_timeout: allowed.idle_close().unwrap_or(DEFAULT_SERVER_IDLE_TIMEOUT),
+            stream_idle_timeout: if self.config.settings.resumable_streams {
+                RESUMABLE_STREAM_IDLE_TIMEOUT
+            } else {
+                STREAM_IDLE_TIMEOUT
+            },
+            report: self.config.site.report.clone(),
+        }
+    }
+
+    /// Starts to watch the endpoint list. The result becomes true with the first response, or once
+    /// it has been waited for long enough.
+    pub(super) fn start_discovery(
+        &self,
+        address: watch::Receiver<SocketAddr>,
+    ) -> watch::Receiver<bool> {
+        let (list_received, receiver) = watch::channel(false);
+        let wait_is_over = list_received.clone();
+        let settings = &self.config.settings;
+        let poll_interval = settings
+            .poll_interval
+            .and_then(|micros| u64::try_from(micros).ok())
+            .map(Duration::from_micros);
+        let list_watch = ListWatch {
+            site: self.config.site.clone(),
+            handle: self.handle.clone(),
+            list_received,
+            schedule: PollSchedule::new(settings.router_count, poll_interval, self.config.seed),
+        };
+        let known_list = self.config.known_endpoints.as_ref();
+        let known_version = known_list.map(|list| list.version);
+        self.tasks
+            .spawn(discovery::watch_list(address, known_version, list_watch));
+        self.tasks.spawn(async move {
+            tokio::time::sleep(LIST_WAIT_MAX).await;
+            wait_is_over.send_replace(true);
+        });
+        receiver
+    }
+
+    /// Notifies the core when the shutdown starts. Where streams cannot be resumed elsewhere, those
+    /// in flight are finished, however long that takes.
+    pub(super) fn start_shutdown_events(&self) {
+        if !self.config.settings.resumable_streams {
+            return;
+        }
+        let deadlines = self
+            .config
+            .site
+            .classes
+            .iter()
+            .filter_map(ClassSettings::deadline);
+        let schedule = ShutdownSchedule::for_longest_deadline(deadlines.max().unwrap_or_default());
+        let draining = shutdown::reached(self.phase.clone(), Phase::Draining);
+        let handle = self.handle.clone();
+        self.tasks.spawn(async move {
+            draining.await;
+            let now = Instant::now();
+            handle.send(CoreEvent::ShutdownStarted {
+                migrate_from: now + schedule.migrate_after,
+                answer_by: now + schedule.answer_within,
+            });
+        });
+    }
+
+    /// Starts the control service, which ends with the tasks that are returned.
+    pub(super) fn start_control(&self, listener: TcpListener, setup: control::Setup) -> TaskGroup {
+        tracing::info!(listen = %setup.listen, "serving other proxies through xDS");
+        let tasks = TaskGroup::default();
+        let (publisher, snapshots) = watch::channel(Default::default());
+        let draining = shutdown::reached(self.phase.clone(), Phase::Draining);
+        tasks.spawn(control::survey(
+            self.handle.clone(),
+            setup,
+            self.config.site.clone(),
+            publisher,
+        ));
+        tasks.spawn(async move {
+            let served = cranetack_xds_server::serve(listener, snapshots, draining).await;
+            if let Err(error) = served {
+                tracing::error!(%error, "control service ended");
+            }
+        });
+        tasks
+    }
+
+    /// The most connections to all endpoints together, and as many to clients.
+    fn connection_limit(&self) -> usize {
+        (self.config.limits.sockets - RESERVED_DESCRIPTORS) / 2
+    }
+
+    /// The most connections of clients for each frontend: both frontends share them.
+    pub(super) fn client_connection_limit(&self, has_inference: bool) -> usize {
+        let frontends = if has_inference { 2 } else { 1 };
+        self.connection_limit().min(CLIENT_CONNECTIONS_MAX) / frontends
+    }
+}
--- a/crates/router/src/upstream/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -23,7 +23,7 @@
 use tokio::time::Instant;
 
 use crate::core::{AttemptId, AttemptSpec, CoreEvent, Endpoint, Handle, Outbound};
-use crate::peers::Peers;
+use crate::gossip::GossipSocket;
 use crate::tasks::TaskSpawner;
 use attempt::{Attempt, AttemptEndGuard};
 use pool::ConnectionPool;
@@ -52,7 +52,7 @@
 pub struct Upstream {
     shared: Rc<Shared>,
     attempts: AttemptTable,
-    peers: Option<Peers>,
+    gossip: Option<GossipSocket>,
     tasks: TaskSpawner,
 }
 
@@ -83,7 +83,7 @@
     pub fn new(
         handle: Handle,
         options: Options,
-        peers: Option<Peers>,
+        gossip: Option<GossipSocket>,
         tasks: TaskSpawner,
     ) -> Upstream {
         let pool = ConnectionPool::new(
@@ -101,7 +101,7 @@
         Upstream {
             shared,
             attempts: AttemptTable::default(),
-            peers,
+            gossip,
             tasks,
         }
     }
@@ -227,8 +227,8 @@
     }
 
     fn gossip(&mut self, to: Option<u32>, payload: Vec<u8>) {
-        if let Some(peers) = &self.peers {
-            peers.send(to, &payload);
+        if let Some(gossip) = &self.gossip {
+            gossip.send(to, &payload);
         }
     }
 }
--- a/crates/router/tests/races.rs
+++ b/crates/router/tests/races.rs
@@ -193,7 +193,7 @@
         bed.stop.take().unwrap().send(()).unwrap();
         assert_eq!(client.end().await, (String::new(), End::Closed));
         assert!(
-            stopped.elapsed() < shutdown::ACCEPT_FOR + Duration::from_millis(100),
+            stopped.elapsed() < shutdown::ACCEPT_SPAN + Duration::from_millis(100),
             "{:?}",
             stopped.elapsed()
         );
@@ -219,7 +219,7 @@
             clients.push(client);
         }
         bed.stop.take().unwrap().send(()).unwrap();
-        let closing = Instant::now() + shutdown::ACCEPT_FOR;
+        let closing = Instant::now() + shutdown::ACCEPT_SPAN;
         let asked = clients.into_iter().enumerate().map(|(number, mut client)| {
             spawn_local(async move {
                 let offset = Duration::from_micros(500 * number as u64);
@@ -300,7 +300,7 @@
         let (mut read, _) = reader.accept_request().await;
         bed.stop.take().unwrap().send(()).unwrap();
         // Past the time for new connections, the state is read and its writer fails: the last answer is out at once.
-        tokio::time::sleep(shutdown::ACCEPT_FOR + Duration::from_millis(100)).await;
+        tokio::time::sleep(shutdown::ACCEPT_SPAN + Duration::from_millis(100)).await;
         read.send(READ).await;
         let (write, _) = writer.accept_request().await;
         tokio::time::sleep(Duration::from_millis(50)).await; // the reader's connection has rested, and is used again
