--- a/crates/router/src/router/parts.rs
+++ b/crates/router/src/router/parts.rs
@@ -170,7 +170,7 @@
         let tasks = TaskGroup::default();
         let (publisher, snapshots) = watch::channel(Default::default());
         let draining = shutdown::reached(self.phase.clone(), Phase::Draining);
-        tasks.spawn(control::survey(
+        tasks.spawn(control::publish_snapshots(
             self.handle.clone(),
             setup,
             self.config.site.clone(),
--- a/crates/xds-server/src/lib.rs
+++ b/crates/xds-server/src/lib.rs
@@ -1,5 +1,5 @@
-//! A control plane for other proxies: what is known of servers, as clusters and weighted endpoints, over the
-//! aggregated discovery service of xDS (state of the world). It knows nothing of how weights come about.
+//! A control plane for other proxies: clusters and weighted endpoints over the aggregated discovery
+//! service of xDS (state-of-the-world variant). It knows nothing of how weights are computed.
 
 mod resources;
 mod stream;
@@ -23,21 +23,21 @@
 
 pub use resources::{CLUSTER, ENDPOINTS};
 
-/// Whether a server should be sent work.
+/// Whether an endpoint should be sent work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// It takes work.
+    /// It accepts work.
     Healthy,
-    /// It completes what it has.
+    /// It finishes the work that it has.
     Draining,
-    /// It is set aside.
+    /// It is ejected.
     Unhealthy,
 }
 
-/// A server of a cluster.
+/// An endpoint of a cluster.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Server {
-    /// Where it listens.
+pub struct ClusterEndpoint {
+    /// The address at which it listens.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
@@ -45,41 +45,46 @@
     pub cell: String,
     /// Whether it should be sent work.
     pub health: Health,
-    /// Its share of the work beside others; at least 1.
+    /// Its share of the work relative to the others; at least 1.
     pub weight: u32,
 }
 
-/// What is served at a time: the servers of each cluster, by its name.
-pub type Snapshot = BTreeMap<String, Vec<Server>>;
+/// The endpoints of each cluster, by the cluster's name.
+pub type Snapshot = BTreeMap<String, Vec<ClusterEndpoint>>;
 
-/// Serves the snapshots to whoever subscribes, until `stop` completes.
+/// Serves the snapshots to subscribers until `shutdown` completes.
 pub async fn serve(
     listener: TcpListener,
     snapshots: watch::Receiver<Snapshot>,
-    stop: impl Future<Output = ()>,
+    shutdown: impl Future<Output = ()>,
 ) -> Result<(), tonic::transport::Error> {
     tonic::transport::Server::builder()
-        .add_service(AggregatedDiscoveryServiceServer::new(Ads { snapshots }))
-        .serve_with_incoming_shutdown(TcpIncoming::from(listener).with_nodelay(Some(true)), stop)
+        .add_service(AggregatedDiscoveryServiceServer::new(DiscoveryService {
+            snapshots,
+        }))
+        .serve_with_incoming_shutdown(
+            TcpIncoming::from(listener).with_nodelay(Some(true)),
+            shutdown,
+        )
         .await
 }
 
-struct Ads {
+struct DiscoveryService {
     snapshots: watch::Receiver<Snapshot>,
 }
 
-type Responses<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
+type ResponseStream<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
 
 #[tonic::async_trait]
-impl AggregatedDiscoveryService for Ads {
-    type StreamAggregatedResourcesStream = Responses<DiscoveryResponse>;
-    type DeltaAggregatedResourcesStream = Responses<DeltaDiscoveryResponse>;
+impl AggregatedDiscoveryService for DiscoveryService {
+    type StreamAggregatedResourcesStream = ResponseStream<DiscoveryResponse>;
+    type DeltaAggregatedResourcesStream = ResponseStream<DeltaDiscoveryResponse>;
 
     async fn stream_aggregated_resources(
         &self,
         request: Request<Streaming<DiscoveryRequest>>,
     ) -> Result<Response<Self::StreamAggregatedResourcesStream>, Status> {
-        let responses = stream::answer(request.into_inner(), self.snapshots.clone());
+        let responses = stream::respond(request.into_inner(), self.snapshots.clone());
         Ok(Response::new(Box::pin(responses)))
     }
 
--- a/crates/xds-server/src/resources.rs
+++ b/crates/xds-server/src/resources.rs
@@ -1,4 +1,4 @@
-//! Snapshots as xDS resources.
+//! Encodes snapshots as xDS resources.
 
 use std::collections::BTreeMap;
 
@@ -22,43 +22,38 @@
 use envoy_types::pb::google::protobuf::{Any, Duration, UInt32Value};
 use prost::Message;
 
-use crate::{Health, Server, Snapshot};
+use crate::{ClusterEndpoint, Health, Snapshot};
 
-/// The type of cluster resources.
+/// The type URL of cluster resources.
 pub const CLUSTER: &str = "type.googleapis.com/envoy.config.cluster.v3.Cluster";
-/// The type of the resources that list a cluster's endpoints.
+/// The type URL of the resources that list a cluster's endpoints.
 pub const ENDPOINTS: &str = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
 
-/// How long another proxy should wait for a connection.
+/// How long another proxy should wait for a connection to an endpoint.
 const CONNECT_TIMEOUT: Duration = Duration {
     seconds: 0,
     nanos: 250_000_000,
 };
 
-/// The resources of a type that are asked for; no names, or `*`, ask for all clusters. `None` for a type that
-/// is not served here.
-pub fn resources(snapshot: &Snapshot, type_url: &str, names: &[String]) -> Option<Vec<Any>> {
-    let wildcard = type_url == CLUSTER && (names.is_empty() || names.iter().any(|n| n == "*"));
-    let wanted = snapshot
-        .iter()
-        .filter(|(name, _)| wildcard || names.contains(name));
-    let any = |value| Any {
-        type_url: type_url.to_owned(),
-        value,
+/// The resources of a type with these names; no names, or `*`, mean all clusters. `None` for a type
+/// that is not served here.
+pub fn encode(snapshot: &Snapshot, type_url: &str, names: &[String]) -> Option<Vec<Any>> {
+    let is_wildcard = type_url == CLUSTER && (names.is_empty() || names.iter().any(|n| n == "*"));
+    let encode: fn(&str, &[ClusterEndpoint]) -> Vec<u8> = match type_url {
+        CLUSTER => |name, _| cluster(name).encode_to_vec(),
+        ENDPOINTS => |name, endpoints| assignment(name, endpoints).encode_to_vec(),
+        _ => return None,
     };
-    match type_url {
-        CLUSTER => Some(
-            wanted
-                .map(|(name, _)| any(cluster(name).encode_to_vec()))
-                .collect(),
-        ),
-        ENDPOINTS => Some(
-            wanted
-                .map(|(name, servers)| any(assignment(name, servers).encode_to_vec()))
-                .collect(),
-        ),
-        _ => None,
+    let mut resources = Vec::new();
+    for (name, endpoints) in snapshot {
+        if is_wildcard || names.contains(name) {
+            resources.push(Any {
+                type_url: type_url.to_owned(),
+                value: encode(name, endpoints),
+            });
+        }
     }
+    Some(resources)
 }
 
 fn cluster(name: &str) -> Cluster {
@@ -85,53 +80,62 @@
     }
 }
 
-fn assignment(name: &str, servers: &[Server]) -> ClusterLoadAssignment {
-    let mut localities: BTreeMap<(&str, &str), Vec<&Server>> = BTreeMap::new();
-    for server in servers {
+fn assignment(cluster_name: &str, endpoints: &[ClusterEndpoint]) -> ClusterLoadAssignment {
+    let mut localities: BTreeMap<(&str, &str), Vec<&ClusterEndpoint>> = BTreeMap::new();
+    for endpoint in endpoints {
         localities
-            .entry((&server.zone, &server.cell))
+            .entry((&endpoint.zone, &endpoint.cell))
             .or_default()
-            .push(server);
+            .push(endpoint);
     }
-    let locality = |((zone, cell), servers): ((&str, &str), Vec<&Server>)| LocalityLbEndpoints {
+    ClusterLoadAssignment {
+        cluster_name: cluster_name.to_owned(),
+        endpoints: localities
+            .into_iter()
+            .map(|((zone, cell), endpoints)| locality(zone, cell, &endpoints))
+            .collect(),
+        ..ClusterLoadAssignment::default()
+    }
+}
+
+/// The endpoints of one cell, whose weight is the sum of theirs.
+fn locality(zone: &str, cell: &str, endpoints: &[&ClusterEndpoint]) -> LocalityLbEndpoints {
+    let total_weight = endpoints
+        .iter()
+        .map(|endpoint| endpoint.weight)
+        .fold(0, u32::saturating_add);
+    LocalityLbEndpoints {
         locality: Some(Locality {
             zone: zone.to_owned(),
             sub_zone: cell.to_owned(),
             ..Locality::default()
         }),
-        load_balancing_weight: weight(
-            servers
-                .iter()
-                .map(|s| s.weight)
-                .fold(0, u32::saturating_add),
-        ),
-        lb_endpoints: servers.into_iter().map(endpoint).collect(),
+        load_balancing_weight: weight(total_weight),
+        lb_endpoints: endpoints
+            .iter()
+            .map(|endpoint| lb_endpoint(endpoint))
+            .collect(),
         ..LocalityLbEndpoints::default()
-    };
-    ClusterLoadAssignment {
-        cluster_name: name.to_owned(),
-        endpoints: localities.into_iter().map(locality).collect(),
-        ..ClusterLoadAssignment::default()
     }
 }
 
-fn endpoint(server: &Server) -> LbEndpoint {
+fn lb_endpoint(endpoint: &ClusterEndpoint) -> LbEndpoint {
     let socket = SocketAddress {
-        address: server.address.ip().to_string(),
-        port_specifier: Some(PortSpecifier::PortValue(server.address.port().into())),
+        address: endpoint.address.ip().to_string(),
+        port_specifier: Some(PortSpecifier::PortValue(endpoint.address.port().into())),
         ..SocketAddress::default()
     };
     let address = Address {
         address: Some(address::Address::SocketAddress(socket)),
     };
-    let health = match server.health {
+    let health = match endpoint.health {
         Health::Healthy => HealthStatus::Healthy,
         Health::Draining => HealthStatus::Draining,
         Health::Unhealthy => HealthStatus::Unhealthy,
     };
     LbEndpoint {
         health_status: health.into(),
-        load_balancing_weight: weight(server.weight),
+        load_balancing_weight: weight(endpoint.weight),
         host_identifier: Some(HostIdentifier::Endpoint(Endpoint {
             address: Some(address),
             ..Endpoint::default()
@@ -140,7 +144,7 @@
     }
 }
 
-/// xDS has no weight of 0.
+/// A weight; xDS has none of 0.
 fn weight(value: u32) -> Option<UInt32Value> {
     Some(UInt32Value {
         value: value.max(1),
--- a/crates/xds-server/src/stream.rs
+++ b/crates/xds-server/src/stream.rs
@@ -1,4 +1,4 @@
-//! One subscriber's stream: what it has asked for, what it was sent, and what it said of that.
+//! One subscriber's stream: its subscriptions, what it was sent, and what it acknowledged.
 
 use std::collections::BTreeMap;
 
@@ -8,81 +8,85 @@
 use tonic::codegen::tokio_stream::{Stream, StreamExt};
 use tonic::{Status, Streaming};
 
-use crate::resources::resources;
+use crate::resources;
 use crate::Snapshot;
 
 /// A subscription to one type of resource.
 #[derive(Default)]
 struct Subscription {
     names: Vec<String>,
+    /// The resources that were sent last, since the names last changed.
     sent: Option<Vec<Any>>,
     version: u64,
     nonce: u64,
 }
 
-/// All subscriptions of a stream, by type.
+/// All subscriptions of a stream, by type URL.
 #[derive(Default)]
 struct Subscriptions(BTreeMap<String, Subscription>);
 
 impl Subscriptions {
-    /// Takes a request: a new subscription, or an answer to what was sent. `None` where nothing is to be sent.
-    fn take(
+    /// Handles a request: a new subscription, or the acknowledgement of a response. `None` if nothing
+    /// is to be sent.
+    fn on_request(
         &mut self,
         request: &DiscoveryRequest,
         snapshot: &Snapshot,
     ) -> Option<DiscoveryResponse> {
-        resources(snapshot, &request.type_url, &[])?;
-        let known = self.0.entry(request.type_url.clone()).or_default();
-        let first = request.response_nonce.is_empty();
-        // An answer to something older crossed what was sent since: that will be answered too.
-        if !first && request.response_nonce != known.nonce.to_string() {
+        // Types that are not served here are ignored.
+        resources::encode(snapshot, &request.type_url, &[])?;
+        let subscription = self.0.entry(request.type_url.clone()).or_default();
+        let is_new = request.response_nonce.is_empty();
+        // It acknowledges an older response and crossed a newer one, which will be acknowledged too.
+        if !is_new && request.response_nonce != subscription.nonce.to_string() {
             return None;
         }
         if let Some(error) = &request.error_detail {
             tracing::warn!(
-                kind = request.type_url,
+                type_url = request.type_url,
                 message = error.message,
-                "a subscriber refused resources"
+                "subscriber rejected resources"
             );
         }
-        if first || known.names != request.resource_names {
-            known.names.clone_from(&request.resource_names);
-            known.sent = None;
+        if is_new || subscription.names != request.resource_names {
+            subscription.names.clone_from(&request.resource_names);
+            subscription.sent = None;
         }
-        self.changed(&request.type_url, snapshot)
+        self.update(&request.type_url, snapshot)
     }
 
-    /// What is to be sent of a type if it differs from what was sent before, refused or not.
-    fn changed(&mut self, type_url: &str, snapshot: &Snapshot) -> Option<DiscoveryResponse> {
-        let known = self.0.get_mut(type_url)?;
-        let now = resources(snapshot, type_url, &known.names)?;
-        if known.sent.as_ref() == Some(&now) {
+    /// The response for a type if its resources differ from those sent before, rejected or not.
+    fn update(&mut self, type_url: &str, snapshot: &Snapshot) -> Option<DiscoveryResponse> {
+        let subscription = self.0.get_mut(type_url)?;
+        let resources = resources::encode(snapshot, type_url, &subscription.names)?;
+        if subscription.sent.as_ref() == Some(&resources) {
             return None;
         }
-        known.version += 1;
-        known.nonce += 1;
-        known.sent = Some(now.clone());
+        subscription.version += 1;
+        subscription.nonce += 1;
+        subscription.sent = Some(resources.clone());
         Some(DiscoveryResponse {
-            version_info: known.version.to_string(),
-            resources: now,
+            version_info: subscription.version.to_string(),
+            resources,
             type_url: type_url.to_owned(),
-            nonce: known.nonce.to_string(),
+            nonce: subscription.nonce.to_string(),
             ..DiscoveryResponse::default()
         })
     }
 
-    /// What is to be sent of all types once the snapshot has changed: clusters come first, by their type's name.
-    fn all_changed(&mut self, snapshot: &Snapshot) -> Vec<DiscoveryResponse> {
-        let types: Vec<String> = self.0.keys().cloned().collect();
-        types
+    /// The responses for all types once the snapshot has changed. Clusters come first, as their type
+    /// URL sorts first.
+    fn update_all(&mut self, snapshot: &Snapshot) -> Vec<DiscoveryResponse> {
+        let type_urls: Vec<String> = self.0.keys().cloned().collect();
+        type_urls
             .iter()
-            .filter_map(|type_url| self.changed(type_url, snapshot))
+            .filter_map(|type_url| self.update(type_url, snapshot))
             .collect()
     }
 }
 
-/// Answers a subscriber until it leaves or the snapshots end.
-pub fn answer(
+/// Responds to a subscriber until it disconnects or the snapshots end.
+pub fn respond(
     mut requests: Streaming<DiscoveryRequest>,
     mut snapshots: watch::Receiver<Snapshot>,
 ) -> impl Stream<Item = Result<DiscoveryResponse, Status>> + Send {
@@ -93,7 +97,7 @@
                 request = requests.next() => {
                     let Some(Ok(request)) = request else { return };
                     let snapshot = snapshots.borrow().clone();
-                    if let Some(response) = subscriptions.take(&request, &snapshot) {
+                    if let Some(response) = subscriptions.on_request(&request, &snapshot) {
                         yield Ok(response);
                     }
                 }
@@ -102,7 +106,7 @@
                         return;
                     }
                     let snapshot = snapshots.borrow_and_update().clone();
-                    for response in subscriptions.all_changed(&snapshot) {
+                    for response in subscriptions.update_all(&snapshot) {
                         yield Ok(response);
                     }
                 }
