--- a/crates/router/tests/batches.rs
+++ b/crates/router/tests/batches.rs
@@ -21,7 +21,7 @@
 
 async fn bed(workers: &[&Worker], edits: &[(&str, &str)]) -> Bed {
     let lines = workers.iter().map(|w| line(w, "mixed", "up")).collect();
-    Bed::start_front(lines, edits).await
+    Bed::start_with_edits(lines, edits).await
 }
 
 /// Posts with headers; gives status, headers and JSON.
--- a/crates/router/tests/client_model.rs
+++ b/crates/router/tests/client_model.rs
@@ -1,5 +1,6 @@
-//! A model of clients' connections, against which random steps are checked: each request that has come whole makes one
-//! attempt and gets its answer, one that has not makes none, and a client that leaves takes its attempt along.
+//! A model of clients' connections, against which random steps are checked: each complete request has
+//! one attempt and its response, an incomplete one has none, and the attempt of a client that
+//! disconnects is cancelled.
 
 mod common;
 
@@ -7,7 +8,7 @@
 use std::time::Duration;
 
 use common::{
-    chunk, run, settings, Bed, ManualConnection, ManualServer, DONE, LAST_CHUNK, STREAM_HEAD,
+    chunk, run, settings, ManualConnection, ManualServer, TestRouter, DONE, LAST_CHUNK, STREAM_HEAD,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -15,7 +16,7 @@
 
 /// Connections at once: fewer than the router allows.
 const CLIENTS: usize = 4;
-/// A bound on what comes at once, far under any time-out of the router.
+/// A bound on what happens at once, far below any time-out of the router.
 const SOON: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Clone, Copy)]
@@ -26,8 +27,8 @@
     SendPart(usize, usize),
     /// Sends the rest of it.
     SendRest(usize),
-    /// The server answers what it has had for longest, in one piece or in two.
-    Answer { in_two: bool },
+    /// The server responds to its oldest attempt, in one write or in two.
+    Respond { in_two: bool },
     /// Closes the connection.
     Close(usize),
 }
@@ -38,7 +39,7 @@
         3 => client.clone().prop_map(Step::Connect),
         2 => (client.clone(), 1..200_usize).prop_map(|(client, length)| Step::SendPart(client, length)),
         4 => client.clone().prop_map(Step::SendRest),
-        3 => any::<bool>().prop_map(|in_two| Step::Answer { in_two }),
+        3 => any::<bool>().prop_map(|in_two| Step::Respond { in_two }),
         2 => client.prop_map(Step::Close),
     ]
 }
@@ -46,10 +47,16 @@
 /// A client's connection as the model has it.
 struct Client {
     connection: ManualConnection,
-    /// The number of its request, and what has not been sent yet of it, if one has begun.
-    unsent: Option<(usize, String)>,
+    /// The request that it has begun to send.
+    unsent: Option<UnsentRequest>,
     /// Whether a request of it is at the server.
-    waits: bool,
+    is_waiting: bool,
+}
+
+/// The part of a request that has not been sent yet.
+struct UnsentRequest {
+    number: usize,
+    rest: String,
 }
 
 /// An attempt at the server, and the client whose request it is.
@@ -60,7 +67,7 @@
 
 struct Model {
     server: ManualServer,
-    bed: Bed,
+    router: TestRouter,
     clients: [Option<Client>; CLIENTS],
     attempts: VecDeque<Attempt>,
     requests: usize,
@@ -80,10 +87,11 @@
         let server = ManualServer::start().await;
         let mut settings = settings();
         settings["domain"]["ahead"] = false.into();
-        let bed = Bed::start_set(vec![server.line("mixed", "up")], None, settings).await;
+        let router =
+            TestRouter::start_with_settings(vec![server.line("mixed", "up")], settings).await;
         Model {
             server,
-            bed,
+            router,
             clients: Default::default(),
             attempts: VecDeque::new(),
             requests: 0,
@@ -93,36 +101,48 @@
     async fn check(&mut self, step: Step) {
         match step {
             Step::Connect(client) if self.clients[client].is_none() => {
-                let connection = ManualConnection::connect(self.bed.platform).await;
+                let connection = ManualConnection::connect(self.router.platform).await;
                 self.clients[client] = Some(Client {
                     connection,
                     unsent: None,
-                    waits: false,
+                    is_waiting: false,
                 });
             }
             Step::SendPart(client, length) => self.send(client, length).await,
             Step::SendRest(client) => self.send(client, usize::MAX).await,
-            Step::Answer { in_two } => self.answer(in_two).await,
+            Step::Respond { in_two } => self.respond(in_two).await,
             Step::Close(client) => self.close(client).await,
             Step::Connect(_) => {}
         }
     }
 
     async fn send(&mut self, number: usize, length: usize) {
-        let Some(client) = self.clients[number].as_mut().filter(|client| !client.waits) else {
+        let Some(client) = self.clients[number]
+            .as_mut()
+            .filter(|client| !client.is_waiting)
+        else {
             return;
         };
-        let (id, unsent) = client.unsent.take().unwrap_or_else(|| {
+        let UnsentRequest {
+            number: id,
+            rest: unsent,
+        } = client.unsent.take().unwrap_or_else(|| {
             self.requests += 1;
-            (self.requests, request(self.requests))
+            UnsentRequest {
+                number: self.requests,
+                rest: request(self.requests),
+            }
         });
         let (now, later) = unsent.split_at(length.min(unsent.len()));
         client.connection.send(now).await;
         if !later.is_empty() {
-            client.unsent = Some((id, later.to_owned()));
+            client.unsent = Some(UnsentRequest {
+                number: id,
+                rest: later.to_owned(),
+            });
             return;
         }
-        client.waits = true;
+        client.is_waiting = true;
         let connection = timeout(SOON, self.accept_attempt(id))
             .await
             .expect("an attempt");
@@ -132,12 +152,13 @@
         });
     }
 
-    /// The next attempt, which is this request's. What may be held for requests whose clients have left is let go between.
+    /// The next attempt, which is this request's. Releases for requests of clients that have
+    /// disconnected may come before it.
     async fn accept_attempt(&self, id: usize) -> ManualConnection {
         loop {
-            let (mut connection, seen) = self.server.accept_request().await;
-            if !seen.starts_with("DELETE /bootstrap/rooms/") {
-                assert!(seen.contains(&format!("x-request-id: m{id}\r\n")), "{seen}");
+            let (mut connection, head) = self.server.accept_request().await;
+            if !head.starts_with("DELETE /bootstrap/rooms/") {
+                assert!(head.contains(&format!("x-request-id: m{id}\r\n")), "{head}");
                 return connection;
             }
             connection
@@ -146,7 +167,7 @@
         }
     }
 
-    async fn answer(&mut self, in_two: bool) {
+    async fn respond(&mut self, in_two: bool) {
         let Some(mut attempt) = self.attempts.pop_front() else {
             return;
         };
@@ -163,20 +184,20 @@
         let client = self.clients[attempt.client]
             .as_mut()
             .expect("its attempt ended with it");
-        let said = timeout(SOON, client.connection.until(LAST_CHUNK))
+        let received = timeout(SOON, client.connection.until(LAST_CHUNK))
             .await
-            .expect("an answer");
+            .expect("a response");
         assert!(
-            said.starts_with("HTTP/1.1 200 ") && said.contains(DONE),
-            "{said}"
+            received.starts_with("HTTP/1.1 200 ") && received.contains(DONE),
+            "{received}"
         );
-        client.waits = false;
+        client.is_waiting = false;
     }
 
     async fn close(&mut self, number: usize) {
         if self.clients[number]
             .take()
-            .is_none_or(|client| !client.waits)
+            .is_none_or(|client| !client.is_waiting)
         {
             return;
         }
@@ -188,20 +209,20 @@
         let mut attempt = self.attempts.remove(at).expect("it is there");
         timeout(SOON, attempt.connection.end())
             .await
-            .expect("the attempt is called off");
+            .expect("the attempt is cancelled");
     }
 }
 
 #[test]
-fn clients_connections_are_as_the_model_has_them() {
+fn client_connections_match_the_model() {
     let config = Config {
         cases: 60,
         failure_persistence: None,
         ..Config::default()
     };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]);
-    let courses = prop::collection::vec(step(), 1..40);
-    let checked = TestRunner::new_with_rng(config, rng).run(&courses, |steps| {
+    let step_sequences = prop::collection::vec(step(), 1..40);
+    let checked = TestRunner::new_with_rng(config, rng).run(&step_sequences, |steps| {
         run(async {
             let mut model = Model::start().await;
             for step in steps {
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router between the stand-ins, for the network tests.
+//! A router between the fake servers of the test kit, for the network tests.
 #![allow(dead_code, unused_imports)]
 
 use std::net::SocketAddr;
@@ -15,22 +15,31 @@
 use tokio::task::spawn_local;
 
 /// A router under test.
-pub struct Bed {
+pub struct TestRouter {
+    /// The discovery service that it watches.
     pub discovery: Rc<Discovery>,
-    /// Tells the router that discovery has moved.
-    pub moves: watch::Sender<SocketAddr>,
+    /// Changes the address of discovery.
+    pub discovery_address: watch::Sender<SocketAddr>,
+    /// The address of its platform API.
     pub platform: SocketAddr,
+    /// The address of its inference API.
     pub inference: SocketAddr,
+    /// The address of its control service.
     pub control: SocketAddr,
+    /// Starts its shutdown.
     pub stop: Option<oneshot::Sender<()>>,
+    /// Ends with the router.
     pub stopped: tokio::task::JoinHandle<()>,
 }
 
-const SHIPPED: &str = include_str!("../../../../deploy/inference.toml");
+/// The name that tests still use which have not been renamed yet.
+pub type Bed = TestRouter;
 
-/// The second front's file for most tests: small slices, and any name of a model will do.
-pub fn file(edits: &[(&str, &str)]) -> String {
-    let file = SHIPPED
+const SHIPPED_FILE: &str = include_str!("../../../../deploy/inference.toml");
+
+/// The file of the inference API for most tests: small slices, and any name of a model is valid.
+pub fn inference_file(edits: &[(&str, &str)]) -> String {
+    let file = SHIPPED_FILE
         .replace("slice_tokens = 2048", "slice_tokens = 256")
         .replace("slice_target_ms = 50", "slice_target_ms = 20");
     let mut file = file
@@ -45,37 +54,39 @@
     file
 }
 
-impl Bed {
-    /// A router on both fronts, ready for requests.
-    pub async fn start(lines: Vec<Value>) -> Bed {
-        Bed::start_with(lines, None).await
+impl TestRouter {
+    /// A router on both APIs, ready for requests, with these entries of the endpoint list.
+    pub async fn start(entries: Vec<Value>) -> TestRouter {
+        TestRouter::start_with_tenants(entries, None).await
     }
 
-    pub async fn start_with(lines: Vec<Value>, tenants: Option<Tenants>) -> Bed {
-        Bed::start_set(lines, tenants, settings()).await
+    /// With tenants.
+    pub async fn start_with_tenants(entries: Vec<Value>, tenants: Option<Tenants>) -> TestRouter {
+        TestRouter::start_with_file(entries, tenants, settings(), &inference_file(&[])).await
     }
 
-    pub async fn start_set(lines: Vec<Value>, tenants: Option<Tenants>, settings: Value) -> Bed {
-        Bed::start_all(lines, tenants, settings, &file(&[])).await
+    /// With these settings of the site.
+    pub async fn start_with_settings(entries: Vec<Value>, settings: Value) -> TestRouter {
+        TestRouter::start_with_file(entries, None, settings, &inference_file(&[])).await
     }
 
-    /// With other words in the second front's file.
-    pub async fn start_front(lines: Vec<Value>, edits: &[(&str, &str)]) -> Bed {
-        Bed::start_all(lines, None, settings(), &file(edits)).await
+    /// With edits of the file of the inference API.
+    pub async fn start_with_edits(entries: Vec<Value>, edits: &[(&str, &str)]) -> TestRouter {
+        TestRouter::start_with_file(entries, None, settings(), &inference_file(edits)).await
     }
 
-    /// With the second front's file as it is shipped.
-    pub async fn start_shipped(lines: Vec<Value>) -> Bed {
-        Bed::start_all(lines, None, settings(), SHIPPED).await
+    /// With the file of the inference API as it is shipped.
+    pub async fn start_shipped(entries: Vec<Value>) -> TestRouter {
+        TestRouter::start_with_file(entries, None, settings(), SHIPPED_FILE).await
     }
 
-    async fn start_all(
-        lines: Vec<Value>,
+    async fn start_with_file(
+        entries: Vec<Value>,
         tenants: Option<Tenants>,
         settings: Value,
         file: &str,
-    ) -> Bed {
-        let discovery = Discovery::start(lines).await;
+    ) -> TestRouter {
+        let discovery = Discovery::start(entries).await;
         let config = json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
             "seed": "7", "limits": {"sockets": 64}, "settings": settings});
         let config = Config::parse(config.to_string().as_bytes()).unwrap();
@@ -86,13 +97,13 @@
             period_ms: 5,
             weight_steps: 20,
         };
-        let (moves, moved) = watch::channel(discovery.address);
+        let (discovery_address, address_changes) = watch::channel(discovery.address);
         let inference = Some(parse_toml(&file).unwrap());
         let extras = Extras {
             inference,
             tenants,
             control: Some(control),
-            discovery: Some(moved),
+            discovery: Some(address_changes),
         };
         let router = Router::bind(config, extras).await.unwrap();
         let control = router.control_address().unwrap().unwrap();
@@ -103,9 +114,9 @@
         while Client::connect(platform).await.get("/up").await.0 != 200 {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
-        Bed {
+        TestRouter {
             discovery,
-            moves,
+            discovery_address,
             platform,
             inference,
             control,
--- a/crates/router/tests/control.rs
+++ b/crates/router/tests/control.rs
@@ -1,10 +1,10 @@
-//! The control service on loopback, with a stand-in for another proxy that subscribes to it.
+//! The control service on loopback, with a fake proxy that subscribes to it.
 
 mod common;
 
 use std::collections::BTreeMap;
 
-use common::{line, run, Bed, Behaviour, Worker};
+use common::{line, run, Behaviour, TestRouter, Worker};
 use envoy_types::pb::envoy::config::core::v3::HealthStatus;
 use envoy_types::pb::envoy::config::endpoint::v3::lb_endpoint::HostIdentifier;
 use envoy_types::pb::envoy::config::endpoint::v3::ClusterLoadAssignment;
@@ -15,25 +15,25 @@
 use tokio_stream::wrappers::UnboundedReceiverStream;
 use tonic::Streaming;
 
-/// A proxy that takes whatever it is sent.
+/// A proxy that acknowledges whatever it is sent.
 struct Proxy {
     requests: mpsc::UnboundedSender<DiscoveryRequest>,
     responses: Streaming<DiscoveryResponse>,
 }
 
 impl Proxy {
-    async fn connect(bed: &Bed) -> Proxy {
-        let (requests, rx) = mpsc::unbounded_channel();
+    async fn connect(router: &TestRouter) -> Proxy {
+        let (requests, request_stream) = mpsc::unbounded_channel();
         let mut client =
-            AggregatedDiscoveryServiceClient::connect(format!("http://{}", bed.control))
+            AggregatedDiscoveryServiceClient::connect(format!("http://{}", router.control))
                 .await
                 .unwrap();
-        // The first request goes out with the call.
+        // The first request is sent with the call.
         requests
             .send(request(cranetack_xds_server::CLUSTER, &[]))
             .unwrap();
         let responses = client
-            .stream_aggregated_resources(UnboundedReceiverStream::new(rx))
+            .stream_aggregated_resources(UnboundedReceiverStream::new(request_stream))
             .await
             .unwrap();
         Proxy {
@@ -50,29 +50,29 @@
             .expect("the stream goes on")
     }
 
-    /// The servers of a cluster, by port, once they fit.
-    async fn until(&mut self, name: &str, fits: impl Fn(&BTreeMap<u32, i32>) -> bool) {
+    /// Waits until the health of a cluster's endpoints, by port, is as expected.
+    async fn until(&mut self, name: &str, is_expected: impl Fn(&BTreeMap<u32, i32>) -> bool) {
         loop {
             let response = self.next().await;
-            let mut taken = request(&response.type_url, &[name]);
-            taken.version_info = response.version_info;
-            taken.response_nonce = response.nonce;
-            self.requests.send(taken).unwrap();
-            let servers = response.resources.iter().flat_map(|any| {
+            let mut acknowledgement = request(&response.type_url, &[name]);
+            acknowledgement.version_info = response.version_info;
+            acknowledgement.response_nonce = response.nonce;
+            self.requests.send(acknowledgement).unwrap();
+            let endpoints = response.resources.iter().flat_map(|any| {
                 let assignment = ClusterLoadAssignment::decode(&*any.value).unwrap();
                 assignment
                     .endpoints
                     .into_iter()
-                    .flat_map(|l| l.lb_endpoints)
+                    .flat_map(|locality| locality.lb_endpoints)
             });
-            let servers = servers.map(|server| {
-                assert!(server.load_balancing_weight.unwrap().value >= 1);
-                let Some(HostIdentifier::Endpoint(endpoint)) = server.host_identifier else {
-                    panic!()
+            let health_by_port = endpoints.map(|lb_endpoint| {
+                assert!(lb_endpoint.load_balancing_weight.unwrap().value >= 1);
+                let Some(HostIdentifier::Endpoint(endpoint)) = lb_endpoint.host_identifier else {
+                    panic!("an endpoint has an address")
                 };
-                (port(&endpoint), server.health_status)
+                (port(&endpoint), lb_endpoint.health_status)
             });
-            if fits(&servers.collect()) {
+            if is_expected(&health_by_port.collect()) {
                 return;
             }
         }
@@ -101,15 +101,14 @@
 }
 
 #[test]
-fn another_proxy_learns_of_servers_and_of_one_that_drains() {
+fn a_subscriber_receives_endpoints_and_changes_of_their_health() {
     run(async {
-        let (a, b) = (
-            Worker::start(1, Behaviour::Answer).await,
-            Worker::start(1, Behaviour::Answer).await,
-        );
-        let bed = Bed::start(vec![line(&a, "mixed", "up"), line(&b, "mixed", "up")]).await;
-        let [a_port, b_port] = [&a, &b].map(|w| u32::from(w.address.port()));
-        let mut proxy = Proxy::connect(&bed).await;
+        let a = Worker::start(1, Behaviour::Answer).await;
+        let b = Worker::start(1, Behaviour::Answer).await;
+        let router =
+            TestRouter::start(vec![line(&a, "mixed", "up"), line(&b, "mixed", "up")]).await;
+        let [a_port, b_port] = [&a, &b].map(|worker| u32::from(worker.address.port()));
+        let mut proxy = Proxy::connect(&router).await;
         let clusters = proxy.next().await;
         assert_eq!(
             (clusters.type_url.as_str(), clusters.resources.len()),
@@ -121,21 +120,24 @@
             .unwrap();
         let healthy = i32::from(HealthStatus::Healthy);
         proxy
-            .until("mixed", |s| {
-                *s == BTreeMap::from([(a_port, healthy), (b_port, healthy)])
+            .until("mixed", |health| {
+                *health == BTreeMap::from([(a_port, healthy), (b_port, healthy)])
             })
             .await;
-        bed.discovery
+        router
+            .discovery
             .publish(vec![line(&a, "mixed", "draining"), line(&b, "mixed", "up")]);
         let draining = i32::from(HealthStatus::Draining);
         proxy
-            .until("mixed", |s| {
-                *s == BTreeMap::from([(a_port, draining), (b_port, healthy)])
+            .until("mixed", |health| {
+                *health == BTreeMap::from([(a_port, draining), (b_port, healthy)])
             })
             .await;
-        bed.discovery.publish(vec![line(&b, "mixed", "up")]);
+        router.discovery.publish(vec![line(&b, "mixed", "up")]);
         proxy
-            .until("mixed", |s| *s == BTreeMap::from([(b_port, healthy)]))
+            .until("mixed", |health| {
+                *health == BTreeMap::from([(b_port, healthy)])
+            })
             .await;
     });
 }
--- a/crates/router/tests/discovery.rs
+++ b/crates/router/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! How discovery is called, over sockets.
+//! Calls of discovery, over sockets.
 
 mod common;
 
@@ -10,18 +10,17 @@
 use serde_json::{json, Value};
 use tokio::task::spawn_local;
 
-fn config(discovery: &Discovery, routers: u32, known: &Value) -> Config {
+fn config(discovery: &Discovery, router_count: u32, known: &Value) -> Config {
     let mut settings = settings();
-    settings["balancers"] = json!(routers);
+    settings["balancers"] = json!(router_count);
     let file = json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
         "seed": "7", "limits": {"sockets": 64}, "settings": settings, "known": known});
     Config::parse(file.to_string().as_bytes()).unwrap()
 }
 
-/// Guards against a restarted router that has the whole list made for it, and then a watch, where all that it lacks
-/// is what has changed: at a busy service each is a call.
+/// The complete list, and then a watch, would be two calls of a service that may be overloaded.
 #[test]
-fn a_restarted_router_asks_for_what_has_changed_since_its_last_list() {
+fn a_restarted_router_asks_for_the_changes_since_its_last_list() {
     run(async {
         let worker = Worker::start(4, Behaviour::Answer).await;
         let discovery = Discovery::start(vec![line(&worker, "mixed", "up")]).await;
@@ -44,15 +43,15 @@
         assert!(
             calls[1..]
                 .iter()
-                .all(|c| hold(c).is_some_and(|ms| (1_000..=2_000).contains(&ms))),
+                .all(|call| hold(call).is_some_and(|ms| (1_000..=2_000).contains(&ms))),
             "{calls:?}"
         );
     });
 }
 
-/// Guards against a refused call that is made again 20 times a second by each of a hundred routers.
+/// A hundred routers that retried at once would keep the service overloaded.
 #[test]
-fn one_of_many_routers_that_is_refused_does_not_ask_again_soon() {
+fn one_of_many_routers_does_not_retry_a_rejected_call_soon() {
     run(async {
         let discovery = Discovery::start(vec![]).await;
         discovery.busy.set(true);
--- a/crates/router/tests/platform.rs
+++ b/crates/router/tests/platform.rs
@@ -299,7 +299,7 @@
         let mut set = settings();
         set["domain"]["resume"] = true.into();
         let lines = vec![line(&reader, "reader", "up"), line(&writer, "writer", "up")];
-        let mut bed = Bed::start_set(lines, None, set).await;
+        let mut bed = Bed::start_with_settings(lines, set).await;
         let ask = |id: &'static str, class: &'static str| {
             let platform = bed.platform;
             spawn_local(async move { Client::connect(platform).await.ask(id, class, 60_000).await })
@@ -398,7 +398,7 @@
             ]
         };
         let new = Discovery::start(lines("draining")).await;
-        bed.moves.send_replace(new.address);
+        bed.discovery_address.send_replace(new.address);
         let mut client = Client::connect(bed.platform).await;
         // The list is taken whole: of its writers none is up, and the old ones are gone.
         while client.ask("j0", "chat", 200).await.0 == 200 {}
--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program as it is started, with its signals.
+//! The program as a process, and its signals.
 
 mod common;
 
@@ -8,15 +8,13 @@
 use common::{line, run, settings, Behaviour, Client, Discovery, Worker};
 use serde_json::json;
 
-/// Guards against a program that ends on SIGHUP, as the system has it by default: the file is read again, and
-/// discovery's new address is asked.
+/// By default SIGHUP would end the program. It reads its file again and calls discovery at the new
+/// address.
 #[test]
-fn a_hangup_is_survived_and_discovery_followed() {
+fn a_hangup_changes_the_address_of_discovery() {
     run(async {
-        let (old, new) = (
-            Discovery::start(vec![]).await,
-            Discovery::start(vec![]).await,
-        );
+        let old = Discovery::start(vec![]).await;
+        let new = Discovery::start(vec![]).await;
         let path =
             std::env::temp_dir().join(format!("cranetack-program-{}.json", std::process::id()));
         let write = |discovery: &Discovery| {
@@ -50,40 +48,42 @@
     });
 }
 
-/// Guards against signals that cost a batch its answer: SIGHUP changes nothing of it, and SIGTERM lets it end.
+/// SIGHUP does not affect it, and SIGTERM lets it finish.
 #[test]
-fn a_batch_is_served_through_a_hangup_and_to_its_end_after_a_termination() {
+fn a_batch_is_served_across_a_hangup_and_finished_after_a_termination() {
     run(async {
         let worker = Worker::start(4, Behaviour::Answer).await;
         worker.takes.set(std::time::Duration::from_millis(50));
         let discovery = Discovery::start(vec![line(&worker, "mixed", "up")]).await;
         let folder = std::env::temp_dir().join(format!("cranetack-batch-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        let [config_at, front_at] = ["config.json", "inference.toml"].map(|name| folder.join(name));
-        let free = || {
+        let [config_path, inference_path] =
+            ["config.json", "inference.toml"].map(|name| folder.join(name));
+        let free_address = || {
             std::net::TcpListener::bind("127.0.0.1:0")
                 .unwrap()
                 .local_addr()
                 .unwrap()
         };
-        let (listen, front) = (free(), free());
+        let listen = free_address();
+        let inference_listen = free_address();
         let config = json!({"name": "r0", "listen": listen.to_string(), "seed": "7", "limits": {"sockets": 64},
             "discovery": discovery.address.to_string(), "settings": settings()});
-        std::fs::write(&config_at, config.to_string()).unwrap();
-        let file = common::file(&[(
+        std::fs::write(&config_path, config.to_string()).unwrap();
+        let file = common::inference_file(&[(
             "least_tokens = 16\nmost_tokens = 65536",
             "least_tokens = 256\nmost_tokens = 256",
         )]);
         std::fs::write(
-            &front_at,
-            file.replace("127.0.0.1:8090", &front.to_string()),
+            &inference_path,
+            file.replace("127.0.0.1:8090", &inference_listen.to_string()),
         )
         .unwrap();
         let mut program = Command::new(env!("CARGO_BIN_EXE_cranetack"))
             .args(["serve", "--config"])
-            .arg(&config_at)
+            .arg(&config_path)
             .arg("--inference")
-            .arg(&front_at)
+            .arg(&inference_path)
             .stdout(Stdio::null())
             .spawn()
             .unwrap();
@@ -102,14 +102,17 @@
             .map(|n| format!("{n} {}", "x".repeat(500)))
             .collect();
         let body = json!({"model": "m", "query": "q", "documents": documents});
-        let asked = tokio::task::spawn_local(async move {
-            Client::connect(front).await.post("/v1/rerank", body).await
+        let call = tokio::task::spawn_local(async move {
+            Client::connect(inference_listen)
+                .await
+                .post("/v1/rerank", body)
+                .await
         });
         worker.until(|seen| seen.len() > 2).await;
         signal("-HUP");
         worker.until(|seen| seen.len() > 6).await;
         signal("-TERM");
-        let (status, answer) = asked.await.unwrap();
+        let (status, answer) = call.await.unwrap();
         assert_eq!(
             (status, answer["results"].as_array().map(Vec::len)),
             (200, Some(18))
@@ -123,15 +126,13 @@
     });
 }
 
-/// Guards against a SIGHUP that comes while the files are read: it would end the program by default, and a new address of
-/// discovery that is written just then would be missed.
+/// By default it would end the program, and an address of discovery that is written just then would
+/// be missed.
 #[test]
-fn a_hangup_during_the_start_is_heeded() {
+fn a_hangup_during_the_start_is_handled() {
     run(async {
-        let (old, new) = (
-            Discovery::start(vec![]).await,
-            Discovery::start(vec![]).await,
-        );
+        let old = Discovery::start(vec![]).await;
+        let new = Discovery::start(vec![]).await;
         let folder = std::env::temp_dir().join(format!("cranetack-start-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let [path, next] = ["config.json", "next.json"].map(|name| folder.join(name));
--- a/crates/router/tests/races.rs
+++ b/crates/router/tests/races.rs
@@ -1,34 +1,37 @@
-//! Two events that cross, in the order that happens rarely, made to happen every time: servers and clients here do
-//! each step when the test says so. `docs/design/races.md` lists the pairs.
+//! Races: two events in the order that is rare in operation, made to happen every time. Servers and
+//! clients here do each step when the test says so. `docs/design/races.md` lists the races.
 
 mod common;
 
 use std::time::Duration;
 
 use common::{
-    chunk, line, run, run_paused, settings, Bed, Behaviour, End, ManualConnection, ManualServer,
-    Worker, DONE, EVENT, FINISH, LAST_CHUNK, READ, STREAM_HEAD,
+    chunk, line, run, run_paused, settings, Behaviour, End, ManualConnection, ManualServer,
+    TestRouter, Worker, DONE, EVENT, FINISH, LAST_CHUNK, READ, STREAM_HEAD,
 };
 use cranetack_router::shutdown;
 use serde_json::Value;
 use tokio::task::spawn_local;
 use tokio::time::{timeout, Instant};
 
-/// Settings without reservations and probes: each connection to a server carries an attempt.
+/// Settings without slot reservations and health checks: each connection to a server carries an
+/// attempt.
 fn plain_settings() -> Value {
     let mut settings = settings();
     settings["domain"]["ahead"] = false.into();
     settings
 }
 
-/// A router with one server that reads and writes.
-async fn with_mixed_server() -> (ManualServer, Bed) {
+/// A router with one endpoint for both prefill and decode.
+async fn router_with_mixed_server() -> (ManualServer, TestRouter) {
     let server = ManualServer::start().await;
-    let bed = Bed::start_set(vec![server.line("mixed", "up")], None, plain_settings()).await;
-    (server, bed)
+    let router =
+        TestRouter::start_with_settings(vec![server.line("mixed", "up")], plain_settings()).await;
+    (server, router)
 }
 
-/// A request as a client of the platform sends it, with further headers, each line with its end.
+/// A request as a client of the platform API sends it; `headers` are further lines, each with its
+/// end.
 fn request(id: &str, class: &str, headers: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -37,20 +40,24 @@
     )
 }
 
-/// A client that has asked, and the attempt for it at the server.
-async fn ask(bed: &Bed, server: &ManualServer, id: &str) -> (ManualConnection, ManualConnection) {
-    let mut client = ManualConnection::connect(bed.platform).await;
+/// A client that has sent a request, and the attempt for it at the server.
+async fn send_request(
+    router: &TestRouter,
+    server: &ManualServer,
+    id: &str,
+) -> (ManualConnection, ManualConnection) {
+    let mut client = ManualConnection::connect(router.platform).await;
     client.send(&request(id, "order", "", "{}")).await;
     let (attempt, _) = server.accept_request().await;
     (client, attempt)
 }
 
-/// Guards against a repeat that runs twice: servers discard repeats by a header that the router does not know.
+/// Servers deduplicate retries by a header that the router does not know.
 #[test]
-fn a_servers_own_headers_reach_it_on_both_fronts() {
+fn headers_meant_for_the_endpoint_are_forwarded_by_both_apis() {
     run(async {
-        let (server, bed) = with_mixed_server().await;
-        let mut client = ManualConnection::connect(bed.platform).await;
+        let (server, router) = router_with_mixed_server().await;
+        let mut client = ManualConnection::connect(router.platform).await;
         client
             .send(&request(
                 "a1",
@@ -67,7 +74,7 @@
         assert_eq!(seen.matches("x-request-id").count(), 1, "{seen}");
         attempt.send(STREAM_HEAD).await;
         let body = r#"{"model": "m", "messages": [{"role": "user", "content": "x"}]}"#;
-        let mut client = ManualConnection::connect(bed.inference).await;
+        let mut client = ManualConnection::connect(router.inference).await;
         client
             .send(&request(
                 "a2",
@@ -84,17 +91,18 @@
     });
 }
 
-/// Guards against clients that wait on a stream whose server has stopped: 5 s after the last event the request counts as
-/// lost, whether or not clients may ask elsewhere for the rest. Until then a server that is slow may go on.
+/// 5 s after the last event a request counts as lost, whether or not clients may resume the stream
+/// elsewhere. Until then a slow endpoint may go on.
 #[test]
-fn a_stream_that_falls_silent_is_ended_before_its_client_has_waited_for_five_seconds() {
+fn an_idle_stream_is_ended_before_its_client_has_waited_for_five_seconds() {
     for resume in [false, true] {
         run_paused(async {
             let server = ManualServer::start().await;
             let mut settings = plain_settings();
             settings["domain"]["resume"] = resume.into();
-            let bed = Bed::start_set(vec![server.line("mixed", "up")], None, settings).await;
-            let (mut client, mut attempt) = ask(&bed, &server, "b1").await;
+            let router =
+                TestRouter::start_with_settings(vec![server.line("mixed", "up")], settings).await;
+            let (mut client, mut attempt) = send_request(&router, &server, "b1").await;
             attempt
                 .send(&format!("{STREAM_HEAD}{}", chunk(EVENT)))
                 .await;
@@ -102,10 +110,10 @@
             tokio::time::sleep(Duration::from_millis(3_500)).await;
             attempt.send(&chunk(FINISH)).await;
             client.until(FINISH).await;
-            let silent = Instant::now();
+            let last_event = Instant::now();
             let (rest, _) = client.end().await;
             assert!(!rest.contains(LAST_CHUNK), "{rest:?}");
-            let waited = silent.elapsed();
+            let waited = last_event.elapsed();
             let bounds = Duration::from_millis(3_600)..Duration::from_millis(4_800);
             assert!(bounds.contains(&waited), "{waited:?}, resume: {resume}");
         });
@@ -115,16 +123,16 @@
 /// More than the router reads ahead, and more than the system keeps unread.
 const FLOOD: usize = 512 * 1024;
 
-/// Guards against an answer that its client loses: a close over unread bytes resets the connection.
+/// A close over unread bytes would reset the connection, and the client would lose the response.
 #[test]
-fn an_answer_arrives_whole_though_its_client_has_sent_more_than_is_read() {
+fn a_response_arrives_completely_though_its_client_has_sent_more_than_is_read() {
     run(async {
-        let (server, bed) = with_mixed_server().await;
-        let (mut client, mut attempt) = ask(&bed, &server, "c1").await;
+        let (server, router) = router_with_mixed_server().await;
+        let (mut client, mut attempt) = send_request(&router, &server, "c1").await;
         let mut sender = client.sender();
         let flood = spawn_local(async move {
             sender.send_until_closed(&"x".repeat(FLOOD)).await;
-            std::future::pending::<()>().await; // a client that ends its sending has gone
+            std::future::pending::<()>().await; // a client that closes its sending side has disconnected
         });
         attempt
             .send(&format!("{STREAM_HEAD}{}", chunk(EVENT)))
@@ -132,27 +140,26 @@
         client.until(EVENT).await;
         attempt.send(&format!("{}{LAST_CHUNK}", chunk(DONE))).await;
         let (rest, end) = client.end().await;
-        // What came ahead may be answered too: it is no request.
+        // What the client sent ahead may be answered too: it is no request.
         assert!(rest.contains(&format!("\r\n{LAST_CHUNK}")), "{rest:?}");
         assert_eq!(end, End::Closed);
         flood.abort();
     });
 }
 
-/// Guards against a request that is lost because it came early: a client may send its next one as soon as it has the
-/// last event of an answer, before the answer's end.
+/// A client may send its next request as soon as it has the last event of a response.
 #[test]
-fn a_request_sent_after_the_last_event_and_before_the_end_is_answered() {
+fn a_request_sent_between_the_last_event_and_the_end_of_a_response_is_answered() {
     run(async {
-        let (server, bed) = with_mixed_server().await;
-        let (mut client, mut attempt) = ask(&bed, &server, "c2").await;
+        let (server, router) = router_with_mixed_server().await;
+        let (mut client, mut attempt) = send_request(&router, &server, "c2").await;
         attempt.send(&format!("{STREAM_HEAD}{}", chunk(DONE))).await;
         client.until(DONE).await;
         client
             .send(&request("c3", "order", "", &"x".repeat(200_000)))
             .await;
-        // The router has read on by the time that it has the answer to a further client.
-        let mut other = ManualConnection::connect(bed.platform).await;
+        // Once it has answered another client, the router has read ahead.
+        let mut other = ManualConnection::connect(router.platform).await;
         other.send("GET /up HTTP/1.1\r\nhost: app\r\n\r\n").await;
         other.until("ready").await;
         attempt.send(LAST_CHUNK).await;
@@ -166,31 +173,30 @@
     });
 }
 
-/// Guards against a client that sends much and goes: its close stands behind bytes that nobody reads.
+/// The client's close is queued behind bytes that nobody reads.
 #[test]
-fn a_client_that_sends_much_and_goes_has_its_attempt_called_off() {
+fn the_attempt_of_a_client_that_sends_much_and_disconnects_is_cancelled() {
     run(async {
-        let (server, bed) = with_mixed_server().await;
-        let (mut client, mut attempt) = ask(&bed, &server, "d1").await;
+        let (server, router) = router_with_mixed_server().await;
+        let (mut client, mut attempt) = send_request(&router, &server, "d1").await;
         client.sender().send_until_closed(&"x".repeat(FLOOD)).await;
         drop(client);
         timeout(Duration::from_secs(2), attempt.end())
             .await
-            .expect("its deadline is three seconds later");
+            .expect("the attempt is cancelled long before its deadline");
     });
 }
 
-/// Guards against a request that is taken too late: what has not come whole when the last connections are closed is not
-/// taken, and its client is told by a close, not by a reset.
+/// Its client is notified by a close, not by a reset.
 #[test]
-fn a_request_half_read_at_the_shutdown_is_not_taken() {
+fn a_request_that_is_incomplete_when_connections_are_closed_is_not_accepted() {
     run_paused(async {
-        let (_server, mut bed) = with_mixed_server().await;
-        let whole = request("e1", "order", "", "{}");
-        let mut client = ManualConnection::connect(bed.platform).await;
-        client.send(&whole[..whole.len() / 2]).await;
+        let (_server, mut router) = router_with_mixed_server().await;
+        let complete = request("e1", "order", "", "{}");
+        let mut client = ManualConnection::connect(router.platform).await;
+        client.send(&complete[..complete.len() / 2]).await;
         let stopped = Instant::now();
-        bed.stop.take().unwrap().send(()).unwrap();
+        router.stop.take().unwrap().send(()).unwrap();
         assert_eq!(client.end().await, (String::new(), End::Closed));
         assert!(
             stopped.elapsed() < shutdown::ACCEPT_SPAN + Duration::from_millis(100),
@@ -198,29 +204,28 @@
             stopped.elapsed()
         );
         drop(client);
-        bed.stopped.await.unwrap();
+        router.stopped.await.unwrap();
     });
 }
 
-/// Guards against a request on a resting connection that is read as the connection is closed: each is answered in full,
-/// or not taken, which its client sees by a close in order.
+/// Its client sees an orderly close where it is not accepted.
 #[test]
-fn a_request_on_a_resting_connection_at_the_shutdown_is_answered_or_not_taken() {
+fn a_request_on_an_idle_connection_at_the_shutdown_is_answered_or_not_accepted() {
     run(async {
         let worker = Worker::start(64, Behaviour::Answer).await;
-        let mut bed = Bed::start(vec![line(&worker, "mixed", "up")]).await;
+        let mut router = TestRouter::start(vec![line(&worker, "mixed", "up")]).await;
         let mut clients = Vec::new();
         for number in 0..7 {
-            let mut client = ManualConnection::connect(bed.platform).await;
+            let mut client = ManualConnection::connect(router.platform).await;
             client
                 .send(&request(&format!("f{number}"), "order", "", "{}"))
                 .await;
             client.until(LAST_CHUNK).await;
             clients.push(client);
         }
-        bed.stop.take().unwrap().send(()).unwrap();
+        router.stop.take().unwrap().send(()).unwrap();
         let closing = Instant::now() + shutdown::ACCEPT_SPAN;
-        let asked = clients.into_iter().enumerate().map(|(number, mut client)| {
+        let calls = clients.into_iter().enumerate().map(|(number, mut client)| {
             spawn_local(async move {
                 let offset = Duration::from_micros(500 * number as u64);
                 tokio::time::sleep_until(closing - Duration::from_millis(1) + offset).await;
@@ -232,51 +237,57 @@
             })
         });
         let mut answered = 0;
-        for asked in asked.collect::<Vec<_>>() {
-            let (said, end) = asked.await.unwrap();
-            assert!(said.is_empty() || said.ends_with(LAST_CHUNK), "{said:?}");
+        for call in calls.collect::<Vec<_>>() {
+            let (received, end) = call.await.unwrap();
+            assert!(
+                received.is_empty() || received.ends_with(LAST_CHUNK),
+                "{received:?}"
+            );
             assert_eq!(end, End::Closed);
-            answered += usize::from(!said.is_empty());
+            answered += usize::from(!received.is_empty());
         }
         assert_eq!(worker.began("/v1/chat/completions"), 7 + answered);
-        bed.stopped.await.unwrap();
+        router.stopped.await.unwrap();
     });
 }
 
-/// Guards against a stream that is cut off for its client's slowness: while the client reads nothing, nothing is read of
-/// the server, whose part of an answer then stands still.
+/// While the client reads nothing, nothing is read from the endpoint, whose chunk then does not go
+/// on: that is no stall.
 #[test]
-fn a_client_that_reads_nothing_for_a_while_gets_all_of_its_stream() {
+fn a_client_that_reads_nothing_for_a_while_receives_its_complete_stream() {
     run(async {
-        const PARTS: usize = 6;
-        let part = "x".repeat(3 << 20);
-        let (server, bed) = with_mixed_server().await;
-        let (mut client, mut attempt) = ask(&bed, &server, "h1").await;
+        const CHUNKS: usize = 6;
+        let data = "x".repeat(3 << 20);
+        let (server, router) = router_with_mixed_server().await;
+        let (mut client, mut attempt) = send_request(&router, &server, "h1").await;
         let mut sender = attempt.sender();
-        let answer = format!(
+        let response = format!(
             "{STREAM_HEAD}{}{}{LAST_CHUNK}",
             chunk(EVENT),
-            chunk(&part).repeat(PARTS)
+            chunk(&data).repeat(CHUNKS)
         );
         let sending = spawn_local(async move {
-            sender.send_until_closed(&answer).await;
+            sender.send_until_closed(&response).await;
             sender
         });
         client.until(EVENT).await;
         tokio::time::sleep(Duration::from_millis(1_300)).await;
-        assert!(!sending.is_finished(), "the server is held up");
-        let said = client.until(&format!("\r\n{LAST_CHUNK}")).await;
-        assert_eq!(said.matches('x').count(), PARTS * part.len());
+        assert!(
+            !sending.is_finished(),
+            "the endpoint is slowed by backpressure"
+        );
+        let received = client.until(&format!("\r\n{LAST_CHUNK}")).await;
+        assert_eq!(received.matches('x').count(), CHUNKS * data.len());
     });
 }
 
-/// Guards against an event that is held back until the stream ends: events may end with either form of a line's end.
+/// Events may end with any form of line end.
 #[test]
-fn the_first_event_is_passed_on_whichever_way_its_lines_end() {
+fn the_first_event_is_forwarded_whichever_line_ends_it_has() {
     for end in ["\n\n", "\r\n\r\n", "\r\r"] {
         run(async {
-            let (server, bed) = with_mixed_server().await;
-            let (mut client, mut attempt) = ask(&bed, &server, "i1").await;
+            let (server, router) = router_with_mixed_server().await;
+            let (mut client, mut attempt) = send_request(&router, &server, "i1").await;
             let event = format!("data: first{end}");
             attempt
                 .send(&format!("{STREAM_HEAD}{}", chunk(&event)))
@@ -286,75 +297,86 @@
     }
 }
 
-/// Guards against state that stays held because the program ended first: what was held for its last request is let go.
 #[test]
-fn the_program_ends_after_what_was_held_for_its_last_request_is_let_go() {
+fn the_router_ends_after_the_kv_state_of_its_last_request_is_released() {
     run(async {
-        let (reader, writer) = (ManualServer::start().await, ManualServer::start().await);
+        let prefill_server = ManualServer::start().await;
+        let decode_server = ManualServer::start().await;
         let mut settings = plain_settings();
         settings["classes"][3]["deadline_us"] = 1_000_000.into();
-        let lines = vec![reader.line("reader", "up"), writer.line("writer", "up")];
-        let mut bed = Bed::start_set(lines, None, settings).await;
-        let mut client = ManualConnection::connect(bed.platform).await;
+        let entries = vec![
+            prefill_server.line("reader", "up"),
+            decode_server.line("writer", "up"),
+        ];
+        let mut router = TestRouter::start_with_settings(entries, settings).await;
+        let mut client = ManualConnection::connect(router.platform).await;
         client.send(&request("j1", "order", "", "{}")).await;
-        let (mut read, _) = reader.accept_request().await;
-        bed.stop.take().unwrap().send(()).unwrap();
-        // Past the time for new connections, the state is read and its writer fails: the last answer is out at once.
+        let (mut prefill, _) = prefill_server.accept_request().await;
+        router.stop.take().unwrap().send(()).unwrap();
+        // After the last connection was accepted, the prefill succeeds and the decode fails: the last
+        // response is sent at once.
         tokio::time::sleep(shutdown::ACCEPT_SPAN + Duration::from_millis(100)).await;
-        read.send(READ).await;
-        let (write, _) = writer.accept_request().await;
-        tokio::time::sleep(Duration::from_millis(50)).await; // the reader's connection has rested, and is used again
-        write.reset();
+        prefill.send(READ).await;
+        let (decode, _) = decode_server.accept_request().await;
+        // The idle connection to the prefill server can be used again by then.
+        tokio::time::sleep(Duration::from_millis(50)).await;
+        decode.reset();
         client.until("HTTP/1.1 502 ").await;
         drop(client);
-        let release = read.request().await;
+        let release = prefill.request().await;
         assert!(
             release.starts_with("DELETE /bootstrap/rooms/j1 "),
             "{release}"
         );
-        let ended = timeout(Duration::from_millis(100), &mut bed.stopped).await;
-        assert!(ended.is_err(), "it waits for the answer");
-        read.send("HTTP/1.1 204 No Content\r\n\r\n").await;
-        bed.stopped.await.unwrap();
+        let ended = timeout(Duration::from_millis(100), &mut router.stopped).await;
+        assert!(ended.is_err(), "the router waits for the release");
+        prefill.send("HTTP/1.1 204 No Content\r\n\r\n").await;
+        router.stopped.await.unwrap();
     });
 }
 
-/// Guards against an answer, or another attempt, that overtakes the end of the attempt that was given up: they go over
-/// other connections, so what was done first may arrive last, and an order seems to be out still when it is refused.
+/// Attempts and responses use different connections, so that what was sent first may arrive last: an
+/// attempt must not be in flight any more when its request is rejected.
 #[test]
-fn a_refusal_does_not_overtake_the_end_of_the_attempt_that_is_given_up() {
+fn a_rejection_does_not_overtake_the_end_of_the_abandoned_attempt() {
     run(async {
-        let (reader, writer) = (ManualServer::start().await, ManualServer::start().await);
-        let lines = vec![reader.line("reader", "up"), writer.line("writer", "up")];
-        let bed = Bed::start_set(lines, None, plain_settings()).await;
-        let mut client = ManualConnection::connect(bed.platform).await;
-        let asked = request("a1", "order", "", "{}").replace("5000", "300");
-        client.send(&asked).await;
-        let (mut attempt, _) = reader.accept_request().await;
+        let prefill_server = ManualServer::start().await;
+        let decode_server = ManualServer::start().await;
+        let entries = vec![
+            prefill_server.line("reader", "up"),
+            decode_server.line("writer", "up"),
+        ];
+        let router = TestRouter::start_with_settings(entries, plain_settings()).await;
+        let mut client = ManualConnection::connect(router.platform).await;
+        let short_deadline = request("a1", "order", "", "{}").replace("5000", "300");
+        client.send(&short_deadline).await;
+        let (mut attempt, _) = prefill_server.accept_request().await;
         assert_eq!(attempt.end().await.1, End::Closed);
         assert!(
             !client.has_received(),
-            "the refusal was written before the server had seen the end"
+            "the rejection was written before the endpoint had seen the end"
         );
         drop(attempt);
         client.until("HTTP/1.1 503").await;
     });
 }
 
-/// Guards against an idle connection that is closed to make room in the very moment in which its client asks: a request
-/// that has been read must be answered.
+/// An idle connection is evicted in the moment in which its client sends a request: a request that
+/// has been read must be answered.
 #[test]
-fn a_request_on_a_connection_that_was_to_make_room_is_answered() {
+fn a_request_on_a_connection_that_was_to_be_evicted_is_answered() {
     run(async {
         let worker = Worker::start(8, Behaviour::Answer).await;
-        let bed = Bed::start_set(vec![line(&worker, "mixed", "up")], None, plain_settings()).await;
-        // A front has eight connections here; the last one that comes has the one idle for longest closed.
+        let router =
+            TestRouter::start_with_settings(vec![line(&worker, "mixed", "up")], plain_settings())
+                .await;
+        // Each API has eight connections here; one more evicts the one that has been idle for longest.
         let mut clients = Vec::new();
         for _ in 0..7 {
-            clients.push(ManualConnection::connect(bed.platform).await);
+            clients.push(ManualConnection::connect(router.platform).await);
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
-        let _eighth = std::net::TcpStream::connect(bed.platform).unwrap();
+        let _eighth = std::net::TcpStream::connect(router.platform).unwrap();
         clients[0].send(&request("a1", "chat", "", "{}")).await;
         clients[0].until("HTTP/1.1 200").await;
     });
--- a/crates/router/tests/readiness.rs
+++ b/crates/router/tests/readiness.rs
@@ -1,41 +1,42 @@
-//! From the start to being ready, whatever discovery does and whichever list a router held last; and clients that crowd
-//! in meanwhile.
+//! Readiness after a start, whatever discovery does, whichever endpoint list the router had last, and
+//! however many clients connect meanwhile.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{line, run, run_paused, settings, Bed, Behaviour, Client, ManualServer, Raw, Worker};
+use common::{
+    line, run, run_paused, settings, Behaviour, Client, ManualServer, Raw, TestRouter, Worker,
+};
 use cranetack_router::config::Config;
 use cranetack_router::{Extras, Router};
 use serde_json::{json, Value};
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// In half of the time in which nine in ten restarted routers must be ready.
+/// Half of the time within which nine in ten restarted routers must be ready.
 const READY_WITHIN: Duration = Duration::from_secs(5);
 
-/// A list of so many servers that are not there.
-fn long_list(servers: usize) -> Value {
-    let line = |number: usize| {
+/// A list of this many endpoints that do not exist.
+fn long_list(endpoints: usize) -> Value {
+    let entry = |number: usize| {
         let address = format!("127.0.{}.{}:9", number / 250, number % 250 + 1);
         json!({"name": format!("s{number}"), "address": address, "zone": "here", "type": "mixed", "group": number % 40,
             "status": "up", "weight": 1.0, "since_ms": 0})
     };
-    json!({"index": 9, "snapshot": true, "endpoints": (0..servers).map(line).collect::<Vec<_>>()})
+    json!({"index": 9, "snapshot": true, "endpoints": (0..endpoints).map(entry).collect::<Vec<_>>()})
 }
 
-/// Guards against a router that is not ready because discovery is silent, or because of the list that it held last:
-/// none, an empty one, a long one, or one with lines of which nothing can be made.
+/// The list that it had last may be absent, empty, long, or have entries that cannot be decoded.
 #[test]
-fn a_router_is_ready_soon_though_discovery_is_silent_whichever_list_it_held() {
-    let odd = json!({"index": 0, "snapshot": true, "endpoints": [7, {}, {"name": "a"},
+fn a_router_is_ready_soon_without_a_response_of_discovery_whichever_list_it_had() {
+    let undecodable = json!({"index": 0, "snapshot": true, "endpoints": [7, {}, {"name": "a"},
         {"name": "b", "address": "nowhere", "zone": "here", "type": "mixed", "status": "up"},
         {"name": "c", "address": "127.0.0.1:9", "zone": "elsewhere", "type": "mixed", "status": "up"},
         {"name": "d", "address": "127.0.0.1:9", "zone": "here", "type": "unheard-of", "status": "up"},
         {"name": "e", "address": "127.0.0.1:9", "zone": "here", "type": "mixed", "status": "removed"}]});
     let empty = json!({"index": 1, "snapshot": true, "endpoints": []});
-    for known in [Value::Null, empty, odd, long_list(2_000)] {
+    for known in [Value::Null, empty, undecodable, long_list(2_000)] {
         run_paused(async {
             let discovery = ManualServer::start().await;
             let config = json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
@@ -53,33 +54,31 @@
     }
 }
 
-/// Guards against idle clients that take what discovery, servers and other clients need: they fill the places of clients
-/// while discovery is silent, and at its return the new list is heard and its server used.
+/// Idle clients use up all connections while discovery does not respond. Once it does, the new list
+/// is received and its endpoint is used.
 #[test]
-fn idle_clients_up_to_the_limit_keep_out_neither_discovery_nor_a_request() {
+fn idle_clients_up_to_the_limit_block_neither_discovery_nor_requests() {
     run(async {
-        let (old, new) = (
-            Worker::start(4, Behaviour::Answer).await,
-            Worker::start(4, Behaviour::Answer).await,
-        );
-        let bed = Bed::start(vec![line(&old, "mixed", "up")]).await;
-        bed.discovery.silent.set(true);
-        // 64 descriptors less 32 are shared by servers and clients, and theirs by two fronts.
+        let old = Worker::start(4, Behaviour::Answer).await;
+        let new = Worker::start(4, Behaviour::Answer).await;
+        let router = TestRouter::start(vec![line(&old, "mixed", "up")]).await;
+        router.discovery.silent.set(true);
+        // 64 descriptors less 32 are shared by endpoints and clients, and those of clients by two APIs.
         let mut idle = Vec::new();
         for _ in 0..24 {
-            idle.push(Raw::connect(bed.platform).await);
+            idle.push(Raw::connect(router.platform).await);
         }
-        bed.discovery.publish(vec![
+        router.discovery.publish(vec![
             line(&old, "mixed", "draining"),
             line(&new, "mixed", "up"),
         ]);
-        bed.discovery.cut();
-        bed.discovery.silent.set(false);
+        router.discovery.cut();
+        router.discovery.silent.set(false);
         while new.began("/v1/chat/completions") == 0 {
-            idle.push(Raw::connect(bed.platform).await);
+            idle.push(Raw::connect(router.platform).await);
             let id = format!("k{}", idle.len());
             assert_eq!(
-                Client::connect(bed.platform)
+                Client::connect(router.platform)
                     .await
                     .ask(&id, "chat", 5_000)
                     .await
@@ -89,7 +88,7 @@
         }
         let before = old.began("/v1/chat/completions");
         assert_eq!(
-            Client::connect(bed.platform)
+            Client::connect(router.platform)
                 .await
                 .ask("last", "chat", 5_000)
                 .await
@@ -99,7 +98,7 @@
         assert_eq!(
             old.began("/v1/chat/completions"),
             before,
-            "nothing new to a server that drains"
+            "no new requests to an endpoint that drains"
         );
     });
 }
--- a/crates/router/tests/tenants.rs
+++ b/crates/router/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants from a stand-in LDAP directory on loopback.
+//! Tenants from a fake LDAP directory on loopback.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::{line, run, Bed, Behaviour, Client, Worker};
+use common::{line, run, Behaviour, Client, TestRouter, Worker};
 use cranetack_router::tenants::{Setup, Tenants};
 use futures_util::{SinkExt, StreamExt};
 use http::Request;
@@ -19,11 +19,11 @@
 use tokio::task::spawn_local;
 use tokio_util::codec::Framed;
 
-/// A directory with one tenant, which may be turned off.
+/// A directory with one tenant, which may be taken down.
 struct Directory {
     url: String,
     keys: RefCell<Vec<String>>,
-    down: Cell<bool>,
+    is_down: Cell<bool>,
     searches: Cell<usize>,
 }
 
@@ -33,22 +33,22 @@
         let url = format!("ldap://{}", listener.local_addr().unwrap());
         let directory = Rc::new(Directory {
             url,
-            keys: RefCell::new(keys.iter().map(|k| (*k).to_owned()).collect()),
-            down: Cell::new(false),
+            keys: RefCell::new(keys.iter().map(|key| (*key).to_owned()).collect()),
+            is_down: Cell::new(false),
             searches: Cell::new(0),
         });
-        let here = directory.clone();
+        let server = directory.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                if here.down.get() {
+                if server.is_down.get() {
                     continue;
                 }
-                let here = here.clone();
+                let server = server.clone();
                 spawn_local(async move {
                     let mut framed = Framed::new(stream, LdapCodec::default());
                     while let Some(Ok(message)) = framed.next().await {
-                        for answer in here.answer(ServerOps::try_from(message).unwrap()) {
-                            framed.send(answer).await.unwrap();
+                        for response in server.respond(ServerOps::try_from(message).unwrap()) {
+                            framed.send(response).await.unwrap();
                         }
                     }
                 });
@@ -57,8 +57,8 @@
         directory
     }
 
-    fn answer(&self, asked: ServerOps) -> Vec<ldap3_proto::LdapMsg> {
-        match asked {
+    fn respond(&self, operation: ServerOps) -> Vec<ldap3_proto::LdapMsg> {
+        match operation {
             ServerOps::SimpleBind(bind)
                 if (bind.dn.as_str(), bind.pw.as_str()) == ("cn=router", "secret") =>
             {
@@ -71,7 +71,7 @@
                 let digest = |key: &String| {
                     Sha256::digest(key)
                         .iter()
-                        .map(|b| format!("{b:02x}"))
+                        .map(|byte| format!("{byte:02x}"))
                         .collect::<String>()
                         .into_bytes()
                 };
@@ -102,13 +102,13 @@
     }
 }
 
-async fn embed(bed: &Bed, key: Option<&str>) -> (u16, Value) {
+async fn embed(router: &TestRouter, key: Option<&str>) -> (u16, Value) {
     let request = Request::post("/v1/embeddings").header("host", "app");
-    let request = key.iter().fold(request, |r, key| {
-        r.header("authorization", format!("Bearer {key}"))
+    let request = key.iter().fold(request, |builder, key| {
+        builder.header("authorization", format!("Bearer {key}"))
     });
     let body = json!({"model": "m", "input": "a"}).to_string().into();
-    let (status, _, body) = Client::connect(bed.inference)
+    let (status, _, body) = Client::connect(router.inference)
         .await
         .send(request.body(body).unwrap())
         .await;
@@ -116,17 +116,18 @@
 }
 
 #[test]
-fn only_a_tenants_key_is_served_and_a_directory_that_is_down_locks_nobody_out() {
+fn only_keys_of_tenants_are_served_also_while_the_directory_is_down() {
     run(async {
         let directory = Directory::start(&["k1"]).await;
         let worker = Worker::start(1, Behaviour::Answer).await;
         let tenants = Tenants::follow(directory.setup("secret"));
-        let bed = Bed::start_with(vec![line(&worker, "mixed", "up")], Some(tenants)).await;
-        while embed(&bed, Some("k1")).await.0 != 200 {
+        let router =
+            TestRouter::start_with_tenants(vec![line(&worker, "mixed", "up")], Some(tenants)).await;
+        while embed(&router, Some("k1")).await.0 != 200 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         for key in [None, Some("k2")] {
-            let (status, answer) = embed(&bed, key).await;
+            let (status, answer) = embed(&router, key).await;
             assert_eq!(
                 (status, &answer["error"]["code"]),
                 (401, &json!("invalid_api_key"))
@@ -135,29 +136,30 @@
         assert_eq!(worker.began("/v1/embeddings"), 1);
         // A new key is known after the next reading.
         directory.keys.borrow_mut().push("k2".to_owned());
-        while embed(&bed, Some("k2")).await.0 != 200 {
+        while embed(&router, Some("k2")).await.0 != 200 {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        directory.down.set(true);
+        directory.is_down.set(true);
         let searches = directory.searches.get();
         tokio::time::sleep(Duration::from_millis(1_200)).await;
         assert_eq!(
-            (embed(&bed, Some("k1")).await.0, directory.searches.get()),
+            (embed(&router, Some("k1")).await.0, directory.searches.get()),
             (200, searches)
         );
     });
 }
 
-/// Guards against serving everybody where the directory refuses the router itself.
+/// The directory rejects the router's own password.
 #[test]
 fn nobody_is_served_before_the_directory_has_been_read() {
     run(async {
         let directory = Directory::start(&["k1"]).await;
         let worker = Worker::start(1, Behaviour::Answer).await;
         let tenants = Tenants::follow(directory.setup("wrong"));
-        let bed = Bed::start_with(vec![line(&worker, "mixed", "up")], Some(tenants)).await;
+        let router =
+            TestRouter::start_with_tenants(vec![line(&worker, "mixed", "up")], Some(tenants)).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let (status, answer) = embed(&bed, Some("k1")).await;
+        let (status, answer) = embed(&router, Some("k1")).await;
         assert_eq!(
             (status, &answer["error"]["code"]),
             (503, &json!("tenants_unknown"))
