--- a/crates/router/src/tasks.rs
+++ b/crates/router/src/tasks.rs
@@ -43,3 +43,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
