--- a/crates/router/src/backoff.rs
+++ b/crates/router/src/backoff.rs
@@ -11,10 +11,10 @@
 /// The bound doubles no more often than this.
 const DOUBLINGS_MAX: u32 = 20;
 
-/// Delays before retries, drawn evenly between nothing and a bound that doubles with each failure in
-/// a row.
+/// Delays before retries, drawn evenly between nothing and a bound that doubles with each failure
+/// in a row.
 #[derive(Debug, Clone)]
-pub struct Backoff {
+pub(crate) struct Backoff {
     first_bound: Duration,
     max_bound: Duration,
     failures: u32,
@@ -24,7 +24,7 @@
 impl Backoff {
     /// Delays of up to `first_bound` after the first failure, and up to `max_bound` after many. The
     /// routers' seeds must differ.
-    pub fn new(first_bound: Duration, max_bound: Duration, seed: u64) -> Backoff {
+    pub(crate) fn new(first_bound: Duration, max_bound: Duration, seed: u64) -> Backoff {
         Backoff {
             first_bound,
             max_bound: max_bound.max(first_bound),
@@ -34,7 +34,7 @@
     }
 
     /// Notes a failure: the delay before the retry.
-    pub fn record_failure(&mut self) -> Duration {
+    pub(crate) fn record_failure(&mut self) -> Duration {
         let factor = 1 << self.failures.min(DOUBLINGS_MAX);
         let bound = self.first_bound.saturating_mul(factor).min(self.max_bound);
         self.failures = self.failures.saturating_add(1);
@@ -42,7 +42,7 @@
     }
 
     /// Notes a success: the next failure is a first one.
-    pub fn record_success(&mut self) {
+    pub(crate) fn record_success(&mut self) {
         self.failures = 0;
     }
 }
--- a/crates/router/src/closing.rs
+++ b/crates/router/src/closing.rs
@@ -16,7 +16,7 @@
 
 /// Closes this side of a connection and discards what still arrives, until the other side closes or
 /// fails.
-pub async fn shut_down_and_drain(stream: &RefCell<Socket>) {
+pub(crate) async fn shut_down_and_drain(stream: &RefCell<Socket>) {
     // Fails if the other side has reset the connection: then there is nothing to read either.
     let _ = poll_fn(|cx| Pin::new(&mut *stream.borrow_mut()).poll_shutdown(cx)).await;
     loop {
@@ -28,7 +28,7 @@
 }
 
 /// Discards what has been received, without waiting for more.
-pub async fn discard_received(stream: &RefCell<Socket>) {
+pub(crate) async fn discard_received(stream: &RefCell<Socket>) {
     poll_fn(|cx| {
         while matches!(poll_discard(stream, cx), Poll::Ready(Ok(length)) if length > 0) {}
         Poll::Ready(())
--- a/crates/router/src/config/tests.rs
+++ b/crates/router/src/config/tests.rs
@@ -6,14 +6,24 @@
 use super::*;
 use cranetack_testkit::{run, settings};
 
+/// A configuration file with this address of discovery.
+fn file(discovery: &str) -> String {
+    let file = json!({
+        "name": "r0",
+        "listen": "127.0.0.1:0",
+        "discovery": discovery,
+        "seed": "7",
+        "settings": settings(),
+    });
+    file.to_string()
+}
+
 /// The file may be read while it is being written, and no further signal follows.
 #[test]
 fn a_file_that_is_incomplete_at_the_hangup_takes_effect_once_it_is_complete() {
     run(async {
         let path = std::env::temp_dir().join(format!("cranetack-half-{}.json", std::process::id()));
-        let file = json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:4", "seed": "7",
-            "settings": settings()});
-        let text = file.to_string();
+        let text = file("127.0.0.1:4");
         std::fs::write(&path, &text[..text.len() / 2]).unwrap();
         let (sender, mut address) = watch::channel(([127, 0, 0, 1], 1).into());
         let (hangup, mut hangups) = mpsc::channel(1);
@@ -47,9 +57,7 @@
         let path =
             std::env::temp_dir().join(format!("cranetack-config-{}.json", std::process::id()));
         let write = |discovery: &str| {
-            let file = json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "7",
-                "settings": settings()});
-            std::fs::write(&path, file.to_string()).unwrap();
+            std::fs::write(&path, file(discovery)).unwrap();
         };
         let (sender, mut address) = watch::channel(([127, 0, 0, 1], 1).into());
         let (hangup, mut hangups) = mpsc::channel(1);
--- a/crates/router/src/framing.rs
+++ b/crates/router/src/framing.rs
@@ -11,7 +11,7 @@
 const CHUNK_END_BYTES: u64 = 2;
 
 /// Follows the heads and bodies of the messages of one direction of a connection.
-pub struct Framing {
+pub(crate) struct Framing {
     kind: MessageKind,
     position: Position,
     /// The line that is arriving.
@@ -49,7 +49,8 @@
 /// What is known of the head that is arriving.
 #[derive(Default)]
 struct Head {
-    /// The status of a response, 0 for a request or an unreadable one; absent before the first line.
+    /// The status of a response, 0 for a request or an unreadable one; absent before the first
+    /// line.
     status: Option<u16>,
     content_length: Option<u64>,
     has_transfer_encoding: bool,
@@ -58,12 +59,12 @@
 impl Framing {
     /// Follows requests. A body with a transfer encoding is not followed: its request counts as the
     /// connection's last.
-    pub fn of_requests() -> Framing {
+    pub(crate) fn of_requests() -> Framing {
         Framing::new(MessageKind::Request)
     }
 
     /// Follows responses.
-    pub fn of_responses() -> Framing {
+    pub(crate) fn of_responses() -> Framing {
         Framing::new(MessageKind::Response)
     }
 
@@ -78,7 +79,7 @@
     }
 
     /// Follows the bytes that have arrived.
-    pub fn push(&mut self, bytes: &[u8]) {
+    pub(crate) fn push(&mut self, bytes: &[u8]) {
         let mut rest = bytes;
         while !rest.is_empty() {
             rest = match self.position {
@@ -159,17 +160,17 @@
     }
 
     /// Whether no part of a message has arrived since the last one ended.
-    pub fn is_between(&self) -> bool {
+    pub(crate) fn is_between(&self) -> bool {
         self.position == Position::Head && self.head.status.is_none() && self.line.is_empty()
     }
 
     /// Whether a part of a head has arrived.
-    pub fn is_in_head(&self) -> bool {
+    pub(crate) fn is_in_head(&self) -> bool {
         self.position == Position::Head && !self.is_between()
     }
 
     /// Whether a chunk of a response, or its size, has begun and not ended.
-    pub fn is_in_chunk(&self) -> bool {
+    pub(crate) fn is_in_chunk(&self) -> bool {
         match self.position {
             Position::Chunk { .. } => true,
             Position::ChunkSize => !self.line.is_empty(),
@@ -178,17 +179,17 @@
     }
 
     /// Whether a message has arrived whose end is ambiguous.
-    pub fn is_ambiguous(&self) -> bool {
+    pub(crate) fn is_ambiguous(&self) -> bool {
         self.ambiguous
     }
 
     /// Whether the end of this message is that of the connection, or is not followed.
-    pub fn is_last(&self) -> bool {
+    pub(crate) fn is_last(&self) -> bool {
         self.position == Position::LastMessage
     }
 
     /// Whether something has arrived that no valid message contains.
-    pub fn is_invalid(&self) -> bool {
+    pub(crate) fn is_invalid(&self) -> bool {
         self.position == Position::Invalid
     }
 }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -168,8 +168,8 @@
         .init();
 }
 
-/// The address of discovery, by the configuration as it is read again at each SIGHUP. Must be called
-/// on the runtime.
+/// The address of discovery, by the configuration as it is read again at each SIGHUP. Must be
+/// called on the runtime.
 fn watch_discovery_address(
     path: PathBuf,
     at_start: SocketAddr,
--- a/crates/router/src/router/bind.rs
+++ b/crates/router/src/router/bind.rs
@@ -59,8 +59,8 @@
     bind_with_retries(key, address, || TcpListener::bind(address)).await
 }
 
-/// Binds an address, with retries: descriptors may be short for a moment, or the process before this
-/// one may not have released the address yet.
+/// Binds an address, with retries: descriptors may be short for a moment, or the process before
+/// this one may not have released the address yet.
 async fn bind_with_retries<T, F: Future<Output = std::io::Result<T>>>(
     key: &'static str,
     address: SocketAddr,
--- a/crates/router/src/socket.rs
+++ b/crates/router/src/socket.rs
@@ -12,11 +12,11 @@
 
 /// A TCP stream that repeats a call until the system says that it would block.
 ///
-/// The runtime's own stream takes a short read or write as the sign that the system's buffer is empty
-/// or full, and waits for a readiness event. A call that was short for another reason produces no
-/// such event, so that the connection would hang.
+/// The runtime's own stream takes a short read or write as the sign that the system's buffer is
+/// empty or full, and waits for a readiness event. A call that was short for another reason
+/// produces no such event, so that the connection would hang.
 #[derive(Debug)]
-pub struct Socket(TcpStream);
+pub(crate) struct Socket(TcpStream);
 
 impl From<TcpStream> for Socket {
     fn from(stream: TcpStream) -> Socket {
@@ -26,7 +26,7 @@
 
 impl Socket {
     /// Whether the system has received data that has not been read yet.
-    pub fn has_received(&self) -> bool {
+    pub(crate) fn has_received(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         SockRef::from(self)
             .peek(&mut byte)
--- a/crates/router/src/upstream/calls/tests.rs
+++ b/crates/router/src/upstream/calls/tests.rs
@@ -30,8 +30,8 @@
     })
 }
 
-/// State must be released within 300 ms of the configured lease timeout, of which the policy uses up a
-/// part already.
+/// State must be released within 300 ms of the configured lease timeout, of which the policy uses
+/// up a part already.
 #[test]
 fn state_is_released_in_time_though_four_endpoints_in_a_row_do_not_answer() {
     run_paused(async {
--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -36,7 +36,7 @@
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// One connection to an endpoint, used by one request at a time. Dropping it closes it.
-pub struct PooledConnection {
+pub(crate) struct PooledConnection {
     number: u64,
     endpoint: EndpointId,
     address: SocketAddr,
@@ -88,23 +88,26 @@
     }
 
     /// Sends a request and waits for the head of its response.
-    pub async fn send(&mut self, request: Request<Bytes>) -> hyper::Result<Response<Incoming>> {
+    pub(crate) async fn send(
+        &mut self,
+        request: Request<Bytes>,
+    ) -> hyper::Result<Response<Incoming>> {
         self.progress.begin_request(request.body().len());
         self.sender.send_request(request.map(Full::new)).await
     }
 
     /// Its endpoint.
-    pub fn endpoint(&self) -> EndpointId {
+    pub(crate) fn endpoint(&self) -> EndpointId {
         self.endpoint
     }
 
     /// The address that it is connected to.
-    pub fn address(&self) -> SocketAddr {
+    pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
     /// What has passed over it since the current request began.
-    pub fn trace(&self) -> WireTrace {
+    pub(crate) fn trace(&self) -> WireTrace {
         let bytes = self.progress.bytes();
         WireTrace {
             connection: Some(UsedConnection {
@@ -121,24 +124,24 @@
     }
 
     /// How far the current request and its response have come.
-    pub fn progress(&self) -> &Rc<WireProgress> {
+    pub(crate) fn progress(&self) -> &Rc<WireProgress> {
         &self.progress
     }
 
     /// For how long it was idle before it was acquired, if it has been used before.
-    pub fn idle_for(&self) -> Option<Duration> {
+    pub(crate) fn idle_for(&self) -> Option<Duration> {
         self.idle_for
     }
 
     /// Whether it was idle and broke without any response: its endpoint had dropped it unnoticed,
     /// which is no sign of a fault of the endpoint.
-    pub fn was_dropped_idle(&self) -> bool {
+    pub(crate) fn was_dropped_idle(&self) -> bool {
         self.idle_for.is_some() && self.progress.is_between_responses()
     }
 
     /// Whether it was idle and nothing of the request has been written: another connection may be
     /// used in its place.
-    pub fn was_stale(&self) -> bool {
+    pub(crate) fn was_stale(&self) -> bool {
         self.idle_for.is_some() && self.progress.nothing_written()
     }
 
@@ -179,7 +182,7 @@
     }
 
     /// Closes the connection and waits until it is closed on this side.
-    pub async fn close(mut self) {
+    pub(crate) async fn close(mut self) {
         self.stop_driver().await;
     }
 
@@ -187,7 +190,7 @@
     /// has closed its own. What is sent next goes over another connection and could overtake the
     /// close, so that the endpoint would have two attempts of a request at once, or reject the new
     /// one.
-    pub async fn abandon(mut self) {
+    pub(crate) async fn abandon(mut self) {
         self.stop_driver().await;
         if !self.progress.nothing_written() {
             let _ = timeout(CLOSE_TIMEOUT, shut_down_and_drain(&self.stream)).await;
--- a/crates/router/src/upstream/dial.rs
+++ b/crates/router/src/upstream/dial.rs
@@ -11,7 +11,7 @@
 
 /// Why there was no connection in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum ConnectError {
+pub(crate) enum ConnectError {
     /// The endpoint refused it, or could not be reached in time.
     #[error("the endpoint accepted no connection")]
     Endpoint,
@@ -42,7 +42,7 @@
 
 /// Connects by `until`. Failures of this machine are retried until then: counted against endpoints,
 /// a short one would eject them one after the other and use up the attempts of requests.
-pub async fn dial<T, C: Future<Output = io::Result<T>>>(
+pub(crate) async fn dial<T, C: Future<Output = io::Result<T>>>(
     until: Instant,
     connect: impl Fn() -> C,
 ) -> Result<T, ConnectError> {
--- a/crates/router/src/upstream/load_report.rs
+++ b/crates/router/src/upstream/load_report.rs
@@ -8,14 +8,14 @@
 const LOAD_HEADER: &str = "x-load";
 
 /// The load report among the headers of a response.
-pub fn from_headers(headers: &HeaderMap, columns: &Report) -> Option<LoadReport> {
+pub(crate) fn from_headers(headers: &HeaderMap, columns: &Report) -> Option<LoadReport> {
     let text = headers.get(LOAD_HEADER)?.to_str().ok()?;
     parse(text, columns)
 }
 
 /// A load report in the form `TEXT name=figure, name=figure`. One without any figure that can be
 /// decoded is none: it would take the place of the one before.
-pub fn parse(text: &str, columns: &Report) -> Option<LoadReport> {
+pub(crate) fn parse(text: &str, columns: &Report) -> Option<LoadReport> {
     let mut load = LoadReport::default();
     let text = text.trim();
     let text = text.strip_prefix("TEXT").unwrap_or(text);
--- a/crates/router/src/upstream/observed_stream.rs
+++ b/crates/router/src/upstream/observed_stream.rs
@@ -12,14 +12,14 @@
 use crate::socket::Socket;
 
 /// A stream that records what is read and written in a [`WireProgress`].
-pub struct ObservedStream {
+pub(crate) struct ObservedStream {
     stream: Rc<RefCell<Socket>>,
     progress: Rc<WireProgress>,
 }
 
 impl ObservedStream {
     /// Records what passes over `stream` in `progress`.
-    pub fn new(stream: Rc<RefCell<Socket>>, progress: Rc<WireProgress>) -> ObservedStream {
+    pub(crate) fn new(stream: Rc<RefCell<Socket>>, progress: Rc<WireProgress>) -> ObservedStream {
         ObservedStream { stream, progress }
     }
 }
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -26,7 +26,7 @@
 }
 
 /// The connections to all endpoints.
-pub struct ConnectionPool {
+pub(crate) struct ConnectionPool {
     /// Idle connections, those that have been idle for longest first.
     idle: RefCell<HashMap<EndpointId, Vec<IdleConnection>>>,
     next_number: Cell<u64>,
@@ -38,7 +38,7 @@
 impl ConnectionPool {
     /// A pool of at most `limit` connections. An idle one is closed after a part of the span after
     /// which endpoints close it.
-    pub fn new(
+    pub(crate) fn new(
         limit: usize,
         connect_timeout: Duration,
         server_idle_timeout: Duration,
@@ -54,7 +54,7 @@
 
     /// A connection to the endpoint that is ready for a request, by this instant: an idle one if
     /// there is one.
-    pub async fn acquire(
+    pub(crate) async fn acquire(
         &self,
         endpoint: &Endpoint,
         until: Instant,
@@ -88,7 +88,7 @@
     }
 
     /// A new connection to the endpoint, by this instant.
-    pub async fn connect(
+    pub(crate) async fn connect(
         &self,
         endpoint: &Endpoint,
         until: Instant,
@@ -114,7 +114,7 @@
 
     /// Takes a connection back whose request has been answered completely. It is closed unless
     /// another request can follow on it.
-    pub async fn release(&self, mut connection: PooledConnection) {
+    pub(crate) async fn release(&self, mut connection: PooledConnection) {
         if !connection.settle().await {
             return;
         }
@@ -131,12 +131,12 @@
     }
 
     /// Closes the idle connections to an endpoint.
-    pub fn close_idle(&self, endpoint: EndpointId) {
+    pub(crate) fn close_idle(&self, endpoint: EndpointId) {
         self.idle.borrow_mut().remove(&endpoint);
     }
 
     /// Closes idle connections that have expired or have been closed by their endpoints.
-    pub fn close_expired(&self) {
+    pub(crate) fn close_expired(&self) {
         let usable = |idle: &IdleConnection| {
             idle.since.elapsed() < self.idle_timeout && !idle.connection.is_closed()
         };
@@ -161,13 +161,13 @@
 
     /// The number of endpoints that have an entry.
     #[cfg(test)]
-    pub fn known_endpoints(&self) -> usize {
+    pub(crate) fn known_endpoints(&self) -> usize {
         self.idle.borrow().len()
     }
 
     /// How many more connections there may be.
     #[cfg(test)]
-    pub fn available_permits(&self) -> usize {
+    pub(crate) fn available_permits(&self) -> usize {
         self.permits.available_permits()
     }
 }
--- a/crates/router/src/upstream/pool/tests/model.rs
+++ b/crates/router/src/upstream/pool/tests/model.rs
@@ -79,52 +79,12 @@
     async fn check(&mut self, step: Step) {
         match step {
             Step::Acquire(endpoint) => self.acquire(endpoint).await,
-            Step::Call(n) if n < self.in_use.len() => {
-                let (connection, model) = &mut self.in_use[n];
-                let request = empty_request(http::Method::GET, "/metrics/load").unwrap();
-                let response = connection.send(request).await;
-                assert_eq!(response.is_ok(), !model.closed_at_endpoint);
-                assert_eq!(
-                    connection.progress().request_complete(),
-                    !model.closed_at_endpoint,
-                    "nothing is written to a closed connection"
-                );
-                assert_eq!(
-                    connection.was_stale(),
-                    model.closed_at_endpoint && model.was_idle,
-                    "only one that was idle may be replaced"
-                );
-            }
-            Step::Release(n) if n < self.in_use.len() => {
-                let (connection, model) = self.in_use.remove(n);
-                self.pool.release(connection).await;
-                if !model.closed_at_endpoint {
-                    self.idle.push(ModelConnection {
-                        was_idle: true,
-                        since: Instant::now(),
-                        ..model
-                    });
-                }
-            }
+            Step::Call(n) if n < self.in_use.len() => self.call(n).await,
+            Step::Release(n) if n < self.in_use.len() => self.release(n).await,
             Step::Close(n) if n < self.in_use.len() => self.in_use.remove(n).0.close().await,
-            Step::CloseAtEndpoint(endpoint) => {
-                self.workers[endpoint].cut();
-                let in_use = self.in_use.iter_mut().map(|(_, model)| model);
-                for model in in_use.chain(&mut self.idle) {
-                    if model.endpoint == endpoint {
-                        model.closed_at_endpoint = true;
-                    }
-                }
-            }
+            Step::CloseAtEndpoint(endpoint) => self.close_at_endpoint(endpoint),
             Step::Wait(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
-            Step::CloseExpired => {
-                self.pool.close_expired();
-                self.idle.retain(ModelConnection::usable);
-                let has_idle =
-                    |endpoint: &usize| self.idle.iter().any(|model| model.endpoint == *endpoint);
-                let known_endpoints = [0, 1].iter().filter(|endpoint| has_idle(endpoint)).count();
-                assert_eq!(self.pool.known_endpoints(), known_endpoints);
-            }
+            Step::CloseExpired => self.close_expired(),
             Step::CloseIdle(endpoint) => {
                 self.pool.close_idle(self.endpoints[endpoint].id);
                 self.idle.retain(|model| model.endpoint != endpoint);
@@ -139,6 +99,53 @@
         );
     }
 
+    async fn call(&mut self, number: usize) {
+        let (connection, model) = &mut self.in_use[number];
+        let request = empty_request(http::Method::GET, "/metrics/load").unwrap();
+        let response = connection.send(request).await;
+        assert_eq!(response.is_ok(), !model.closed_at_endpoint);
+        assert_eq!(
+            connection.progress().request_complete(),
+            !model.closed_at_endpoint,
+            "nothing is written to a closed connection"
+        );
+        assert_eq!(
+            connection.was_stale(),
+            model.closed_at_endpoint && model.was_idle,
+            "only one that was idle may be replaced"
+        );
+    }
+
+    async fn release(&mut self, number: usize) {
+        let (connection, model) = self.in_use.remove(number);
+        self.pool.release(connection).await;
+        if !model.closed_at_endpoint {
+            self.idle.push(ModelConnection {
+                was_idle: true,
+                since: Instant::now(),
+                ..model
+            });
+        }
+    }
+
+    fn close_at_endpoint(&mut self, endpoint: usize) {
+        self.workers[endpoint].cut();
+        let in_use = self.in_use.iter_mut().map(|(_, model)| model);
+        for model in in_use.chain(&mut self.idle) {
+            if model.endpoint == endpoint {
+                model.closed_at_endpoint = true;
+            }
+        }
+    }
+
+    fn close_expired(&mut self) {
+        self.pool.close_expired();
+        self.idle.retain(ModelConnection::usable);
+        let has_idle = |endpoint: &usize| self.idle.iter().any(|model| model.endpoint == *endpoint);
+        let known_endpoints = [0, 1].iter().filter(|endpoint| has_idle(endpoint)).count();
+        assert_eq!(self.pool.known_endpoints(), known_endpoints);
+    }
+
     async fn acquire(&mut self, endpoint: usize) {
         let mut expected = None;
         // One that has just become idle is not used at once.
--- a/crates/router/src/upstream/progress.rs
+++ b/crates/router/src/upstream/progress.rs
@@ -19,7 +19,7 @@
 /// Observes the bytes that pass over a connection. Among those written it finds the last byte of
 /// each request: a request whose last byte has not been written cannot have been executed. Among
 /// those read it follows the responses to their ends.
-pub struct WireProgress {
+pub(crate) struct WireProgress {
     request: Cell<RequestProgress>,
     request_completed: Notify,
     bytes: Cell<ByteCounts>,
@@ -30,11 +30,11 @@
 
 /// Bytes that have passed since the current request began.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ByteCounts {
+pub(crate) struct ByteCounts {
     /// Bytes written.
-    pub written: u64,
+    pub(crate) written: u64,
     /// Bytes read.
-    pub read: u64,
+    pub(crate) read: u64,
 }
 
 /// How much of the current request has been written.
@@ -70,7 +70,7 @@
 
 impl WireProgress {
     /// A request with a body of this length begins.
-    pub fn begin_request(&self, body_length: usize) {
+    pub(crate) fn begin_request(&self, body_length: usize) {
         self.request.set(RequestProgress::Head {
             head_end_matched: 0,
             body_length,
@@ -80,12 +80,12 @@
     }
 
     /// The connection is used again: there is no request yet.
-    pub fn reset(&self) {
+    pub(crate) fn reset(&self) {
         self.request.set(RequestProgress::None);
     }
 
     /// Records what has been written.
-    pub fn on_written(&self, bytes: &[u8]) {
+    pub(crate) fn on_written(&self, bytes: &[u8]) {
         let mut counts = self.bytes.get();
         counts.written += bytes.len() as u64;
         self.bytes.set(counts);
@@ -121,7 +121,7 @@
 
     /// Waits until a response that has begun does not go on, though it has been waited for since
     /// `waiting_since`. Nothing is read while nobody waits, which is no fault of the endpoint.
-    pub async fn wait_stalled(&self, waiting_since: Instant) {
+    pub(crate) async fn wait_stalled(&self, waiting_since: Instant) {
         loop {
             let now = Instant::now();
             let stalled_at = self
@@ -137,22 +137,22 @@
     }
 
     /// Whether no part of an unfinished response has arrived.
-    pub fn is_between_responses(&self) -> bool {
+    pub(crate) fn is_between_responses(&self) -> bool {
         self.responses.borrow().is_between()
     }
 
     /// Whether the request's last byte has been written.
-    pub fn request_complete(&self) -> bool {
+    pub(crate) fn request_complete(&self) -> bool {
         self.request.get() == RequestProgress::Complete
     }
 
     /// Bytes written and read since the current request began.
-    pub fn bytes(&self) -> ByteCounts {
+    pub(crate) fn bytes(&self) -> ByteCounts {
         self.bytes.get()
     }
 
     /// Whether nothing of the request has been written.
-    pub fn nothing_written(&self) -> bool {
+    pub(crate) fn nothing_written(&self) -> bool {
         matches!(
             self.request.get(),
             RequestProgress::None | RequestProgress::Head { begun: false, .. }
@@ -160,7 +160,7 @@
     }
 
     /// Waits until the request's last byte has been written.
-    pub async fn wait_request_complete(&self) {
+    pub(crate) async fn wait_request_complete(&self) {
         loop {
             let completed = self.request_completed.notified();
             if self.request_complete() {
@@ -217,7 +217,7 @@
 
 /// Waits until the response over a connection stalls, counted from now at the earliest; for ever
 /// where there is no connection.
-pub async fn wait_stalled(progress: Option<&WireProgress>) {
+pub(crate) async fn wait_stalled(progress: Option<&WireProgress>) {
     match progress {
         Some(progress) => progress.wait_stalled(Instant::now()).await,
         None => pending().await,
--- a/crates/router/src/upstream/response.rs
+++ b/crates/router/src/upstream/response.rs
@@ -12,7 +12,7 @@
 
 /// The meaning of a response's head.
 #[derive(Debug, PartialEq)]
-pub enum ResponseKind {
+pub(crate) enum ResponseKind {
     /// The response streams.
     Stream,
     /// The prompt has been processed; the body holds the number of cached tokens.
@@ -23,7 +23,7 @@
 
 /// What an endpoint is asked for, and so which responses are valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Expected {
+pub(crate) enum Expected {
     /// The KV state of the prompt.
     KvState,
     /// The response as a stream.
@@ -34,7 +34,11 @@
     /// Decodes the head of a response. A status that is not valid for what was asked for counts as
     /// an error, after which the request may have been executed; so does the promise of not having
     /// executed it beside any status for which the protocol does not define it.
-    pub fn decode(expected: Expected, status: StatusCode, headers: &HeaderMap) -> ResponseKind {
+    pub(crate) fn decode(
+        expected: Expected,
+        status: StatusCode,
+        headers: &HeaderMap,
+    ) -> ResponseKind {
         let not_executed = headers
             .get(NOT_EXECUTED_HEADER)
             .is_some_and(|value| value.as_bytes() == b"1");
@@ -53,7 +57,7 @@
 }
 
 /// The number of cached prompt tokens that the body of a prefill response holds.
-pub fn cached_tokens(body: &[u8]) -> u64 {
+pub(crate) fn cached_tokens(body: &[u8]) -> u64 {
     #[derive(Deserialize)]
     struct PrefillBody {
         cached_tokens: u64,
--- a/crates/router/src/upstream/stream_tail.rs
+++ b/crates/router/src/upstream/stream_tail.rs
@@ -15,11 +15,11 @@
 
 /// The last bytes of a stream.
 #[derive(Default)]
-pub struct StreamTail(Vec<u8>);
+pub(crate) struct StreamTail(Vec<u8>);
 
 impl StreamTail {
     /// Adds what has arrived.
-    pub fn push(&mut self, data: &[u8]) {
+    pub(crate) fn push(&mut self, data: &[u8]) {
         self.0.extend_from_slice(data);
         if self.0.len() > 2 * TAIL_BYTES {
             self.0.drain(..self.0.len() - TAIL_BYTES);
@@ -27,7 +27,7 @@
     }
 
     /// The report of the attempt whose stream ended like this.
-    pub fn report(&self, columns: &Report) -> AttemptReport {
+    pub(crate) fn report(&self, columns: &Report) -> AttemptReport {
         let text = String::from_utf8_lossy(&self.0);
         let cached_tokens = after_last(&text, CACHED_TOKENS_KEY)
             .and_then(leading_number)
--- a/crates/router/tests/client_model.rs
+++ b/crates/router/tests/client_model.rs
@@ -1,5 +1,5 @@
-//! A model of clients' connections, against which random steps are checked: each complete request has
-//! one attempt and its response, an incomplete one has none, and the attempt of a client that
+//! A model of clients' connections, against which random steps are checked: each complete request
+//! has one attempt and its response, an incomplete one has none, and the attempt of a client that
 //! disconnects is cancelled.
 
 mod common;
@@ -37,7 +37,8 @@
     let client = 0..CLIENTS;
     prop_oneof![
         3 => client.clone().prop_map(Step::Connect),
-        2 => (client.clone(), 1..200_usize).prop_map(|(client, length)| Step::SendPart(client, length)),
+        2 => (client.clone(), 1..200_usize)
+            .prop_map(|(client, length)| Step::SendPart(client, length)),
         4 => client.clone().prop_map(Step::SendRest),
         3 => any::<bool>().prop_map(|in_two| Step::Respond { in_two }),
         2 => client.prop_map(Step::Close),
@@ -76,7 +77,8 @@
 fn request(id: usize) -> String {
     let body = "x".repeat(id * 37 % 500);
     format!(
-        "POST /v1/chat/completions HTTP/1.1\r\nhost: app\r\nx-request-id: m{id}\r\nx-class: order\r\n\
+        "POST /v1/chat/completions HTTP/1.1\r\nhost: app\r\nx-request-id: m{id}\r\n\
+         x-class: order\r\n\
          x-deadline-ms: 60000\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
     )
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A router between the fake servers of the test kit, for the network tests.
-#![allow(dead_code, unused_imports)]
+#![allow(dead_code, unused_imports, unreachable_pub)]
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -54,6 +54,18 @@
     file
 }
 
+/// The configuration file of a router that watches this discovery service.
+pub fn config_file(discovery: SocketAddr, settings: Value) -> Value {
+    json!({
+        "name": "r0",
+        "listen": "127.0.0.1:0",
+        "discovery": discovery.to_string(),
+        "seed": "7",
+        "limits": {"sockets": 64},
+        "settings": settings,
+    })
+}
+
 impl TestRouter {
     /// A router on both APIs, ready for requests, with these entries of the endpoint list.
     pub async fn start(entries: Vec<Value>) -> TestRouter {
@@ -87,8 +99,7 @@
         file: &str,
     ) -> TestRouter {
         let discovery = Discovery::start(entries).await;
-        let config = json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
-            "seed": "7", "limits": {"sockets": 64}, "settings": settings});
+        let config = config_file(discovery.address, settings);
         let config = Config::parse(config.to_string().as_bytes()).unwrap();
         let file = file.replace("127.0.0.1:8090", "127.0.0.1:0");
         let listen = "127.0.0.1:0".parse().unwrap();
--- a/crates/router/tests/control.rs
+++ b/crates/router/tests/control.rs
@@ -8,8 +8,10 @@
 use envoy_types::pb::envoy::config::core::v3::HealthStatus;
 use envoy_types::pb::envoy::config::endpoint::v3::lb_endpoint::HostIdentifier;
 use envoy_types::pb::envoy::config::endpoint::v3::ClusterLoadAssignment;
-use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_client::AggregatedDiscoveryServiceClient;
-use envoy_types::pb::envoy::service::discovery::v3::{DiscoveryRequest, DiscoveryResponse};
+use envoy_types::pb::envoy::service::discovery::v3::{
+    aggregated_discovery_service_client::AggregatedDiscoveryServiceClient, DiscoveryRequest,
+    DiscoveryResponse,
+};
 use prost::Message;
 use tokio::sync::mpsc;
 use tokio_stream::wrappers::UnboundedReceiverStream;
--- a/crates/router/tests/discovery.rs
+++ b/crates/router/tests/discovery.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{line, run, settings, Behaviour, Client, Discovery, Worker};
+use common::{config_file, line, run, settings, Behaviour, Client, Discovery, Worker};
 use cranetack_router::config::Config;
 use cranetack_router::{Extras, Router};
 use serde_json::{json, Value};
@@ -13,8 +13,8 @@
 fn config(discovery: &Discovery, router_count: u32, known: &Value) -> Config {
     let mut settings = settings();
     settings["balancers"] = json!(router_count);
-    let file = json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
-        "seed": "7", "limits": {"sockets": 64}, "settings": settings, "known": known});
+    let mut file = config_file(discovery.address, settings);
+    file["known"] = known.clone();
     Config::parse(file.to_string().as_bytes()).unwrap()
 }
 
--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -3,10 +3,60 @@
 mod common;
 
 use std::io::Write;
-use std::process::{Command, Stdio};
+use std::net::SocketAddr;
+use std::process::{Child, Command, Stdio};
+use std::time::Duration;
 
-use common::{line, run, settings, Behaviour, Client, Discovery, Worker};
+use common::{config_file, line, run, settings, Behaviour, Client, Discovery, Worker};
 use serde_json::json;
+use tokio::net::TcpStream;
+
+/// The program, running as a process.
+struct Program(Child);
+
+/// The command that serves.
+fn serve() -> Command {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_cranetack"));
+    command.arg("serve").stdout(Stdio::null());
+    command
+}
+
+impl Program {
+    fn start(command: &mut Command) -> Program {
+        Program(command.spawn().unwrap())
+    }
+
+    /// Sends a signal, such as `-HUP`.
+    fn signal(&self, name: &str) {
+        let kill = Command::new("kill")
+            .args([name, &self.0.id().to_string()])
+            .status();
+        assert!(kill.unwrap().success());
+    }
+
+    /// Waits for its end, which must be a success.
+    async fn assert_succeeds(mut self) {
+        let ended = tokio::task::spawn_blocking(move || self.0.wait().unwrap())
+            .await
+            .unwrap();
+        assert!(ended.success());
+    }
+}
+
+/// An address on which nothing listens.
+fn free_address() -> SocketAddr {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    listener.local_addr().unwrap()
+}
+
+/// Waits until a router is ready at this address.
+async fn until_ready(address: SocketAddr) {
+    while TcpStream::connect(address).await.is_err()
+        || Client::connect(address).await.get("/up").await.0 != 200
+    {
+        tokio::time::sleep(Duration::from_millis(5)).await;
+    }
+}
 
 /// By default SIGHUP would end the program. It reads its file again and calls discovery at the new
 /// address.
@@ -18,32 +68,19 @@
         let path =
             std::env::temp_dir().join(format!("cranetack-program-{}.json", std::process::id()));
         let write = |discovery: &Discovery| {
-            let file = json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
-                "seed": "7", "limits": {"sockets": 64}, "settings": settings()});
+            let file = config_file(discovery.address, settings());
             std::fs::write(&path, file.to_string()).unwrap();
         };
         write(&old);
-        let mut program = Command::new(env!("CARGO_BIN_EXE_cranetack"));
-        let mut program = program
-            .arg("serve")
-            .env("PROXY_CONFIG", &path)
-            .stdout(Stdio::null())
-            .spawn()
-            .unwrap();
-        let signal = |name: &str| {
-            let kill = Command::new("/bin/sh")
-                .args(["-c", &format!("kill -{name} {}", program.id())])
-                .status();
-            assert!(kill.unwrap().success());
-        };
+        let program = Program::start(serve().env("PROXY_CONFIG", &path));
         old.asked().await;
         for moved in [&new, &old] {
             write(moved);
-            signal("HUP");
+            program.signal("-HUP");
             moved.asked().await;
         }
-        signal("TERM");
-        assert!(program.wait().unwrap().success());
+        program.signal("-TERM");
+        program.assert_succeeds().await;
         std::fs::remove_file(&path).unwrap();
     });
 }
@@ -53,22 +90,16 @@
 fn a_batch_is_served_across_a_hangup_and_finished_after_a_termination() {
     run(async {
         let worker = Worker::start(4, Behaviour::Answer).await;
-        worker.takes.set(std::time::Duration::from_millis(50));
+        worker.takes.set(Duration::from_millis(50));
         let discovery = Discovery::start(vec![line(&worker, "mixed", "up")]).await;
         let folder = std::env::temp_dir().join(format!("cranetack-batch-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let [config_path, inference_path] =
             ["config.json", "inference.toml"].map(|name| folder.join(name));
-        let free_address = || {
-            std::net::TcpListener::bind("127.0.0.1:0")
-                .unwrap()
-                .local_addr()
-                .unwrap()
-        };
         let listen = free_address();
         let inference_listen = free_address();
-        let config = json!({"name": "r0", "listen": listen.to_string(), "seed": "7", "limits": {"sockets": 64},
-            "discovery": discovery.address.to_string(), "settings": settings()});
+        let mut config = config_file(discovery.address, settings());
+        config["listen"] = listen.to_string().into();
         std::fs::write(&config_path, config.to_string()).unwrap();
         let file = common::inference_file(&[(
             "least_tokens = 16\nmost_tokens = 65536",
@@ -79,25 +110,11 @@
             file.replace("127.0.0.1:8090", &inference_listen.to_string()),
         )
         .unwrap();
-        let mut program = Command::new(env!("CARGO_BIN_EXE_cranetack"))
-            .args(["serve", "--config"])
-            .arg(&config_path)
-            .arg("--inference")
-            .arg(&inference_path)
-            .stdout(Stdio::null())
-            .spawn()
-            .unwrap();
-        let signal = |name: &str| {
-            let kill = Command::new("kill")
-                .args([name, &program.id().to_string()])
-                .status();
-            assert!(kill.unwrap().success());
-        };
-        while tokio::net::TcpStream::connect(listen).await.is_err()
-            || Client::connect(listen).await.get("/up").await.0 != 200
-        {
-            tokio::time::sleep(std::time::Duration::from_millis(5)).await;
-        }
+        let mut command = serve();
+        command.arg("--config").arg(&config_path);
+        command.arg("--inference").arg(&inference_path);
+        let program = Program::start(&mut command);
+        until_ready(listen).await;
         let documents: Vec<String> = (0..18)
             .map(|n| format!("{n} {}", "x".repeat(500)))
             .collect();
@@ -109,19 +126,16 @@
                 .await
         });
         worker.until(|seen| seen.len() > 2).await;
-        signal("-HUP");
+        program.signal("-HUP");
         worker.until(|seen| seen.len() > 6).await;
-        signal("-TERM");
+        program.signal("-TERM");
         let (status, answer) = call.await.unwrap();
         assert_eq!(
             (status, answer["results"].as_array().map(Vec::len)),
             (200, Some(18))
         );
         assert_eq!(worker.began("/v1/rerank"), 9);
-        let ended = tokio::task::spawn_blocking(move || program.wait().unwrap())
-            .await
-            .unwrap();
-        assert!(ended.success());
+        program.assert_succeeds().await;
         std::fs::remove_dir_all(&folder).unwrap();
     });
 }
@@ -141,43 +155,20 @@
             .status()
             .unwrap()
             .success());
-        let config = |discovery: &Discovery| {
-            let file = json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
-                "seed": "7", "limits": {"sockets": 64}, "settings": settings()});
-            file.to_string()
-        };
-        let mut program = Command::new(env!("CARGO_BIN_EXE_cranetack"));
-        let mut program = program
-            .arg("serve")
-            .env("PROXY_CONFIG", &path)
-            .stdout(Stdio::null())
-            .spawn()
-            .unwrap();
-        let signal = |name: &str| {
-            let kill = Command::new("kill")
-                .args([name, &program.id().to_string()])
-                .status();
-            assert!(kill.unwrap().success());
-        };
-        // A named pipe is open once its reader is there, who reads until it is closed.
-        let (opened, pipe) = (
-            path.clone(),
-            std::fs::OpenOptions::new().write(true).clone(),
-        );
-        let mut pipe = tokio::task::spawn_blocking(move || pipe.open(opened).unwrap())
-            .await
-            .unwrap();
+        let config = |discovery: &Discovery| config_file(discovery.address, settings()).to_string();
+        let program = Program::start(serve().env("PROXY_CONFIG", &path));
+        // Opening the named pipe waits for the program, which reads until the pipe is closed.
+        let pipe_path = path.clone();
+        let open = move || std::fs::OpenOptions::new().write(true).open(pipe_path);
+        let mut pipe = tokio::task::spawn_blocking(open).await.unwrap().unwrap();
         std::fs::write(&next, config(&new)).unwrap();
         std::fs::rename(&next, &path).unwrap();
-        signal("-HUP");
+        program.signal("-HUP");
         pipe.write_all(config(&old).as_bytes()).unwrap();
         drop(pipe);
         new.asked().await;
-        signal("-TERM");
-        let ended = tokio::task::spawn_blocking(move || program.wait().unwrap())
-            .await
-            .unwrap();
-        assert!(ended.success());
+        program.signal("-TERM");
+        program.assert_succeeds().await;
         std::fs::remove_dir_all(&folder).unwrap();
     });
 }
--- a/crates/router/tests/races.rs
+++ b/crates/router/tests/races.rs
@@ -35,7 +35,8 @@
 fn request(id: &str, class: &str, headers: &str, body: &str) -> String {
     let length = body.len();
     format!(
-        "POST /v1/chat/completions HTTP/1.1\r\nhost: app\r\nx-request-id: {id}\r\nx-class: {class}\r\n\
+        "POST /v1/chat/completions HTTP/1.1\r\nhost: app\r\nx-request-id: {id}\r\n\
+         x-class: {class}\r\n\
          x-deadline-ms: 5000\r\n{headers}content-length: {length}\r\n\r\n{body}"
     )
 }
@@ -132,7 +133,8 @@
         let mut sender = client.sender();
         let flood = spawn_local(async move {
             sender.send_until_closed(&"x".repeat(FLOOD)).await;
-            std::future::pending::<()>().await; // a client that closes its sending side has disconnected
+            // A client that closes its sending side counts as disconnected.
+            std::future::pending::<()>().await;
         });
         attempt
             .send(&format!("{STREAM_HEAD}{}", chunk(EVENT)))
@@ -313,8 +315,8 @@
         client.send(&request("j1", "order", "", "{}")).await;
         let (mut prefill, _) = prefill_server.accept_request().await;
         router.stop.take().unwrap().send(()).unwrap();
-        // After the last connection was accepted, the prefill succeeds and the decode fails: the last
-        // response is sent at once.
+        // After the last connection was accepted, the prefill succeeds and the decode fails: the
+        // last response is sent at once.
         tokio::time::sleep(shutdown::ACCEPT_SPAN + Duration::from_millis(100)).await;
         prefill.send(READ).await;
         let (decode, _) = decode_server.accept_request().await;
@@ -335,8 +337,8 @@
     });
 }
 
-/// Attempts and responses use different connections, so that what was sent first may arrive last: an
-/// attempt must not be in flight any more when its request is rejected.
+/// Attempts and responses use different connections, so that what was sent first may arrive last:
+/// an attempt must not be in flight any more when its request is rejected.
 #[test]
 fn a_rejection_does_not_overtake_the_end_of_the_abandoned_attempt() {
     run(async {
@@ -370,7 +372,8 @@
         let router =
             TestRouter::start_with_settings(vec![line(&worker, "mixed", "up")], plain_settings())
                 .await;
-        // Each API has eight connections here; one more evicts the one that has been idle for longest.
+        // Each API has eight connections here; one more evicts the one that has been idle for
+        // longest.
         let mut clients = Vec::new();
         for _ in 0..7 {
             clients.push(ManualConnection::connect(router.platform).await);
--- a/crates/router/tests/readiness.rs
+++ b/crates/router/tests/readiness.rs
@@ -1,12 +1,13 @@
-//! Readiness after a start, whatever discovery does, whichever endpoint list the router had last, and
-//! however many clients connect meanwhile.
+//! Readiness after a start, whatever discovery does, whichever endpoint list the router had last,
+//! and however many clients connect meanwhile.
 
 mod common;
 
 use std::time::Duration;
 
 use common::{
-    line, run, run_paused, settings, Behaviour, Client, ManualServer, Raw, TestRouter, Worker,
+    config_file, line, run, run_paused, settings, Behaviour, Client, ManualServer, Raw, TestRouter,
+    Worker,
 };
 use cranetack_router::config::Config;
 use cranetack_router::{Extras, Router};
@@ -21,26 +22,40 @@
 fn long_list(endpoints: usize) -> Value {
     let entry = |number: usize| {
         let address = format!("127.0.{}.{}:9", number / 250, number % 250 + 1);
-        json!({"name": format!("s{number}"), "address": address, "zone": "here", "type": "mixed", "group": number % 40,
-            "status": "up", "weight": 1.0, "since_ms": 0})
+        json!({
+            "name": format!("s{number}"),
+            "address": address,
+            "zone": "here",
+            "type": "mixed",
+            "group": number % 40,
+            "status": "up",
+            "weight": 1.0,
+            "since_ms": 0,
+        })
     };
-    json!({"index": 9, "snapshot": true, "endpoints": (0..endpoints).map(entry).collect::<Vec<_>>()})
+    let entries: Vec<_> = (0..endpoints).map(entry).collect();
+    json!({"index": 9, "snapshot": true, "endpoints": entries})
 }
 
 /// The list that it had last may be absent, empty, long, or have entries that cannot be decoded.
 #[test]
 fn a_router_is_ready_soon_without_a_response_of_discovery_whichever_list_it_had() {
-    let undecodable = json!({"index": 0, "snapshot": true, "endpoints": [7, {}, {"name": "a"},
-        {"name": "b", "address": "nowhere", "zone": "here", "type": "mixed", "status": "up"},
-        {"name": "c", "address": "127.0.0.1:9", "zone": "elsewhere", "type": "mixed", "status": "up"},
-        {"name": "d", "address": "127.0.0.1:9", "zone": "here", "type": "unheard-of", "status": "up"},
-        {"name": "e", "address": "127.0.0.1:9", "zone": "here", "type": "mixed", "status": "removed"}]});
+    let entry = |name: &str, address: &str, zone: &str, kind: &str, status: &str| json!({"name": name, "address": address, "zone": zone, "type": kind, "status": status});
+    let undecodable = json!({"index": 0, "snapshot": true, "endpoints": [
+        7,
+        {},
+        {"name": "a"},
+        entry("b", "nowhere", "here", "mixed", "up"),
+        entry("c", "127.0.0.1:9", "elsewhere", "mixed", "up"),
+        entry("d", "127.0.0.1:9", "here", "unheard-of", "up"),
+        entry("e", "127.0.0.1:9", "here", "mixed", "removed"),
+    ]});
     let empty = json!({"index": 1, "snapshot": true, "endpoints": []});
     for known in [Value::Null, empty, undecodable, long_list(2_000)] {
         run_paused(async {
             let discovery = ManualServer::start().await;
-            let config = json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
-                "seed": "7", "limits": {"sockets": 64}, "settings": settings(), "known": known});
+            let mut config = config_file(discovery.address, settings());
+            config["known"] = known;
             let config = Config::parse(config.to_string().as_bytes()).unwrap();
             let router = Router::bind(config, Extras::default()).await.unwrap();
             let address = router.address().unwrap();
@@ -63,7 +78,8 @@
         let new = Worker::start(4, Behaviour::Answer).await;
         let router = TestRouter::start(vec![line(&old, "mixed", "up")]).await;
         router.discovery.silent.set(true);
-        // 64 descriptors less 32 are shared by endpoints and clients, and those of clients by two APIs.
+        // 64 descriptors less 32 are shared by endpoints and clients, and those of clients by two
+        // APIs.
         let mut idle = Vec::new();
         for _ in 0..24 {
             idle.push(Raw::connect(router.platform).await);
--- a/crates/router/tests/tenants.rs
+++ b/crates/router/tests/tenants.rs
@@ -96,8 +96,14 @@
         let file =
             std::env::temp_dir().join(format!("cranetack-{}-{password}", std::process::id()));
         std::fs::write(&file, format!("{password}\n")).unwrap();
-        let setup = json!({"url": self.url, "bind_dn": "cn=router", "password_file": file, "base": "ou=tenants",
-            "key_attribute": "keydigest", "refresh_s": 1});
+        let setup = json!({
+            "url": self.url,
+            "bind_dn": "cn=router",
+            "password_file": file,
+            "base": "ou=tenants",
+            "key_attribute": "keydigest",
+            "refresh_s": 1,
+        });
         serde_json::from_value(setup).unwrap()
     }
 }
--- a/crates/xds-server/src/resources.rs
+++ b/crates/xds-server/src/resources.rs
@@ -37,7 +37,7 @@
 
 /// The resources of a type with these names; no names, or `*`, mean all clusters. `None` for a type
 /// that is not served here.
-pub fn encode(snapshot: &Snapshot, type_url: &str, names: &[String]) -> Option<Vec<Any>> {
+pub(crate) fn encode(snapshot: &Snapshot, type_url: &str, names: &[String]) -> Option<Vec<Any>> {
     let is_wildcard = type_url == CLUSTER && (names.is_empty() || names.iter().any(|n| n == "*"));
     let encode: fn(&str, &[ClusterEndpoint]) -> Vec<u8> = match type_url {
         CLUSTER => |name, _| cluster(name).encode_to_vec(),
--- a/crates/xds-server/src/stream.rs
+++ b/crates/xds-server/src/stream.rs
@@ -26,8 +26,8 @@
 struct Subscriptions(BTreeMap<String, Subscription>);
 
 impl Subscriptions {
-    /// Handles a request: a new subscription, or the acknowledgement of a response. `None` if nothing
-    /// is to be sent.
+    /// Handles a request: a new subscription, or the acknowledgement of a response. `None` if
+    /// nothing is to be sent.
     fn on_request(
         &mut self,
         request: &DiscoveryRequest,
@@ -37,7 +37,8 @@
         resources::encode(snapshot, &request.type_url, &[])?;
         let subscription = self.0.entry(request.type_url.clone()).or_default();
         let is_new = request.response_nonce.is_empty();
-        // It acknowledges an older response and crossed a newer one, which will be acknowledged too.
+        // It acknowledges an older response and crossed a newer one, which will be acknowledged
+        // too.
         if !is_new && request.response_nonce != subscription.nonce.to_string() {
             return None;
         }
@@ -74,8 +75,8 @@
         })
     }
 
-    /// The responses for all types once the snapshot has changed. Clusters come first, as their type
-    /// URL sorts first.
+    /// The responses for all types once the snapshot has changed. Clusters come first, as their
+    /// type URL sorts first.
     fn update_all(&mut self, snapshot: &Snapshot) -> Vec<DiscoveryResponse> {
         let type_urls: Vec<String> = self.0.keys().cloned().collect();
         type_urls
@@ -86,7 +87,7 @@
 }
 
 /// Responds to a subscriber until it disconnects or the snapshots end.
-pub fn respond(
+pub(crate) fn respond(
     mut requests: Streaming<DiscoveryRequest>,
     mut snapshots: watch::Receiver<Snapshot>,
 ) -> impl Stream<Item = Result<DiscoveryResponse, Status>> + Send {
