--- a/crates/router/src/frontend/inference/mod.rs
+++ b/crates/router/src/frontend/inference/mod.rs
@@ -376,7 +376,7 @@
         match tenants.bearer(key.trim()) {
             Bearer::Tenant(name) => Ok(Some(name)),
             Bearer::Unknown => Err(nobody().into()),
-            Bearer::NotYet => {
+            Bearer::NotLoaded => {
                 let message = "the directory of tenants has not been read yet";
                 Err(ApiError::server(503, "tenants_unknown", message).into())
             }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -146,7 +146,7 @@
     let discovery_at_start = loaded.config.discovery;
     let extras = || Extras {
         inference: loaded.inference,
-        tenants: loaded.tenants.map(tenants::Tenants::follow),
+        tenants: loaded.tenants.map(tenants::Tenants::start),
         control: loaded.control,
         discovery: Some(watch_discovery_address(
             files.config,
--- a/crates/router/src/tenants.rs
+++ b/crates/router/src/tenants.rs
@@ -88,13 +88,13 @@
     /// Nobody's.
     Unknown,
     /// The directory has not been read yet.
-    NotYet,
+    NotLoaded,
 }
 
 impl Tenants {
     /// Starts to read the directory at intervals, for as long as the tenants are in use. Must be
     /// called within a `LocalSet`.
-    pub fn follow(setup: Setup) -> Tenants {
+    pub fn start(setup: Setup) -> Tenants {
         let (sender, receiver) = watch::channel(None);
         // The task ends once the last receiver has been dropped.
         tokio::task::spawn_local(refresh(setup, sender));
@@ -105,7 +105,7 @@
     pub fn bearer(&self, key: &str) -> Bearer {
         let digest: KeyDigest = Sha256::digest(key.as_bytes()).into();
         match &*self.0.borrow() {
-            None => Bearer::NotYet,
+            None => Bearer::NotLoaded,
             Some(table) => table
                 .get(&digest)
                 .cloned()
--- a/crates/router/tests/tenants.rs
+++ b/crates/router/tests/tenants.rs
@@ -126,7 +126,7 @@
     run(async {
         let directory = Directory::start(&["k1"]).await;
         let worker = Worker::start(1, Behaviour::Answer).await;
-        let tenants = Tenants::follow(directory.setup("secret"));
+        let tenants = Tenants::start(directory.setup("secret"));
         let router =
             TestRouter::start_with_tenants(vec![line(&worker, "mixed", "up")], Some(tenants)).await;
         while embed(&router, Some("k1")).await.0 != 200 {
@@ -161,7 +161,7 @@
     run(async {
         let directory = Directory::start(&["k1"]).await;
         let worker = Worker::start(1, Behaviour::Answer).await;
-        let tenants = Tenants::follow(directory.setup("wrong"));
+        let tenants = Tenants::start(directory.setup("wrong"));
         let router =
             TestRouter::start_with_tenants(vec![line(&worker, "mixed", "up")], Some(tenants)).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
