--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -89,7 +89,7 @@
     TooFewSockets(usize),
     /// The settings contradict each other or are out of range.
     #[error("settings: {0}")]
-    Settings(String),
+    Settings(cranetack_settings::SettingsError),
 }
 
 /// Reads an operator's file and checks it.
--- a/crates/router/src/upstream/calls/tests.rs
+++ b/crates/router/src/upstream/calls/tests.rs
@@ -1,7 +1,7 @@
 //! Short calls to endpoints that do not answer, on a paused clock.
 
 use cranetack_settings::Report;
-use cranetack_testkit::{run_paused, Behaviour, ManualServer, Seen, Worker};
+use cranetack_testkit::{run_paused, Behaviour, FakeServer, ManualServer, Observation};
 
 use super::*;
 use crate::core::Handle;
@@ -43,12 +43,15 @@
             endpoints.push(Rc::new(Endpoint::new(&name, server.address)));
             silent_servers.push(server);
         }
-        let worker = Worker::start(1, Behaviour::Answer).await;
+        let worker = FakeServer::start(1, Behaviour::Answer).await;
         endpoints.push(Rc::new(Endpoint::new("worker", worker.address)));
         let started = Instant::now();
         shared().release("q1".into(), endpoints).await;
-        let release = Seen::Room("DELETE".to_owned(), "q1".to_owned());
-        assert!(worker.seen.borrow().contains(&release));
+        let release = Observation::SlotCall {
+            method: "DELETE".to_owned(),
+            id: "q1".to_owned(),
+        };
+        assert!(worker.observations.borrow().contains(&release));
         assert!(started.elapsed() <= 250 * MS, "{:?}", started.elapsed());
     });
 }
--- a/crates/router/src/upstream/pool/tests.rs
+++ b/crates/router/src/upstream/pool/tests.rs
@@ -5,13 +5,13 @@
 use std::io::Write;
 
 use super::*;
-use cranetack_testkit::{run, run_paused, Behaviour, Worker};
+use cranetack_testkit::{run, run_paused, Behaviour, FakeServer};
 
 /// A burst must not leave many descriptors and buffers in use.
 #[test]
 fn few_idle_connections_to_an_endpoint_stay_open() {
     run(async {
-        let worker = Worker::start(1, Behaviour::Answer).await;
+        let worker = FakeServer::start(1, Behaviour::Answer).await;
         let endpoint = Endpoint::new("a", worker.address);
         let pool = ConnectionPool::new(9, Duration::from_secs(1), Duration::from_secs(60));
         let until = Instant::now() + Duration::from_secs(9);
--- a/crates/router/src/upstream/pool/tests/model.rs
+++ b/crates/router/src/upstream/pool/tests/model.rs
@@ -12,7 +12,7 @@
 use crate::upstream::calls::empty_request;
 use crate::upstream::connection::PooledConnection;
 use crate::upstream::pool::{ConnectionPool, REUSE_DELAY};
-use cranetack_testkit::{run_paused, Behaviour, Worker};
+use cranetack_testkit::{run_paused, Behaviour, FakeServer};
 
 const CONNECTION_LIMIT: usize = 3;
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -70,7 +70,7 @@
 struct PoolUnderTest {
     pool: ConnectionPool,
     endpoints: [Endpoint; 2],
-    workers: [Rc<Worker>; 2],
+    workers: [Rc<FakeServer>; 2],
     in_use: Vec<(PooledConnection, ModelConnection)>,
     idle: Vec<ModelConnection>,
 }
@@ -129,7 +129,7 @@
     }
 
     fn close_at_endpoint(&mut self, endpoint: usize) {
-        self.workers[endpoint].cut();
+        self.workers[endpoint].close_connections();
         let in_use = self.in_use.iter_mut().map(|(_, model)| model);
         for model in in_use.chain(&mut self.idle) {
             if model.endpoint == endpoint {
@@ -196,8 +196,8 @@
     let checked = runner.run(&prop::collection::vec(step(), 1..40), |steps| {
         run_paused(async {
             let [a, b] = [
-                Worker::start(8, Behaviour::Answer).await,
-                Worker::start(8, Behaviour::Answer).await,
+                FakeServer::start(8, Behaviour::Answer).await,
+                FakeServer::start(8, Behaviour::Answer).await,
             ];
             let mut pool = PoolUnderTest {
                 pool: ConnectionPool::new(
--- a/crates/router/src/upstream/tests.rs
+++ b/crates/router/src/upstream/tests.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 
 use cranetack_routing_policy::ConnectFailure;
-use cranetack_testkit::{run_paused, Behaviour, Worker};
+use cranetack_testkit::{run_paused, Behaviour, FakeServer};
 
 use super::*;
 use crate::core::AttemptReport;
@@ -17,7 +17,7 @@
 #[test]
 fn an_attempt_without_a_connection_ends_at_write_by() {
     run_paused(async {
-        let worker = Worker::start(1, Behaviour::Answer).await;
+        let worker = FakeServer::start(1, Behaviour::Answer).await;
         let tasks = TaskGroup::default();
         let (handle, mut events) = Handle::new();
         let options = Options {
--- a/crates/router/tests/client_model.rs
+++ b/crates/router/tests/client_model.rs
@@ -90,7 +90,8 @@
         let mut settings = settings();
         settings["domain"]["ahead"] = false.into();
         let router =
-            TestRouter::start_with_settings(vec![server.line("mixed", "up")], settings).await;
+            TestRouter::start_with_settings(vec![server.endpoint_entry("mixed", "up")], settings)
+                .await;
         Model {
             server,
             router,
@@ -186,7 +187,7 @@
         let client = self.clients[attempt.client]
             .as_mut()
             .expect("its attempt ended with it");
-        let received = timeout(SOON, client.connection.until(LAST_CHUNK))
+        let received = timeout(SOON, client.connection.read_until(LAST_CHUNK))
             .await
             .expect("a response");
         assert!(
@@ -209,7 +210,7 @@
             .position(|attempt| attempt.client == number)
             .expect("it is there");
         let mut attempt = self.attempts.remove(at).expect("it is there");
-        timeout(SOON, attempt.connection.end())
+        timeout(SOON, attempt.connection.read_to_end())
             .await
             .expect("the attempt is cancelled");
     }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -17,7 +17,7 @@
 /// A router under test.
 pub struct TestRouter {
     /// The discovery service that it watches.
-    pub discovery: Rc<Discovery>,
+    pub discovery: Rc<FakeDiscovery>,
     /// Changes the address of discovery.
     pub discovery_address: watch::Sender<SocketAddr>,
     /// The address of its platform API.
@@ -98,7 +98,7 @@
         settings: Value,
         file: &str,
     ) -> TestRouter {
-        let discovery = Discovery::start(entries).await;
+        let discovery = FakeDiscovery::start(entries).await;
         let config = config_file(discovery.address, settings);
         let config = Config::parse(config.to_string().as_bytes()).unwrap();
         let file = file.replace("127.0.0.1:8090", "127.0.0.1:0");
--- a/crates/router/tests/control.rs
+++ b/crates/router/tests/control.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use common::{line, run, Behaviour, TestRouter, Worker};
+use common::{endpoint_entry, run, Behaviour, FakeServer, TestRouter};
 use envoy_types::pb::envoy::config::core::v3::HealthStatus;
 use envoy_types::pb::envoy::config::endpoint::v3::lb_endpoint::HostIdentifier;
 use envoy_types::pb::envoy::config::endpoint::v3::ClusterLoadAssignment;
@@ -105,10 +105,13 @@
 #[test]
 fn a_subscriber_receives_endpoints_and_changes_of_their_health() {
     run(async {
-        let a = Worker::start(1, Behaviour::Answer).await;
-        let b = Worker::start(1, Behaviour::Answer).await;
-        let router =
-            TestRouter::start(vec![line(&a, "mixed", "up"), line(&b, "mixed", "up")]).await;
+        let a = FakeServer::start(1, Behaviour::Answer).await;
+        let b = FakeServer::start(1, Behaviour::Answer).await;
+        let router = TestRouter::start(vec![
+            endpoint_entry(&a, "mixed", "up"),
+            endpoint_entry(&b, "mixed", "up"),
+        ])
+        .await;
         let [a_port, b_port] = [&a, &b].map(|worker| u32::from(worker.address.port()));
         let mut proxy = Proxy::connect(&router).await;
         let clusters = proxy.next().await;
@@ -126,16 +129,19 @@
                 *health == BTreeMap::from([(a_port, healthy), (b_port, healthy)])
             })
             .await;
-        router
-            .discovery
-            .publish(vec![line(&a, "mixed", "draining"), line(&b, "mixed", "up")]);
+        router.discovery.publish(vec![
+            endpoint_entry(&a, "mixed", "draining"),
+            endpoint_entry(&b, "mixed", "up"),
+        ]);
         let draining = i32::from(HealthStatus::Draining);
         proxy
             .until("mixed", |health| {
                 *health == BTreeMap::from([(a_port, draining), (b_port, healthy)])
             })
             .await;
-        router.discovery.publish(vec![line(&b, "mixed", "up")]);
+        router
+            .discovery
+            .publish(vec![endpoint_entry(&b, "mixed", "up")]);
         proxy
             .until("mixed", |health| {
                 *health == BTreeMap::from([(b_port, healthy)])
--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -7,7 +7,9 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use common::{config_file, line, run, settings, Behaviour, Client, Discovery, Worker};
+use common::{
+    config_file, endpoint_entry, run, settings, Behaviour, Client, FakeDiscovery, FakeServer,
+};
 use serde_json::json;
 use tokio::net::TcpStream;
 
@@ -63,21 +65,21 @@
 #[test]
 fn a_hangup_changes_the_address_of_discovery() {
     run(async {
-        let old = Discovery::start(vec![]).await;
-        let new = Discovery::start(vec![]).await;
+        let old = FakeDiscovery::start(vec![]).await;
+        let new = FakeDiscovery::start(vec![]).await;
         let path =
             std::env::temp_dir().join(format!("cranetack-program-{}.json", std::process::id()));
-        let write = |discovery: &Discovery| {
+        let write = |discovery: &FakeDiscovery| {
             let file = config_file(discovery.address, settings());
             std::fs::write(&path, file.to_string()).unwrap();
         };
         write(&old);
         let program = Program::start(serve().env("PROXY_CONFIG", &path));
-        old.asked().await;
+        old.wait_for_snapshot_call().await;
         for moved in [&new, &old] {
             write(moved);
             program.signal("-HUP");
-            moved.asked().await;
+            moved.wait_for_snapshot_call().await;
         }
         program.signal("-TERM");
         program.assert_succeeds().await;
@@ -89,9 +91,9 @@
 #[test]
 fn a_batch_is_served_across_a_hangup_and_finished_after_a_termination() {
     run(async {
-        let worker = Worker::start(4, Behaviour::Answer).await;
-        worker.takes.set(Duration::from_millis(50));
-        let discovery = Discovery::start(vec![line(&worker, "mixed", "up")]).await;
+        let worker = FakeServer::start(4, Behaviour::Answer).await;
+        worker.service_time.set(Duration::from_millis(50));
+        let discovery = FakeDiscovery::start(vec![endpoint_entry(&worker, "mixed", "up")]).await;
         let folder = std::env::temp_dir().join(format!("cranetack-batch-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let [config_path, inference_path] =
@@ -125,16 +127,16 @@
                 .post("/v1/rerank", body)
                 .await
         });
-        worker.until(|seen| seen.len() > 2).await;
+        worker.wait_until(|seen| seen.len() > 2).await;
         program.signal("-HUP");
-        worker.until(|seen| seen.len() > 6).await;
+        worker.wait_until(|seen| seen.len() > 6).await;
         program.signal("-TERM");
         let (status, answer) = call.await.unwrap();
         assert_eq!(
             (status, answer["results"].as_array().map(Vec::len)),
             (200, Some(18))
         );
-        assert_eq!(worker.began("/v1/rerank"), 9);
+        assert_eq!(worker.count_started("/v1/rerank"), 9);
         program.assert_succeeds().await;
         std::fs::remove_dir_all(&folder).unwrap();
     });
@@ -145,8 +147,8 @@
 #[test]
 fn a_hangup_during_the_start_is_handled() {
     run(async {
-        let old = Discovery::start(vec![]).await;
-        let new = Discovery::start(vec![]).await;
+        let old = FakeDiscovery::start(vec![]).await;
+        let new = FakeDiscovery::start(vec![]).await;
         let folder = std::env::temp_dir().join(format!("cranetack-start-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let [path, next] = ["config.json", "next.json"].map(|name| folder.join(name));
@@ -155,7 +157,8 @@
             .status()
             .unwrap()
             .success());
-        let config = |discovery: &Discovery| config_file(discovery.address, settings()).to_string();
+        let config =
+            |discovery: &FakeDiscovery| config_file(discovery.address, settings()).to_string();
         let program = Program::start(serve().env("PROXY_CONFIG", &path));
         // Opening the named pipe waits for the program, which reads until the pipe is closed.
         let pipe_path = path.clone();
@@ -166,7 +169,7 @@
         program.signal("-HUP");
         pipe.write_all(config(&old).as_bytes()).unwrap();
         drop(pipe);
-        new.asked().await;
+        new.wait_for_snapshot_call().await;
         program.signal("-TERM");
         program.assert_succeeds().await;
         std::fs::remove_dir_all(&folder).unwrap();
--- a/crates/router/tests/races.rs
+++ b/crates/router/tests/races.rs
@@ -6,8 +6,9 @@
 use std::time::Duration;
 
 use common::{
-    chunk, line, run, run_paused, settings, Behaviour, End, ManualConnection, ManualServer,
-    TestRouter, Worker, DONE, EVENT, FINISH, LAST_CHUNK, READ, STREAM_HEAD,
+    chunk, endpoint_entry, run, run_paused, settings, Behaviour, ConnectionEnd, FakeServer,
+    ManualConnection, ManualServer, TestRouter, DONE, EVENT, FINISH, LAST_CHUNK, PREFILL_RESPONSE,
+    STREAM_HEAD,
 };
 use cranetack_router::shutdown;
 use serde_json::Value;
@@ -25,8 +26,11 @@
 /// A router with one endpoint for both prefill and decode.
 async fn router_with_mixed_server() -> (ManualServer, TestRouter) {
     let server = ManualServer::start().await;
-    let router =
-        TestRouter::start_with_settings(vec![server.line("mixed", "up")], plain_settings()).await;
+    let router = TestRouter::start_with_settings(
+        vec![server.endpoint_entry("mixed", "up")],
+        plain_settings(),
+    )
+    .await;
     (server, router)
 }
 
@@ -101,18 +105,21 @@
             let server = ManualServer::start().await;
             let mut settings = plain_settings();
             settings["domain"]["resume"] = resume.into();
-            let router =
-                TestRouter::start_with_settings(vec![server.line("mixed", "up")], settings).await;
+            let router = TestRouter::start_with_settings(
+                vec![server.endpoint_entry("mixed", "up")],
+                settings,
+            )
+            .await;
             let (mut client, mut attempt) = send_request(&router, &server, "b1").await;
             attempt
                 .send(&format!("{STREAM_HEAD}{}", chunk(EVENT)))
                 .await;
-            client.until(EVENT).await;
+            client.read_until(EVENT).await;
             tokio::time::sleep(Duration::from_millis(3_500)).await;
             attempt.send(&chunk(FINISH)).await;
-            client.until(FINISH).await;
+            client.read_until(FINISH).await;
             let last_event = Instant::now();
-            let (rest, _) = client.end().await;
+            let (rest, _) = client.read_to_end().await;
             assert!(!rest.contains(LAST_CHUNK), "{rest:?}");
             let waited = last_event.elapsed();
             let bounds = Duration::from_millis(3_600)..Duration::from_millis(4_800);
@@ -139,12 +146,12 @@
         attempt
             .send(&format!("{STREAM_HEAD}{}", chunk(EVENT)))
             .await;
-        client.until(EVENT).await;
+        client.read_until(EVENT).await;
         attempt.send(&format!("{}{LAST_CHUNK}", chunk(DONE))).await;
-        let (rest, end) = client.end().await;
+        let (rest, end) = client.read_to_end().await;
         // What the client sent ahead may be answered too: it is no request.
         assert!(rest.contains(&format!("\r\n{LAST_CHUNK}")), "{rest:?}");
-        assert_eq!(end, End::Closed);
+        assert_eq!(end, ConnectionEnd::Closed);
         flood.abort();
     });
 }
@@ -156,22 +163,22 @@
         let (server, router) = router_with_mixed_server().await;
         let (mut client, mut attempt) = send_request(&router, &server, "c2").await;
         attempt.send(&format!("{STREAM_HEAD}{}", chunk(DONE))).await;
-        client.until(DONE).await;
+        client.read_until(DONE).await;
         client
             .send(&request("c3", "order", "", &"x".repeat(200_000)))
             .await;
         // Once it has answered another client, the router has read ahead.
         let mut other = ManualConnection::connect(router.platform).await;
         other.send("GET /up HTTP/1.1\r\nhost: app\r\n\r\n").await;
-        other.until("ready").await;
+        other.read_until("ready").await;
         attempt.send(LAST_CHUNK).await;
-        client.until(LAST_CHUNK).await;
+        client.read_until(LAST_CHUNK).await;
         let (mut attempt, seen) = server.accept_request().await;
         assert!(seen.contains("x-request-id: c3"), "{seen:.300}");
         attempt
             .send(&format!("{STREAM_HEAD}{}{LAST_CHUNK}", chunk(DONE)))
             .await;
-        client.until(LAST_CHUNK).await;
+        client.read_until(LAST_CHUNK).await;
     });
 }
 
@@ -183,7 +190,7 @@
         let (mut client, mut attempt) = send_request(&router, &server, "d1").await;
         client.sender().send_until_closed(&"x".repeat(FLOOD)).await;
         drop(client);
-        timeout(Duration::from_secs(2), attempt.end())
+        timeout(Duration::from_secs(2), attempt.read_to_end())
             .await
             .expect("the attempt is cancelled long before its deadline");
     });
@@ -199,7 +206,10 @@
         client.send(&complete[..complete.len() / 2]).await;
         let stopped = Instant::now();
         router.stop.take().unwrap().send(()).unwrap();
-        assert_eq!(client.end().await, (String::new(), End::Closed));
+        assert_eq!(
+            client.read_to_end().await,
+            (String::new(), ConnectionEnd::Closed)
+        );
         assert!(
             stopped.elapsed() < shutdown::ACCEPT_SPAN + Duration::from_millis(100),
             "{:?}",
@@ -214,15 +224,15 @@
 #[test]
 fn a_request_on_an_idle_connection_at_the_shutdown_is_answered_or_not_accepted() {
     run(async {
-        let worker = Worker::start(64, Behaviour::Answer).await;
-        let mut router = TestRouter::start(vec![line(&worker, "mixed", "up")]).await;
+        let worker = FakeServer::start(64, Behaviour::Answer).await;
+        let mut router = TestRouter::start(vec![endpoint_entry(&worker, "mixed", "up")]).await;
         let mut clients = Vec::new();
         for number in 0..7 {
             let mut client = ManualConnection::connect(router.platform).await;
             client
                 .send(&request(&format!("f{number}"), "order", "", "{}"))
                 .await;
-            client.until(LAST_CHUNK).await;
+            client.read_until(LAST_CHUNK).await;
             clients.push(client);
         }
         router.stop.take().unwrap().send(()).unwrap();
@@ -235,7 +245,7 @@
                     .sender()
                     .send_until_closed(&request(&format!("g{number}"), "order", "", "{}"))
                     .await;
-                client.end().await
+                client.read_to_end().await
             })
         });
         let mut answered = 0;
@@ -245,10 +255,10 @@
                 received.is_empty() || received.ends_with(LAST_CHUNK),
                 "{received:?}"
             );
-            assert_eq!(end, End::Closed);
+            assert_eq!(end, ConnectionEnd::Closed);
             answered += usize::from(!received.is_empty());
         }
-        assert_eq!(worker.began("/v1/chat/completions"), 7 + answered);
+        assert_eq!(worker.count_started("/v1/chat/completions"), 7 + answered);
         router.stopped.await.unwrap();
     });
 }
@@ -272,13 +282,13 @@
             sender.send_until_closed(&response).await;
             sender
         });
-        client.until(EVENT).await;
+        client.read_until(EVENT).await;
         tokio::time::sleep(Duration::from_millis(1_300)).await;
         assert!(
             !sending.is_finished(),
             "the endpoint is slowed by backpressure"
         );
-        let received = client.until(&format!("\r\n{LAST_CHUNK}")).await;
+        let received = client.read_until(&format!("\r\n{LAST_CHUNK}")).await;
         assert_eq!(received.matches('x').count(), CHUNKS * data.len());
     });
 }
@@ -294,7 +304,7 @@
             attempt
                 .send(&format!("{STREAM_HEAD}{}", chunk(&event)))
                 .await;
-            client.until(&event).await;
+            client.read_until(&event).await;
         });
     }
 }
@@ -307,8 +317,8 @@
         let mut settings = plain_settings();
         settings["classes"][3]["deadline_us"] = 1_000_000.into();
         let entries = vec![
-            prefill_server.line("reader", "up"),
-            decode_server.line("writer", "up"),
+            prefill_server.endpoint_entry("reader", "up"),
+            decode_server.endpoint_entry("writer", "up"),
         ];
         let mut router = TestRouter::start_with_settings(entries, settings).await;
         let mut client = ManualConnection::connect(router.platform).await;
@@ -318,14 +328,14 @@
         // After the last connection was accepted, the prefill succeeds and the decode fails: the
         // last response is sent at once.
         tokio::time::sleep(shutdown::ACCEPT_SPAN + Duration::from_millis(100)).await;
-        prefill.send(READ).await;
+        prefill.send(PREFILL_RESPONSE).await;
         let (decode, _) = decode_server.accept_request().await;
         // The idle connection to the prefill server can be used again by then.
         tokio::time::sleep(Duration::from_millis(50)).await;
         decode.reset();
-        client.until("HTTP/1.1 502 ").await;
+        client.read_until("HTTP/1.1 502 ").await;
         drop(client);
-        let release = prefill.request().await;
+        let release = prefill.receive_request().await;
         assert!(
             release.starts_with("DELETE /bootstrap/rooms/j1 "),
             "{release}"
@@ -345,21 +355,21 @@
         let prefill_server = ManualServer::start().await;
         let decode_server = ManualServer::start().await;
         let entries = vec![
-            prefill_server.line("reader", "up"),
-            decode_server.line("writer", "up"),
+            prefill_server.endpoint_entry("reader", "up"),
+            decode_server.endpoint_entry("writer", "up"),
         ];
         let router = TestRouter::start_with_settings(entries, plain_settings()).await;
         let mut client = ManualConnection::connect(router.platform).await;
         let short_deadline = request("a1", "order", "", "{}").replace("5000", "300");
         client.send(&short_deadline).await;
         let (mut attempt, _) = prefill_server.accept_request().await;
-        assert_eq!(attempt.end().await.1, End::Closed);
+        assert_eq!(attempt.read_to_end().await.1, ConnectionEnd::Closed);
         assert!(
             !client.has_received(),
             "the rejection was written before the endpoint had seen the end"
         );
         drop(attempt);
-        client.until("HTTP/1.1 503").await;
+        client.read_until("HTTP/1.1 503").await;
     });
 }
 
@@ -368,10 +378,12 @@
 #[test]
 fn a_request_on_a_connection_that_was_to_be_evicted_is_answered() {
     run(async {
-        let worker = Worker::start(8, Behaviour::Answer).await;
-        let router =
-            TestRouter::start_with_settings(vec![line(&worker, "mixed", "up")], plain_settings())
-                .await;
+        let worker = FakeServer::start(8, Behaviour::Answer).await;
+        let router = TestRouter::start_with_settings(
+            vec![endpoint_entry(&worker, "mixed", "up")],
+            plain_settings(),
+        )
+        .await;
         // Each API has eight connections here; one more evicts the one that has been idle for
         // longest.
         let mut clients = Vec::new();
@@ -381,6 +393,6 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         let _eighth = std::net::TcpStream::connect(router.platform).unwrap();
         clients[0].send(&request("a1", "chat", "", "{}")).await;
-        clients[0].until("HTTP/1.1 200").await;
+        clients[0].read_until("HTTP/1.1 200").await;
     });
 }
--- a/crates/router/tests/readiness.rs
+++ b/crates/router/tests/readiness.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use common::{
-    config_file, line, run, run_paused, settings, Behaviour, Client, ManualServer, Raw, TestRouter,
-    Worker,
+    config_file, endpoint_entry, run, run_paused, settings, Behaviour, Client, FakeServer,
+    ManualServer, RawClient, TestRouter,
 };
 use cranetack_router::config::Config;
 use cranetack_router::{Extras, Router};
@@ -74,45 +74,45 @@
 #[test]
 fn idle_clients_up_to_the_limit_block_neither_discovery_nor_requests() {
     run(async {
-        let old = Worker::start(4, Behaviour::Answer).await;
-        let new = Worker::start(4, Behaviour::Answer).await;
-        let router = TestRouter::start(vec![line(&old, "mixed", "up")]).await;
+        let old = FakeServer::start(4, Behaviour::Answer).await;
+        let new = FakeServer::start(4, Behaviour::Answer).await;
+        let router = TestRouter::start(vec![endpoint_entry(&old, "mixed", "up")]).await;
         router.discovery.silent.set(true);
         // 64 descriptors less 32 are shared by endpoints and clients, and those of clients by two
         // APIs.
         let mut idle = Vec::new();
         for _ in 0..24 {
-            idle.push(Raw::connect(router.platform).await);
+            idle.push(RawClient::connect(router.platform).await);
         }
         router.discovery.publish(vec![
-            line(&old, "mixed", "draining"),
-            line(&new, "mixed", "up"),
+            endpoint_entry(&old, "mixed", "draining"),
+            endpoint_entry(&new, "mixed", "up"),
         ]);
-        router.discovery.cut();
+        router.discovery.close_connections();
         router.discovery.silent.set(false);
-        while new.began("/v1/chat/completions") == 0 {
-            idle.push(Raw::connect(router.platform).await);
+        while new.count_started("/v1/chat/completions") == 0 {
+            idle.push(RawClient::connect(router.platform).await);
             let id = format!("k{}", idle.len());
             assert_eq!(
                 Client::connect(router.platform)
                     .await
-                    .ask(&id, "chat", 5_000)
+                    .send_chat(&id, "chat", 5_000)
                     .await
                     .0,
                 200
             );
         }
-        let before = old.began("/v1/chat/completions");
+        let before = old.count_started("/v1/chat/completions");
         assert_eq!(
             Client::connect(router.platform)
                 .await
-                .ask("last", "chat", 5_000)
+                .send_chat("last", "chat", 5_000)
                 .await
                 .0,
             200
         );
         assert_eq!(
-            old.began("/v1/chat/completions"),
+            old.count_started("/v1/chat/completions"),
             before,
             "no new requests to an endpoint that drains"
         );
--- a/crates/router/tests/tenants.rs
+++ b/crates/router/tests/tenants.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::{line, run, Behaviour, Client, TestRouter, Worker};
+use common::{endpoint_entry, run, Behaviour, Client, FakeServer, TestRouter};
 use cranetack_router::tenants::{Setup, Tenants};
 use futures_util::{SinkExt, StreamExt};
 use http::Request;
@@ -125,10 +125,13 @@
 fn only_keys_of_tenants_are_served_also_while_the_directory_is_down() {
     run(async {
         let directory = Directory::start(&["k1"]).await;
-        let worker = Worker::start(1, Behaviour::Answer).await;
+        let worker = FakeServer::start(1, Behaviour::Answer).await;
         let tenants = Tenants::start(directory.setup("secret"));
-        let router =
-            TestRouter::start_with_tenants(vec![line(&worker, "mixed", "up")], Some(tenants)).await;
+        let router = TestRouter::start_with_tenants(
+            vec![endpoint_entry(&worker, "mixed", "up")],
+            Some(tenants),
+        )
+        .await;
         while embed(&router, Some("k1")).await.0 != 200 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -139,7 +142,7 @@
                 (401, &json!("invalid_api_key"))
             );
         }
-        assert_eq!(worker.began("/v1/embeddings"), 1);
+        assert_eq!(worker.count_started("/v1/embeddings"), 1);
         // A new key is known after the next reading.
         directory.keys.borrow_mut().push("k2".to_owned());
         while embed(&router, Some("k2")).await.0 != 200 {
@@ -160,10 +163,13 @@
 fn nobody_is_served_before_the_directory_has_been_read() {
     run(async {
         let directory = Directory::start(&["k1"]).await;
-        let worker = Worker::start(1, Behaviour::Answer).await;
+        let worker = FakeServer::start(1, Behaviour::Answer).await;
         let tenants = Tenants::start(directory.setup("wrong"));
-        let router =
-            TestRouter::start_with_tenants(vec![line(&worker, "mixed", "up")], Some(tenants)).await;
+        let router = TestRouter::start_with_tenants(
+            vec![endpoint_entry(&worker, "mixed", "up")],
+            Some(tenants),
+        )
+        .await;
         tokio::time::sleep(Duration::from_millis(50)).await;
         let (status, answer) = embed(&router, Some("k1")).await;
         assert_eq!(
@@ -171,7 +177,10 @@
             (503, &json!("tenants_unknown"))
         );
         assert_eq!(
-            (worker.began("/v1/embeddings"), directory.searches.get()),
+            (
+                worker.count_started("/v1/embeddings"),
+                directory.searches.get()
+            ),
             (0, 0)
         );
     });
