--- a/crates/router/tests/discovery.rs
+++ b/crates/router/tests/discovery.rs
@@ -1,32 +1,32 @@
-//! How discovery is called, over sockets.
+//! Calls of discovery, over sockets.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{endpoint_entry, run, settings, Behaviour, Client, FakeDiscovery, FakeServer};
+use common::{
+    config_file, endpoint_entry, run, settings, Behaviour, Client, FakeDiscovery, FakeServer,
+};
 use cranetack_router::config::Config;
 use cranetack_router::{Extras, Router};
 use serde_json::{json, Value};
 use tokio::task::spawn_local;
 
-fn config(discovery: &FakeDiscovery, routers: u32, known: &Value) -> Config {
+fn config(discovery: &FakeDiscovery, router_count: u32, known: &Value) -> Config {
     let mut settings = settings();
-    settings["balancers"] = json!(routers);
-    let file = json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
-        "seed": "7", "limits": {"sockets": 64}, "settings": settings, "known": known});
+    settings["balancers"] = json!(router_count);
+    let mut file = config_file(discovery.address, settings);
+    file["known"] = known.clone();
     Config::parse(file.to_string().as_bytes()).unwrap()
 }
 
-/// Guards against a restarted router that has the whole list made for it, and then a watch, where all that it lacks
-/// is what has changed: at a busy service each is a call.
+/// The complete list, and then a watch, would be two calls of a service that may be overloaded.
 #[test]
-fn a_restarted_router_asks_for_what_has_changed_since_its_last_list() {
+fn a_restarted_router_asks_for_the_changes_since_its_last_list() {
     run(async {
         let worker = FakeServer::start(4, Behaviour::Answer).await;
         let discovery = FakeDiscovery::start(vec![endpoint_entry(&worker, "mixed", "up")]).await;
-        let entry = endpoint_entry(&worker, "mixed", "up");
-        let known = json!({"index": 1, "snapshot": true, "endpoints": [entry]});
+        let known = json!({"index": 1, "snapshot": true, "endpoints": [endpoint_entry(&worker, "mixed", "up")]});
         let router = Router::bind(config(&discovery, 100, &known), Extras::default())
             .await
             .unwrap();
@@ -44,15 +44,15 @@
         assert!(
             calls[1..]
                 .iter()
-                .all(|c| hold(c).is_some_and(|ms| (1_000..=2_000).contains(&ms))),
+                .all(|call| hold(call).is_some_and(|ms| (1_000..=2_000).contains(&ms))),
             "{calls:?}"
         );
     });
 }
 
-/// Guards against a refused call that is made again 20 times a second by each of a hundred routers.
+/// A hundred routers that retried at once would keep the service overloaded.
 #[test]
-fn one_of_many_routers_that_is_refused_does_not_ask_again_soon() {
+fn one_of_many_routers_does_not_retry_a_rejected_call_soon() {
     run(async {
         let discovery = FakeDiscovery::start(vec![]).await;
         discovery.overloaded.set(true);
--- a/crates/router/tests/platform.rs
+++ b/crates/router/tests/platform.rs
@@ -339,7 +339,7 @@
             endpoint_entry(&reader, "reader", "up"),
             endpoint_entry(&writer, "writer", "up"),
         ];
-        let mut bed = Bed::start_set(lines, None, set).await;
+        let mut bed = Bed::start_with_settings(lines, set).await;
         let ask = |id: &'static str, class: &'static str| {
             let platform = bed.platform;
             spawn_local(async move {
@@ -468,7 +468,7 @@
             ]
         };
         let new = FakeDiscovery::start(lines("draining")).await;
-        bed.moves.send_replace(new.address);
+        bed.discovery_address.send_replace(new.address);
         let mut client = Client::connect(bed.platform).await;
         // The list is taken whole: of its writers none is up, and the old ones are gone.
         while client.send_chat("j0", "chat", 200).await.0 == 200 {}
