--- a/crates/router/src/frontend/inference/mod.rs
+++ b/crates/router/src/frontend/inference/mod.rs
@@ -376,7 +376,7 @@
         match tenants.bearer(key.trim()) {
             Bearer::Tenant(name) => Ok(Some(name)),
             Bearer::Unknown => Err(nobody().into()),
-            Bearer::NotYet => {
+            Bearer::NotLoaded => {
                 let message = "the directory of tenants has not been read yet";
                 Err(ApiError::server(503, "tenants_unknown", message).into())
             }
@@ -577,7 +577,7 @@
                 Sliced::Taken => return Err(Failure::Taken),
                 // A router that leaves waits for nothing: its clients ask another one.
                 Sliced::Failed(SliceFailure::NoRoom(pause))
-                    if *self.phase.borrow() >= Phase::Leaving =>
+                    if *self.phase.borrow() >= Phase::Draining =>
                 {
                     ticket.failed(SliceFailure::Refused(pause));
                 }
--- a/crates/router/tests/batches.rs
+++ b/crates/router/tests/batches.rs
@@ -26,7 +26,7 @@
         .iter()
         .map(|w| endpoint_entry(w, "mixed", "up"))
         .collect();
-    Bed::start_front(lines, edits).await
+    Bed::start_with_edits(lines, edits).await
 }
 
 /// Posts with headers; gives status, headers and JSON.
