--- a/crates/routing-policy/tests/decision_trace/scenarios.rs
+++ b/crates/routing-policy/tests/decision_trace/scenarios.rs
@@ -296,6 +296,131 @@
     course
 }
 
+fn zones_and_kinds_that_differ_in_lateness() -> Course {
+    let prefill = (1..=20).map(|n| server(n, 0, (n % 4) as i64));
+    let decode = (41..=52).map(|n| server(n, 1, (n % 4) as i64));
+    let mixed = (61..=68).map(|n| server(n, 2, (n % 4) as i64));
+    let servers = prefill.chain(decode).chain(mixed).collect();
+    let mut course = Course::new(settings(), servers, 11);
+    let mut script = vec![(0, Change::Rate(50.0)), (18 * SECOND, Change::Statuses)];
+    // Cells 0 and 1 are the local zone.
+    for n in [1, 4, 5, 8, 9, 12, 13] {
+        script.push((5 * SECOND, Change::Behave(n, Behaviour::Slow)));
+        script.push((14 * SECOND, Change::Behave(n, Behaviour::Normal)));
+    }
+    for n in [61, 64, 65, 68] {
+        script.push((9 * SECOND, Change::Behave(n, Behaviour::Slow)));
+    }
+    course.play(20 * SECOND, script);
+    course
+}
+
+fn one_lane_with_more_requests_than_it_serves() -> Course {
+    let servers = vec![server(1, 0, 0), server(2, 0, 0), server(11, 1, 0)];
+    let mut course = Course::new(settings(), servers, 12);
+    let script = vec![
+        (0, Change::Rate(6.0)),
+        (3 * SECOND, Change::Behave(1, Behaviour::Slow)),
+        (5 * SECOND, Change::Rate(12.0)),
+        (9 * SECOND, Change::Rate(3.0)),
+        (12 * SECOND, Change::Behave(1, Behaviour::Normal)),
+        (14 * SECOND, Change::Rate(20.0)),
+        (16 * SECOND, Change::Behave(2, Behaviour::Slow)),
+        (20 * SECOND, Change::Rate(5.0)),
+    ];
+    course.play(26 * SECOND, script);
+    course
+}
+
+fn polls_that_fail() -> Course {
+    let settings = Settings {
+        endpoints_are_polled: true,
+        poll_interval: Some(300 * MILLISECOND),
+        ..settings()
+    };
+    let mut course = Course::new(settings, split_servers(), 13);
+    course.play(10 * SECOND, vec![(0, Change::Rate(3.0))]);
+    course
+}
+
+fn most_endpoints_unresponsive_to_health_checks() -> Course {
+    let settings = Settings {
+        load_reporting: LoadReporting::OnHealthCheck,
+        health_checks: true,
+        ..settings()
+    };
+    let mut course = Course::new(settings, split_servers(), 14);
+    let mut script = vec![
+        (0, Change::Rate(4.0)),
+        (12 * SECOND, Change::Rate(1.0)),
+        (20 * SECOND, Change::Rate(8.0)),
+    ];
+    for n in [1, 2, 4, 5, 6] {
+        script.push((6 * SECOND, Change::Behave(n, Behaviour::Silent)));
+        script.push((22 * SECOND, Change::Behave(n, Behaviour::Normal)));
+    }
+    course.play(28 * SECOND, script);
+    course
+}
+
+fn endpoints_that_fail_for_long() -> Course {
+    let servers = (1..=3)
+        .map(|n| server(n, 0, 0))
+        .chain((11..=12).map(|n| server(n, 1, 0)))
+        .collect();
+    let mut course = Course::new(settings(), servers, 15);
+    let script = vec![
+        (0, Change::Rate(10.0)),
+        (2 * SECOND, Change::Behave(1, Behaviour::Failing)),
+        (3 * SECOND, Change::Behave(2, Behaviour::Full)),
+        (40 * SECOND, Change::Behave(1, Behaviour::Normal)),
+    ];
+    course.play(60 * SECOND, script);
+    course
+}
+
+fn defaults_with_endpoints_in_slow_start() -> Course {
+    let settings = Settings {
+        classes: vec![Class::default()],
+        kinds: settings().kinds,
+        ..Settings::default()
+    };
+    let mut course = Course::new(settings, split_servers(), 16);
+    let mut script = vec![
+        (0, Change::Rate(4.0)),
+        (SECOND, Change::Snapshot),
+        (3 * SECOND, Change::Rate(12.0)),
+    ];
+    for n in [1, 2, 3, 4, 5, 6, 11, 12, 13, 14] {
+        let at = SECOND + 200 * MILLISECOND + n as Micros * 10 * MILLISECOND;
+        script.push((at, Change::Restart(n)));
+    }
+    course.play(30 * SECOND, script);
+    course
+}
+
+fn classes_without_priorities_and_long_pauses() -> Course {
+    let unweighted = Class {
+        priority_weight: None,
+        ..class(Idempotency::Idempotent, SECOND, 1.0)
+    };
+    let light = class(Idempotency::Idempotent, SECOND, 0.9);
+    let heavy = class(Idempotency::Idempotent, SECOND, 1.2);
+    let settings = Settings {
+        classes: vec![unweighted, light, heavy],
+        ..settings()
+    };
+    let servers = vec![server(1, 0, 0), server(2, 0, 0), server(11, 1, 0)];
+    let mut course = Course::new(settings, servers, 17);
+    let script = vec![
+        (0, Change::Rate(8.0)),
+        (5 * SECOND, Change::Rate(0.0)),
+        (70 * SECOND, Change::Rate(30.0)),
+    ];
+    course.play(76 * SECOND, script);
+    course
+}
+
 /// All courses with their names in the record.
 pub fn courses() -> Vec<(&'static str, Course)> {
     vec![
@@ -318,5 +443,30 @@
             "many_sessions_and_prefixes_in_skewed_cells",
             many_sessions_and_prefixes_in_skewed_cells(),
         ),
+        (
+            "zones_and_kinds_that_differ_in_lateness",
+            zones_and_kinds_that_differ_in_lateness(),
+        ),
+        (
+            "one_lane_with_more_requests_than_it_serves",
+            one_lane_with_more_requests_than_it_serves(),
+        ),
+        ("polls_that_fail", polls_that_fail()),
+        (
+            "most_endpoints_unresponsive_to_health_checks",
+            most_endpoints_unresponsive_to_health_checks(),
+        ),
+        (
+            "endpoints_that_fail_for_long",
+            endpoints_that_fail_for_long(),
+        ),
+        (
+            "defaults_with_endpoints_in_slow_start",
+            defaults_with_endpoints_in_slow_start(),
+        ),
+        (
+            "classes_without_priorities_and_long_pauses",
+            classes_without_priorities_and_long_pauses(),
+        ),
     ]
 }
