--- a/crates/routing-policy/tests/common/fleet.rs
+++ b/crates/routing-policy/tests/common/fleet.rs
@@ -14,28 +14,28 @@
 };
 
 /// The step of the simulation.
-pub const STEP: Micros = SECOND / 20;
+pub(crate) const STEP: Micros = SECOND / 20;
 /// How long an answer streams.
 const STREAM: Micros = SECOND;
 
 /// What is asked for at each step.
 #[derive(Debug, Clone, Copy)]
-pub struct Load {
+pub(crate) struct Load {
     /// Requests a second, over all routers.
-    pub rate: f64,
+    pub(crate) rate: f64,
     /// How many times the mean the first router gets.
-    pub load_of_first_router: f64,
+    pub(crate) load_of_first_router: f64,
     /// The greatest prompt, in tokens; the least is a twentieth of it.
-    pub longest_prompt: u64,
+    pub(crate) longest_prompt: u64,
 }
 
 /// A request that was asked, and what became of it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Record {
-    pub prompt_tokens: u64,
-    pub session: u64,
-    pub answered: bool,
-    pub refused: bool,
+pub(crate) struct Record {
+    pub(crate) prompt_tokens: u64,
+    pub(crate) session: u64,
+    pub(crate) answered: bool,
+    pub(crate) refused: bool,
 }
 
 enum Due {
@@ -43,13 +43,13 @@
     Established(usize, Event),
 }
 
-pub struct Fleet {
-    pub now: Micros,
-    pub records: Vec<Record>,
+pub(crate) struct Fleet {
+    pub(crate) now: Micros,
+    pub(crate) records: Vec<Record>,
     /// When each endpoint was sent something.
-    pub sent: BTreeMap<u64, Vec<Micros>>,
+    pub(crate) sent: BTreeMap<u64, Vec<Micros>>,
     /// Tokens that a prefill endpoint reads in a second.
-    pub read_rate: f64,
+    pub(crate) read_rate: f64,
     routers: Vec<Driver>,
     rng: Pcg32,
     due: BTreeMap<(Micros, usize), Due>,
@@ -62,7 +62,7 @@
 impl Fleet {
     /// So many routers, which know these endpoints. Every other one has just started; the rest are
     /// a minute old.
-    pub fn new(routers: usize, servers: &[EndpointSpec], seed: u64) -> Fleet {
+    pub(crate) fn new(routers: usize, servers: &[EndpointSpec], seed: u64) -> Fleet {
         let settings = Settings {
             router_count: Some(routers as u32),
             ..settings(Idempotency::Idempotent)
@@ -90,7 +90,7 @@
     }
 
     /// All routers are told of an endpoint.
-    pub fn list(&mut self, server: EndpointSpec) {
+    pub(crate) fn list(&mut self, server: EndpointSpec) {
         for number in 0..self.routers.len() {
             let event = Event::EndpointsUpdated(EndpointUpdate::Delta(vec![server]));
             self.tell(number, event);
@@ -98,7 +98,7 @@
     }
 
     /// Lets time pass under a load.
-    pub fn run(&mut self, span: Micros, load: Load) {
+    pub(crate) fn run(&mut self, span: Micros, load: Load) {
         let end = self.now + span;
         while self.now < end {
             self.arrive(load);
@@ -238,12 +238,12 @@
 }
 
 /// A prefill endpoint (of even number) or a decode endpoint (of odd number) that is warm.
-pub fn warm(server: u64) -> EndpointSpec {
+pub(crate) fn warm(server: u64) -> EndpointSpec {
     endpoint_spec(server, (server % 2) as usize, 0)
 }
 
 /// One that has just started.
-pub fn cold(server: u64, now: Micros) -> EndpointSpec {
+pub(crate) fn cold(server: u64, now: Micros) -> EndpointSpec {
     EndpointSpec {
         started_at: Some(now),
         ..warm(server)
@@ -251,7 +251,7 @@
 }
 
 /// The most of these instants that lie within one window.
-pub fn most_within(instants: &[Micros], window: Micros) -> usize {
+pub(crate) fn most_within(instants: &[Micros], window: Micros) -> usize {
     let within = |from: &Micros| {
         instants
             .iter()
@@ -262,7 +262,7 @@
 }
 
 /// Sessions of which each request was rejected.
-pub fn sessions_always_rejected(records: &[Record]) -> usize {
+pub(crate) fn sessions_always_rejected(records: &[Record]) -> usize {
     let refused: BTreeSet<u64> = records
         .iter()
         .filter(|r| r.refused)
--- a/crates/routing-policy/tests/common/mod.rs
+++ b/crates/routing-policy/tests/common/mod.rs
@@ -1,21 +1,21 @@
 //! A small test driver for a router: builds settings, lists and requests, and collects actions.
 #![allow(dead_code)]
 
-pub mod fleet;
+pub(crate) mod fleet;
 
 use cranetack_routing_policy::*;
 
-pub const SECOND: Micros = 1_000_000;
-pub const START: Micros = 50 * SECOND;
+pub(crate) const SECOND: Micros = 1_000_000;
+pub(crate) const START: Micros = 50 * SECOND;
 
-pub const PREFILLED: Outcome = Outcome::Prefilled { cached_tokens: 0 };
-pub const OVERLOADED: Outcome = Outcome::Rejected(RejectReason::Overloaded);
-pub const NO_KV_STATE: Outcome = Outcome::Rejected(RejectReason::NoKvState);
-pub const UNREACHABLE: Outcome = Outcome::ConnectFailed(ConnectFailure::Unreachable);
-pub const CONNECTION_RESET: Outcome = Outcome::ConnectionReset(ResetCause::InUse);
+pub(crate) const PREFILLED: Outcome = Outcome::Prefilled { cached_tokens: 0 };
+pub(crate) const OVERLOADED: Outcome = Outcome::Rejected(RejectReason::Overloaded);
+pub(crate) const NO_KV_STATE: Outcome = Outcome::Rejected(RejectReason::NoKvState);
+pub(crate) const UNREACHABLE: Outcome = Outcome::ConnectFailed(ConnectFailure::Unreachable);
+pub(crate) const CONNECTION_RESET: Outcome = Outcome::ConnectionReset(ResetCause::InUse);
 
 /// The outcome with the detail that a number stands for: cached tokens, or 1 for the rarer cause.
-pub fn with_detail(outcome: Outcome, number: u64) -> Outcome {
+pub(crate) fn with_detail(outcome: Outcome, number: u64) -> Outcome {
     match (outcome, number) {
         (PREFILLED, cached_tokens) => Outcome::Prefilled { cached_tokens },
         (OVERLOADED, 1) => NO_KV_STATE,
@@ -25,7 +25,7 @@
     }
 }
 
-pub fn settings(idempotency: Idempotency) -> Settings {
+pub(crate) fn settings(idempotency: Idempotency) -> Settings {
     Settings {
         router_count: Some(3),
         classes: vec![Class {
@@ -56,7 +56,7 @@
     }
 }
 
-pub fn endpoint_spec(endpoint: u64, kind: usize, cell: i64) -> EndpointSpec {
+pub(crate) fn endpoint_spec(endpoint: u64, kind: usize, cell: i64) -> EndpointSpec {
     EndpointSpec {
         id: EndpointId(endpoint),
         started_at: None,
@@ -68,7 +68,7 @@
     }
 }
 
-pub fn request_spec(id: u32, now: Micros) -> RequestSpec {
+pub(crate) fn request_spec(id: u32, now: Micros) -> RequestSpec {
     RequestSpec {
         id: RequestId(id),
         deadline: now + 4 * SECOND,
@@ -78,7 +78,7 @@
     }
 }
 
-pub fn result(id: u32, attempt: u32, endpoint: u64, outcome: Outcome) -> Event {
+pub(crate) fn result(id: u32, attempt: u32, endpoint: u64, outcome: Outcome) -> Event {
     Event::AttemptEnded {
         id: RequestId(id),
         attempt,
@@ -90,18 +90,18 @@
     }
 }
 
-pub struct Driver {
-    pub policy: Policy,
-    pub now: Micros,
+pub(crate) struct Driver {
+    pub(crate) policy: Policy,
+    pub(crate) now: Micros,
     timers: Vec<(Micros, TimerKey)>,
 }
 
 impl Driver {
-    pub fn new(settings: Settings, specs: Vec<EndpointSpec>) -> (Driver, Vec<Action>) {
+    pub(crate) fn new(settings: Settings, specs: Vec<EndpointSpec>) -> (Driver, Vec<Action>) {
         Driver::seeded(settings, specs, 7)
     }
 
-    pub fn seeded(
+    pub(crate) fn seeded(
         settings: Settings,
         specs: Vec<EndpointSpec>,
         seed: u64,
@@ -115,7 +115,7 @@
         (driver, actions)
     }
 
-    pub fn on(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn on(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.policy.handle(self.now, event, &mut out);
         self.timers.extend(out.iter().filter_map(|a| match a {
@@ -125,12 +125,12 @@
         out
     }
 
-    pub fn arrive(&mut self, spec: RequestSpec) -> Vec<Action> {
+    pub(crate) fn arrive(&mut self, spec: RequestSpec) -> Vec<Action> {
         self.on(Event::RequestArrived(spec))
     }
 
     /// Lets time pass, delivering timers as they fall due.
-    pub fn pass(&mut self, span: Micros) -> Vec<(Micros, Action)> {
+    pub(crate) fn pass(&mut self, span: Micros) -> Vec<(Micros, Action)> {
         let end = self.now + span;
         let mut done = Vec::new();
         while let Some(next) = self
@@ -152,7 +152,7 @@
 }
 
 /// Where requests were sent, in order.
-pub fn routes(actions: &[Action]) -> Vec<(u32, u64)> {
+pub(crate) fn routes(actions: &[Action]) -> Vec<(u32, u64)> {
     let route = |a: &Action| match a {
         Action::Send { id, endpoint, .. } => Some((id.0, endpoint.0)),
         _ => None,
--- a/crates/routing-policy/tests/decision_trace/course.rs
+++ b/crates/routing-policy/tests/decision_trace/course.rs
@@ -8,15 +8,15 @@
 
 use crate::common::{with_detail, CONNECTION_RESET, OVERLOADED, PREFILLED, UNREACHABLE};
 
-pub const MILLISECOND: Micros = 1_000;
-pub const SECOND: Micros = 1_000_000;
+pub(crate) const MILLISECOND: Micros = 1_000;
+pub(crate) const SECOND: Micros = 1_000_000;
 const START: Micros = 3_000 * SECOND;
 /// The span between two looks at what arrives and what is scripted.
 const STEP: Micros = 10 * MILLISECOND;
 
 /// What a server does with what it is sent.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Behaviour {
+pub(crate) enum Behaviour {
     Normal,
     Failing,
     Silent,
@@ -26,7 +26,7 @@
 
 /// What the script of a course changes at a time.
 #[derive(Clone)]
-pub enum Change {
+pub(crate) enum Change {
     Rate(f64),
     Behave(u64, Behaviour),
     Drain(u64),
@@ -45,7 +45,7 @@
 const PREFILL_KIND: usize = 0;
 
 /// A policy with simulated endpoints.
-pub struct Course {
+pub(crate) struct Course {
     settings: Settings,
     policy: Policy,
     rng: Pcg32,
@@ -61,7 +61,7 @@
     attempts: BTreeMap<u32, u32>,
     prefill_endpoints: BTreeMap<u32, u64>,
     prompts: BTreeMap<u32, u64>,
-    pub lines: Vec<String>,
+    pub(crate) lines: Vec<String>,
 }
 
 /// An attempt at an endpoint.
@@ -98,7 +98,7 @@
 }
 
 impl Course {
-    pub fn new(settings: Settings, servers: Vec<EndpointSpec>, seed: u64) -> Course {
+    pub(crate) fn new(settings: Settings, servers: Vec<EndpointSpec>, seed: u64) -> Course {
         let mut course = Course {
             policy: Policy::new(settings.clone(), seed, START),
             settings,
@@ -125,7 +125,7 @@
     }
 
     /// Plays for a span; the changes come at their times from now on.
-    pub fn play(&mut self, span: Micros, mut script: Vec<(Micros, Change)>) {
+    pub(crate) fn play(&mut self, span: Micros, mut script: Vec<(Micros, Change)>) {
         let (began, end) = (self.now, self.now + span);
         script.sort_by_key(|(at, _)| *at);
         let mut script = script.into_iter().peekable();
--- a/crates/routing-policy/tests/decision_trace/scenarios.rs
+++ b/crates/routing-policy/tests/decision_trace/scenarios.rs
@@ -422,7 +422,7 @@
 }
 
 /// All courses with their names in the record.
-pub fn courses() -> Vec<(&'static str, Course)> {
+pub(crate) fn courses() -> Vec<(&'static str, Course)> {
     vec![
         ("calm_then_faults", calm_then_faults()),
         ("list_updates", list_updates()),
--- a/crates/routing-policy/tests/rules.rs
+++ b/crates/routing-policy/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 use common::*;
 use cranetack_routing_policy::*;
@@ -13,18 +13,25 @@
 const COLD: u64 = 3;
 const SLACK: Micros = 8_000;
 
+/// The span by which time passes at once.
+const TIME_STEP: Micros = 10_000;
+
+/// A request that arrives.
+#[derive(Debug, Clone, Copy)]
+struct Arrival {
+    time_left: Micros,
+    tokens: u64,
+    session: u64,
+}
+
 #[derive(Debug, Clone)]
 enum Step {
-    Arrive {
-        left: Micros,
-        tokens: u64,
-        session: u64,
-    },
+    Arrive(Arrival),
     Pass(Micros),
     Finish {
         pick: usize,
         outcome: Outcome,
-        info: u64,
+        detail: u64,
     },
     StartStream {
         pick: usize,
@@ -34,7 +41,7 @@
     },
     AnswerReservation {
         pick: usize,
-        held: bool,
+        granted: bool,
     },
     UpdateEndpoint {
         endpoint: u64,
@@ -48,7 +55,7 @@
 struct Bounds {
     attempts: u32,
     window: Micros,
-    pin: Micros,
+    kv_lease: Micros,
 }
 
 impl Default for Bounds {
@@ -62,23 +69,45 @@
         Bounds {
             attempts: settings.max_attempts.unwrap_or(4),
             window: settings.classes[0].dedup_window.unwrap_or(0),
-            pin: settings.kv_lease_timeout.unwrap_or(SECOND / 2),
+            kv_lease: settings.kv_lease_timeout.unwrap_or(SECOND / 2),
         }
     }
 }
 
+/// An open request.
+#[derive(Debug, Clone, Copy)]
+struct OpenRequest {
+    deadline: Micros,
+    is_answered: bool,
+}
+
+/// An attempt in flight.
+#[derive(Debug, Clone, Copy)]
+struct Attempt {
+    number: u32,
+    endpoint: u64,
+    sent_at: Micros,
+    is_streaming: bool,
+}
+
+/// The first attempt that may have been executed.
+#[derive(Debug, Clone, Copy)]
+struct Execution {
+    endpoint: u64,
+    sent_at: Micros,
+}
+
 #[derive(Debug, Default, Clone)]
 struct Model {
     bounds: Bounds,
-    /// Open requests: deadline, and whether they are answered.
-    deadline: BTreeMap<u32, (Micros, bool)>,
-    attempts: BTreeMap<u32, u32>,
-    /// Attempts that are out: endpoint, sent, streaming.
-    out: BTreeMap<u32, (u32, u64, Micros, bool)>,
+    idempotency: Idempotency,
+    requests: BTreeMap<u32, OpenRequest>,
+    attempts_made: BTreeMap<u32, u32>,
+    in_flight: BTreeMap<u32, Attempt>,
     /// Since when something is held with nothing in flight.
-    held: BTreeMap<u32, Micros>,
-    ran: BTreeMap<u32, (u64, Micros)>,
-    closed: BTreeMap<u64, Micros>,
+    held_since: BTreeMap<u32, Micros>,
+    executions: BTreeMap<u32, Execution>,
+    draining: BTreeSet<u64>,
     cold_sends: Vec<Micros>,
     served: usize,
 }
@@ -92,7 +121,7 @@
 }
 
 impl Model {
-    fn check(&mut self, now: Micros, idempotency: Idempotency, actions: &[Action]) {
+    fn check(&mut self, now: Micros, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::Send {
@@ -100,70 +129,16 @@
                     endpoint,
                     expires_at,
                     write_by,
-                } => {
-                    let (id, endpoint) = (id.0, endpoint.0);
-                    let (deadline, answered) = self.deadline[&id];
-                    assert!(!answered && now <= deadline, "sent after its end");
-                    assert!(*expires_at == 0 || *expires_at <= deadline);
-                    assert!(!self.out.contains_key(&id), "two attempts in flight");
-                    assert!(
-                        !self.closed.contains_key(&endpoint),
-                        "sent to a draining endpoint"
-                    );
-                    let number = self.attempts.entry(id).or_default();
-                    assert!(*number < self.bounds.attempts, "too many attempts");
-                    if let Some((first, since)) = self.ran.get(&id) {
-                        assert!(
-                            idempotency != Idempotency::NonIdempotent,
-                            "a non-idempotent request may be executed twice"
-                        );
-                        // Reads too: a retry goes to the group of the endpoint where it may have
-                        // been executed.
-                        if let Idempotency::Keyed(scope) = idempotency {
-                            assert!(
-                                scope == KeyScope::All || cell(*first) == cell(endpoint),
-                                "wrong group"
-                            );
-                            // It is written once a connection is up, by `write_by` at the latest,
-                            // and has a way to go.
-                            let write_by = if *write_by == 0 {
-                                Micros::MAX
-                            } else {
-                                *write_by
-                            };
-                            assert!(
-                                write_by + SECOND / 20 < since + self.bounds.window,
-                                "too late for the key"
-                            );
-                        }
-                    }
-                    self.out.insert(id, (*number, endpoint, now, false));
-                    *number += 1;
-                    self.held.remove(&id);
-                    if endpoint == COLD {
-                        self.cold_sends.push(now);
-                    }
-                }
+                } => self.check_send(now, id.0, endpoint.0, *expires_at, *write_by),
                 Action::ReserveSlot { endpoint, .. } => {
-                    assert!(
-                        !self.closed.contains_key(&endpoint.0),
-                        "slot reserved at a draining endpoint"
-                    );
+                    let is_draining = self.draining.contains(&endpoint.0);
+                    assert!(!is_draining, "slot reserved at a draining endpoint");
                 }
                 Action::ReleaseState(id) => {
-                    self.held.remove(&id.0);
+                    self.held_since.remove(&id.0);
                 }
                 Action::Reject { id, .. } => {
-                    let ran = self.ran.contains_key(&id.0);
-                    let out = self.out.get(&id.0).is_some_and(|o| kind_of(o.1) != 0);
-                    let harmless = matches!(
-                        idempotency,
-                        Idempotency::Idempotent | Idempotency::Keyed(KeyScope::All)
-                    );
-                    assert!(
-                        harmless || !(ran || out),
-                        "rejected though it may have been executed"
-                    );
+                    self.check_rejection(id.0);
                     self.answer(now, id.0);
                 }
                 Action::Fail(id) => self.answer(now, id.0),
@@ -173,36 +148,94 @@
         self.check_time(now);
     }
 
-    fn answer(&mut self, now: Micros, id: u32) {
+    fn check_send(
+        &mut self,
+        now: Micros,
+        id: u32,
+        endpoint: u64,
+        expires_at: Micros,
+        write_by: Micros,
+    ) {
+        let request = self.requests[&id];
+        let is_open = !request.is_answered && now <= request.deadline;
+        assert!(is_open, "sent after its end");
+        assert!(expires_at == 0 || expires_at <= request.deadline);
+        assert!(!self.in_flight.contains_key(&id), "two attempts in flight");
+        let is_draining = self.draining.contains(&endpoint);
+        assert!(!is_draining, "sent to a draining endpoint");
+        let number = *self.attempts_made.entry(id).or_default();
+        assert!(number < self.bounds.attempts, "too many attempts");
+        if let Some(execution) = self.executions.get(&id) {
+            self.check_retry(*execution, endpoint, write_by);
+        }
+        let attempt = Attempt {
+            number,
+            endpoint,
+            sent_at: now,
+            is_streaming: false,
+        };
+        self.in_flight.insert(id, attempt);
+        self.attempts_made.insert(id, number + 1);
+        self.held_since.remove(&id);
+        if endpoint == COLD {
+            self.cold_sends.push(now);
+        }
+    }
+
+    /// Prefills too: a retry goes to the group of the endpoint where it may have been executed.
+    fn check_retry(&self, execution: Execution, endpoint: u64, write_by: Micros) {
+        let may_repeat = self.idempotency != Idempotency::NonIdempotent;
+        assert!(may_repeat, "a non-idempotent request may be executed twice");
+        let Idempotency::Keyed(scope) = self.idempotency else {
+            return;
+        };
+        let is_in_group = cell(execution.endpoint) == cell(endpoint);
+        assert!(scope == KeyScope::All || is_in_group, "wrong group");
+        // It is written once a connection is up, by `write_by` at the latest, and has a way to go.
+        let write_by = if write_by == 0 { Micros::MAX } else { write_by };
+        let window_end = execution.sent_at + self.bounds.window;
+        assert!(write_by + SECOND / 20 < window_end, "too late for the key");
+    }
+
+    fn check_rejection(&self, id: u32) {
+        let has_run = self.executions.contains_key(&id);
+        let attempt = self.in_flight.get(&id);
+        let may_be_running = attempt.is_some_and(|attempt| kind_of(attempt.endpoint) != 0);
+        let is_harmless = matches!(
+            self.idempotency,
+            Idempotency::Idempotent | Idempotency::Keyed(KeyScope::All)
+        );
         assert!(
-            !self.out.get(&id).is_some_and(|o| o.3),
-            "answered while its stream runs"
+            is_harmless || !(has_run || may_be_running),
+            "rejected though it may have been executed"
         );
-        let (deadline, answered) = self.deadline.get_mut(&id).unwrap();
-        assert!(!*answered, "answered twice");
-        assert!(now <= *deadline + SLACK, "answered too late");
-        *answered = true;
+    }
+
+    fn is_streaming(&self, id: u32) -> bool {
+        let attempt = self.in_flight.get(&id);
+        attempt.is_some_and(|attempt| attempt.is_streaming)
+    }
+
+    fn answer(&mut self, now: Micros, id: u32) {
+        assert!(!self.is_streaming(id), "answered while its stream runs");
+        let request = self.requests.get_mut(&id).unwrap();
+        assert!(!request.is_answered, "answered twice");
+        assert!(now <= request.deadline + SLACK, "answered too late");
+        request.is_answered = true;
     }
 
     fn check_time(&self, now: Micros) {
-        for (id, (deadline, answered)) in &self.deadline {
-            let streaming = self.out.get(id).is_some_and(|o| o.3);
-            assert!(
-                *answered || streaming || now <= deadline + SLACK,
-                "request {id} was lost"
-            );
+        for (id, request) in &self.requests {
+            let is_in_time = now <= request.deadline + SLACK;
+            let is_served = request.is_answered || self.is_streaming(*id);
+            assert!(is_served || is_in_time, "request {id} was lost");
         }
-        for (id, since) in &self.held {
-            assert!(
-                now <= since + self.bounds.pin,
-                "the state of request {id} was not released"
-            );
+        for (id, since) in &self.held_since {
+            let is_in_time = now <= since + self.bounds.kv_lease;
+            assert!(is_in_time, "the state of request {id} was not released");
         }
-        let recent = self
-            .cold_sends
-            .iter()
-            .filter(|at| **at > now - 2 * SECOND)
-            .count();
+        let is_recent = |at: &&Micros| **at > now - 2 * SECOND;
+        let recent = self.cold_sends.iter().filter(is_recent).count();
         assert!(
             recent <= 1 + self.served,
             "the cold endpoint got {recent} sends after {} served",
@@ -211,54 +244,136 @@
     }
 
     /// An attempt ends; returns the event if it is legal.
-    fn finish(&mut self, now: Micros, id: u32, outcome: Outcome, info: u64) -> Event {
-        let (attempt, endpoint, sent, streaming) = self.out.remove(&id).unwrap();
-        let prefill = kind_of(endpoint) == 0;
+    fn finish(&mut self, now: Micros, id: u32, outcome: Outcome, detail: u64) -> Event {
+        let attempt = self.in_flight.remove(&id).unwrap();
+        let is_prefill = kind_of(attempt.endpoint) == 0;
         let outcome = match outcome {
-            Outcome::Completed if prefill => PREFILLED,
-            PREFILLED if !prefill => Outcome::Completed,
-            OVERLOADED | UNREACHABLE | Outcome::NotSent if streaming => CONNECTION_RESET,
+            Outcome::Completed if is_prefill => PREFILLED,
+            PREFILLED if !is_prefill => Outcome::Completed,
+            OVERLOADED | UNREACHABLE | Outcome::NotSent if attempt.is_streaming => CONNECTION_RESET,
             other => other,
         };
-        let (_, answered) = self.deadline.get_mut(&id).unwrap();
-        let over = *answered || outcome == Outcome::Completed || streaming;
-        *answered |= over;
-        if !matches!(outcome, OVERLOADED | UNREACHABLE | Outcome::NotSent) && !prefill {
-            self.ran.entry(id).or_insert((endpoint, sent));
+        let request = self.requests.get_mut(&id).unwrap();
+        let client_done =
+            request.is_answered || outcome == Outcome::Completed || attempt.is_streaming;
+        request.is_answered = client_done;
+        let was_not_executed = matches!(outcome, OVERLOADED | UNREACHABLE | Outcome::NotSent);
+        if !was_not_executed && !is_prefill {
+            self.executions.entry(id).or_insert(Execution {
+                endpoint: attempt.endpoint,
+                sent_at: attempt.sent_at,
+            });
         }
-        if !streaming && outcome != Outcome::Completed {
-            self.held.insert(id, now);
+        if !attempt.is_streaming && outcome != Outcome::Completed {
+            self.held_since.insert(id, now);
         }
         self.served += usize::from(matches!(outcome, Outcome::Completed | PREFILLED));
-        let (id, endpoint, elapsed) = (RequestId(id), EndpointId(endpoint), now - sent);
-        let number = if outcome == OVERLOADED {
-            info % 2
+        let detail = if outcome == OVERLOADED {
+            detail % 2
         } else {
-            info
+            detail
         };
-        let outcome = with_detail(outcome, number);
         Event::AttemptEnded {
-            id,
-            attempt,
-            endpoint,
-            outcome,
-            client_done: over,
-            elapsed,
+            id: RequestId(id),
+            attempt: attempt.number,
+            endpoint: EndpointId(attempt.endpoint),
+            outcome: with_detail(outcome, detail),
+            client_done,
+            elapsed: now - attempt.sent_at,
             load: None,
         }
     }
+
+    /// One of the requests with an attempt in flight.
+    fn pick(&self, pick: usize, include_streaming: bool) -> Option<u32> {
+        let is_included = |attempt: &Attempt| include_streaming || !attempt.is_streaming;
+        let in_flight = self.in_flight.iter();
+        let ids: Vec<u32> = in_flight
+            .filter(|(_, attempt)| is_included(attempt))
+            .map(|(id, _)| *id)
+            .collect();
+        if ids.is_empty() {
+            return None;
+        }
+        Some(ids[pick % ids.len()])
+    }
+
+    fn arrive(&mut self, id: u32, now: Micros, step: Arrival) -> Event {
+        let request = OpenRequest {
+            deadline: now + step.time_left,
+            is_answered: false,
+        };
+        self.requests.insert(id, request);
+        Event::RequestArrived(RequestSpec {
+            deadline: request.deadline,
+            prompt_tokens: step.tokens,
+            session: Some(SessionId(step.session)),
+            ..request_spec(id, now)
+        })
+    }
+
+    fn start_stream(&mut self, id: u32) -> Option<Event> {
+        let is_answered = self.requests[&id].is_answered;
+        let attempt = self.in_flight.get_mut(&id)?;
+        if kind_of(attempt.endpoint) == 0 || is_answered {
+            return None;
+        }
+        attempt.is_streaming = true;
+        Some(Event::StreamStarted {
+            id: RequestId(id),
+            attempt: attempt.number,
+            endpoint: EndpointId(attempt.endpoint),
+            elapsed: 1,
+        })
+    }
+
+    fn disconnect(&mut self, id: u32) -> Event {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.is_answered = true;
+        }
+        Event::ClientDisconnected(RequestId(id))
+    }
+
+    fn answer_reservation(&self, id: u32, granted: bool) -> Event {
+        Event::SlotReservationAnswered {
+            id: RequestId(id),
+            endpoint: EndpointId(self.in_flight[&id].endpoint),
+            granted,
+        }
+    }
+
+    fn update_endpoint(
+        &mut self,
+        endpoint: u64,
+        state: EndpointState,
+        restart: bool,
+        now: Micros,
+    ) -> Event {
+        let mut spec = EndpointSpec {
+            state,
+            ..listed(endpoint)
+        };
+        if restart && endpoint != COLD {
+            spec.started_at = Some(now - 60 * SECOND);
+        }
+        if state == EndpointState::Active {
+            self.draining.remove(&endpoint);
+        } else {
+            self.draining.insert(endpoint);
+        }
+        Event::EndpointsUpdated(EndpointUpdate::Delta(vec![spec]))
+    }
 }
 
 fn run(idempotency: Idempotency, decode_can_prefill: bool, steps: &[Step]) {
     // Half of the runs hold requests for a health check of their prefill endpoint, which is never
     // answered.
-    let (health_checks, load_reporting) =
-        (steps.len().is_multiple_of(2), LoadReporting::OnHealthCheck);
+    let health_checks = steps.len().is_multiple_of(2);
     run_with(
         Settings {
             decode_can_prefill,
             health_checks,
-            load_reporting,
+            load_reporting: LoadReporting::OnHealthCheck,
             ..settings(idempotency)
         },
         steps,
@@ -266,149 +381,86 @@
 }
 
 fn run_with(settings: Settings, steps: &[Step]) {
-    let idempotency = settings.classes[0].idempotency;
-    let listed = |endpoint: u64| endpoint_spec(endpoint, kind_of(endpoint), cell(endpoint));
-    let list = (0..ENDPOINTS)
-        .map(|h| {
-            if h == COLD {
-                cold(listed(h))
-            } else {
-                listed(h)
-            }
-        })
-        .collect();
     let mut model = Model {
         bounds: Bounds::of(&settings),
+        idempotency: settings.classes[0].idempotency,
         ..Model::default()
     };
-    let (mut driver, _) = Driver::new(settings, list);
-    let mut next = 0;
+    let (mut driver, _) = Driver::new(settings, (0..ENDPOINTS).map(listed).collect());
+    let mut last_id = 0;
     for step in steps {
-        let nth = |pick: usize, model: &Model, streaming: bool| {
-            let out: Vec<u32> = model
-                .out
-                .iter()
-                .filter(|o| streaming || !o.1 .3)
-                .map(|o| *o.0)
-                .collect();
-            (!out.is_empty()).then(|| out[pick % out.len()])
-        };
         let now = driver.now;
         let event = match step.clone() {
-            Step::Arrive {
-                left,
-                tokens,
-                session,
-            } => {
-                next += 1;
-                model.deadline.insert(next, (now + left, false));
-                let session = Some(SessionId(session));
-                let spec = RequestSpec {
-                    deadline: now + left,
-                    prompt_tokens: tokens,
-                    session,
-                    ..request_spec(next, now)
-                };
-                Some(Event::RequestArrived(spec))
+            Step::Arrive(arrival) => {
+                last_id += 1;
+                Some(model.arrive(last_id, now, arrival))
             }
             Step::Pass(span) => {
-                for _ in 0..span / 10_000 {
-                    pass(&mut driver, &mut model, idempotency, 10_000);
+                for _ in 0..span / TIME_STEP {
+                    pass(&mut driver, &mut model);
                 }
                 None
             }
             Step::Finish {
                 pick,
                 outcome,
-                info,
-            } => nth(pick, &model, true).map(|id| model.finish(now, id, outcome, info)),
-            Step::StartStream { pick } => nth(pick, &model, false).and_then(|id| {
-                let (attempt, endpoint, ..) = model.out[&id];
-                let legal = kind_of(endpoint) != 0 && !model.deadline[&id].1;
-                model.out.entry(id).and_modify(|o| o.3 |= legal);
-                let (id, endpoint) = (RequestId(id), EndpointId(endpoint));
-                legal.then_some(Event::StreamStarted {
-                    id,
-                    attempt,
-                    endpoint,
-                    elapsed: 1,
-                })
-            }),
-            Step::Disconnect { pick } => nth(pick, &model, false).map(|id| {
-                model.deadline.entry(id).and_modify(|d| d.1 = true);
-                Event::ClientDisconnected(RequestId(id))
-            }),
-            Step::AnswerReservation { pick, held } => nth(pick, &model, false).map(|id| {
-                let endpoint = EndpointId(model.out[&id].1);
-                Event::SlotReservationAnswered {
-                    id: RequestId(id),
-                    endpoint,
-                    granted: held,
-                }
-            }),
+                detail,
+            } => model
+                .pick(pick, true)
+                .map(|id| model.finish(now, id, outcome, detail)),
+            Step::StartStream { pick } => model
+                .pick(pick, false)
+                .and_then(|id| model.start_stream(id)),
+            Step::Disconnect { pick } => model.pick(pick, false).map(|id| model.disconnect(id)),
+            Step::AnswerReservation { pick, granted } => model
+                .pick(pick, false)
+                .map(|id| model.answer_reservation(id, granted)),
             Step::UpdateEndpoint {
                 endpoint,
                 state,
                 restart,
-            } => {
-                let line = EndpointSpec {
-                    state,
-                    ..listed(endpoint)
-                };
-                let line = if endpoint == COLD { cold(line) } else { line };
-                let started_at = if restart {
-                    Some(now - 60 * SECOND)
-                } else {
-                    line.started_at
-                };
-                let line = if endpoint == COLD {
-                    line
-                } else {
-                    EndpointSpec { started_at, ..line }
-                };
-                match state {
-                    EndpointState::Active => model.closed.remove(&endpoint),
-                    _ => model.closed.insert(endpoint, now),
-                };
-                Some(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![line])))
-            }
+            } => Some(model.update_endpoint(endpoint, state, restart, now)),
         };
         if let Some(event) = event {
             let actions = driver.on(event);
-            model.check(now, idempotency, &actions);
+            model.check(now, &actions);
         }
     }
     // Attempts still in flight end at their deadlines, as the driver's timeouts would have it.
     for _ in 0..700 {
-        pass(&mut driver, &mut model, idempotency, 10_000);
+        pass(&mut driver, &mut model);
     }
 }
 
-/// The cold endpoint stays cold for the whole course.
-fn cold(line: EndpointSpec) -> EndpointSpec {
+/// The entry of an endpoint. The cold one stays cold for the whole course.
+fn listed(endpoint: u64) -> EndpointSpec {
+    let spec = endpoint_spec(endpoint, kind_of(endpoint), cell(endpoint));
+    if endpoint != COLD {
+        return spec;
+    }
     EndpointSpec {
         started_at: Some(START + 3_600 * SECOND),
-        ..line
+        ..spec
     }
 }
 
 /// Time passes; attempts whose time is up end, as the driver would end them.
-fn pass(driver: &mut Driver, model: &mut Model, idempotency: Idempotency, span: Micros) {
-    for (at, action) in driver.pass(span) {
-        model.check(at, idempotency, &[action]);
+fn pass(driver: &mut Driver, model: &mut Model) {
+    for (at, action) in driver.pass(TIME_STEP) {
+        model.check(at, &[action]);
     }
     let now = driver.now;
-    let late = |m: &Model, id: &u32| !m.out[id].3 && now >= m.deadline[id].0;
-    let due: Vec<u32> = model
-        .out
-        .keys()
-        .copied()
-        .filter(|id| late(model, id))
+    let is_due =
+        |id: &u32, attempt: &Attempt| !attempt.is_streaming && now >= model.requests[id].deadline;
+    let in_flight = model.in_flight.iter();
+    let due: Vec<u32> = in_flight
+        .filter(|(id, attempt)| is_due(id, attempt))
+        .map(|(id, _)| *id)
         .collect();
     for id in due {
         let event = model.finish(now, id, Outcome::TimedOut, 0);
         let actions = driver.on(event);
-        model.check(now, idempotency, &actions);
+        model.check(now, &actions);
     }
     model.check_time(now);
 }
@@ -426,13 +478,13 @@
     let state = prop_oneof![2 => Just(EndpointState::Active), 1 => Just(EndpointState::Draining), 1 => Just(EndpointState::Removed)];
     prop_oneof![
         4 => (200_000..6 * SECOND, 1..30_000u64, 0..9u64)
-            .prop_map(|(left, tokens, session)| Step::Arrive { left, tokens, session }),
+            .prop_map(|(time_left, tokens, session)| Step::Arrive(Arrival { time_left, tokens, session })),
         3 => (10_000..900_000i64).prop_map(Step::Pass),
         6 => (any::<usize>(), outcome, 0..2_000u64)
-            .prop_map(|(pick, outcome, info)| Step::Finish { pick, outcome, info }),
+            .prop_map(|(pick, outcome, detail)| Step::Finish { pick, outcome, detail }),
         2 => any::<usize>().prop_map(|pick| Step::StartStream { pick }),
         1 => any::<usize>().prop_map(|pick| Step::Disconnect { pick }),
-        1 => (any::<usize>(), any::<bool>()).prop_map(|(pick, held)| Step::AnswerReservation { pick, held }),
+        1 => (any::<usize>(), any::<bool>()).prop_map(|(pick, granted)| Step::AnswerReservation { pick, granted }),
         1 => (0..ENDPOINTS, state, any::<bool>())
             .prop_map(|(endpoint, state, restart)| Step::UpdateEndpoint { endpoint, state, restart }),
     ]
