--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -105,7 +105,7 @@
     pub complete: bool,
 }
 
-/// What was seen on the wire of an attempt, for those who look for the cause of a fault.
+/// What was seen on the wire of an attempt, to find the cause of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct WireTrace {
     /// The connection, if there was one.
@@ -121,7 +121,7 @@
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AttemptReport {
-    /// The outcome that the policy is told.
+    /// The outcome that is reported to the policy.
     pub outcome: Outcome,
     /// The prompt tokens that a served stream reports as cached; for the log.
     pub cached_tokens: u64,
--- a/crates/router/src/core/requests.rs
+++ b/crates/router/src/core/requests.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    /// What the policy is told of it.
+    /// The part of it that the policy needs.
     fn spec(&self, id: RequestId) -> RequestSpec {
         let incoming = &self.incoming;
         let session = incoming.session.as_deref();
@@ -179,7 +179,7 @@
         request
             .trace
             .note(now, Step::StreamStarted { attempt: number });
-        // Nothing further is sent for it: its body need not be kept while the response streams.
+        // Nothing further is sent for it: its body is dropped while the response streams.
         request.incoming.message = Rc::default();
         let request_id = &request.incoming.request_id;
         tracing::debug!(%request_id, attempt = number, elapsed_us = elapsed, "stream started");
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -106,7 +106,7 @@
 impl Responder {
     /// Gives the final response. Consumes the half, so there is no second one.
     pub fn respond(self, response: FinalResponse) {
-        // A frontend that has gone needs no response; its guard has told the core.
+        // A frontend that has gone needs no response; its guard has notified the core.
         let _ = self.0.send(response);
     }
 }
--- a/crates/routing-policy/src/config.rs
+++ b/crates/routing-policy/src/config.rs
@@ -42,7 +42,7 @@
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Class {
-    /// The first token is wanted within this span.
+    /// The first token should be sent within this span.
     pub latency_objective: Option<Micros>,
     /// The latency objective grows by this (us) for each 1,000 prompt tokens.
     pub latency_objective_per_1000_tokens: Option<f64>,
@@ -114,7 +114,7 @@
     pub hedging: bool,
     /// The most attempts for a request.
     pub max_attempts: Option<u32>,
-    /// Rejected clients may be told when to retry.
+    /// Rejections may say when to retry.
     pub retry_after: bool,
     /// The longest such wait that clients heed.
     pub max_retry_after: Option<Micros>,
--- a/crates/routing-policy/src/endpoint_status.rs
+++ b/crates/routing-policy/src/endpoint_status.rs
@@ -1,4 +1,4 @@
-//! The policy's view of the endpoints, for those who look on: the control service passes it to
+//! The policy's view of the endpoints, for observers: the control service passes it to
 //! other proxies. Decides nothing.
 
 use crate::actions::EndpointStatus;
--- a/crates/routing-policy/src/endpoints.rs
+++ b/crates/routing-policy/src/endpoints.rs
@@ -184,7 +184,7 @@
     }
 
     /// Machines are replaced by others for as long as the router runs: an endpoint that was removed
-    /// is kept only while it is in use.
+    /// remains only while it is in use.
     fn forget_removed(&mut self) {
         self.entries.retain(|_, endpoint| {
             endpoint.spec.state != EndpointState::Removed || endpoint.is_in_use()
--- a/crates/routing-policy/src/ids.rs
+++ b/crates/routing-policy/src/ids.rs
@@ -40,7 +40,7 @@
 /// What a timer is for. The driver gives it back in [`crate::Event::TimerFired`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TimerKey {
-    /// The periodic look at everything that waits.
+    /// The periodic check of everything that waits.
     Tick,
     /// The next poll of the endpoint list.
     PollEndpoints,
--- a/crates/routing-policy/src/parameters.rs
+++ b/crates/routing-policy/src/parameters.rs
@@ -4,7 +4,7 @@
 use crate::idempotency::RetryRule;
 use crate::ids::{ClassId, KindId, Micros, ZoneId};
 
-/// The span between two periodic looks at timers, health checks and queued requests (us).
+/// The span between two periodic checks of timers, health checks and queued requests (us).
 pub(crate) const TICK: Micros = 50_000;
 
 const DEFAULT_LATENCY_OBJECTIVE: Micros = 2_000_000;
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The span within which the first token of a response to such a prompt is wanted.
+    /// The span within which the first token of a response to such a prompt should be sent.
     pub(crate) fn latency_objective(&self, prompt_tokens: u64) -> Micros {
         let thousands_times_slope =
             self.latency_objective_per_1000_tokens * prompt_tokens as f64 / 1000.0;
--- a/crates/routing-policy/src/shutdown.rs
+++ b/crates/routing-policy/src/shutdown.rs
@@ -4,7 +4,7 @@
 use crate::ids::{Micros, RequestId};
 use crate::policy::Policy;
 
-/// Streams that are migrated in one look: each is prefilled anew elsewhere.
+/// Streams that are migrated at one tick: each is prefilled anew elsewhere.
 const MIGRATIONS_AT_ONCE: usize = 4;
 
 /// A shutdown that has begun.
@@ -14,7 +14,7 @@
     migrate_from: Micros,
     /// All requests must have their final response by then.
     answer_by: Micros,
-    /// How often the other routers are still to be told.
+    /// How often the other routers are still to be notified.
     announcements_left: u32,
 }
 
@@ -30,8 +30,8 @@
 
 impl Policy {
     /// While this router shuts down: announces it to others and migrates streams, the newest first,
-    /// unless all routers that would have told this one are shutting down themselves. At the end
-    /// all streams are migrated, and what has no response gets its final one.
+    /// unless all routers that would have notified this one are shutting down themselves. At the
+    /// end all streams are migrated, and what has no response gets its final one.
     pub(crate) fn continue_shutdown(&mut self) {
         let Some(shutdown) = self.shutdown.as_mut() else {
             return;
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -263,7 +263,7 @@
     }
 }
 
-/// The place of a name in the settings.
+/// The position of a name in the settings.
 fn position(
     names: &[String],
     name: &str,
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -2,7 +2,7 @@
 
 use cranetack_settings::SettingsError;
 
-/// Why a batch cannot be handled. Each text names the place.
+/// Why a batch cannot be handled. Each text names the position.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
     /// The line is no batch.
@@ -13,7 +13,7 @@
     InMessage {
         /// The instance.
         dispatcher: u64,
-        /// The message's place in the inbox, from 1.
+        /// The message's position in the inbox, from 1.
         number: usize,
         /// What is wrong with it.
         error: Box<WireError>,
@@ -32,7 +32,7 @@
     UnexpectedValue {
         /// The message's name.
         message: String,
-        /// The value's place, from 1.
+        /// The value's position, from 1.
         number: usize,
         /// What it should be.
         wanted: &'static str,
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,4 +1,4 @@
-//! The values of a message, read by their places.
+//! The values of a message, read by their positions.
 
 use serde_json::Value;
 
