--- a/crates/router/src/frontend/body.rs
+++ b/crates/router/src/frontend/body.rs
@@ -12,7 +12,7 @@
 use hyper::body::Incoming;
 use tokio::time::{timeout, timeout_at, Instant};
 
-use super::account::{Account, Claim};
+use super::byte_budget::{ByteBudget, ByteReservation};
 
 /// Compressed bytes that are taken at once: each may become a thousand, and must be counted first.
 const PIECE: usize = 1_024;
@@ -77,30 +77,30 @@
 }
 
 impl Arriving {
-    /// The whole body. What it claims is for the caller to hold for as long as the bytes. Nothing is read, and no
+    /// The whole body. What it reservations is for the caller to hold for as long as the bytes. Nothing is read, and no
     /// client that waits for a word is told to go on, before there is room. The head, where it is given, must say
     /// that it is JSON, or nothing.
     pub async fn whole(
         self,
         headers: Option<&HeaderMap>,
         most: usize,
-        account: &Account,
-    ) -> Result<(Bytes, Claim), BodyError> {
+        budget: &ByteBudget,
+    ) -> Result<(Bytes, ByteReservation), BodyError> {
         if self.ambiguous {
             return Err(BodyError::Ambiguous);
         }
         let declared = usize::try_from(self.body.size_hint().lower()).unwrap_or(usize::MAX);
         let admitted = headers
             .map_or(Ok(Coding::Plain), coding)
-            .and_then(|coding| match account.claim_body(declared) {
+            .and_then(|coding| match budget.reserve_for_request(declared) {
                 _ if declared > most => Err(BodyError::TooLong(most)),
-                Some(claim) => Ok((coding, claim)),
+                Some(reservation) => Ok((coding, reservation)),
                 None => Err(BodyError::NoRoom),
             });
         let mut body = self.body;
         let read = match admitted {
-            Ok((coding, claim)) => {
-                let reading = read(&mut body, coding, declared, most, claim);
+            Ok((coding, reservation)) => {
+                let reading = read(&mut body, coding, declared, most, reservation);
                 timeout_at(self.due, reading)
                     .await
                     .unwrap_or(Err(BodyError::Slow))
@@ -160,8 +160,8 @@
     coding: Coding,
     declared: usize,
     most: usize,
-    mut claim: Claim,
-) -> Result<(Bytes, Claim), BodyError> {
+    mut reservation: ByteReservation,
+) -> Result<(Bytes, ByteReservation), BodyError> {
     let mut decoder = MultiGzDecoder::new(Vec::new());
     let mut plain = BytesMut::with_capacity(if coding == Coding::Plain { declared } else { 0 });
     while let Some(frame) = body.frame().await {
@@ -170,7 +170,7 @@
         };
         if coding == Coding::Plain {
             let length = plain.len() + data.len();
-            check(length, length.max(plain.capacity()), most, &mut claim)?;
+            check(length, length.max(plain.capacity()), most, &mut reservation)?;
             plain.extend_from_slice(&data);
             continue;
         }
@@ -179,24 +179,29 @@
                 .write_all(piece)
                 .map_err(|_| BodyError::Unreadable)?;
             let held = decoder.get_ref();
-            check(held.len(), held.capacity(), most, &mut claim)?;
+            check(held.len(), held.capacity(), most, &mut reservation)?;
         }
     }
     if coding == Coding::Plain {
-        claim.shrink_to(plain.capacity());
-        return Ok((plain.freeze(), claim));
+        reservation.shrink_to(plain.capacity());
+        return Ok((plain.freeze(), reservation));
     }
     let whole = decoder.finish().map_err(|_| BodyError::Unreadable)?;
-    check(whole.len(), whole.capacity(), most, &mut claim)?;
-    claim.shrink_to(whole.capacity());
-    Ok((whole.into(), claim))
+    check(whole.len(), whole.capacity(), most, &mut reservation)?;
+    reservation.shrink_to(whole.capacity());
+    Ok((whole.into(), reservation))
 }
 
-fn check(length: usize, held: usize, most: usize, claim: &mut Claim) -> Result<(), BodyError> {
+fn check(
+    length: usize,
+    held: usize,
+    most: usize,
+    reservation: &mut ByteReservation,
+) -> Result<(), BodyError> {
     if length > most {
         return Err(BodyError::TooLong(most));
     }
-    if claim.grow_body_to(held) {
+    if reservation.try_grow_for_request(held) {
         Ok(())
     } else {
         Err(BodyError::NoRoom)
--- /dev/null
+++ b/crates/router/src/frontend/byte_budget/tests.rs
@@ -0,0 +1,28 @@
+//! Tests of the byte budget.
+
+use super::*;
+
+#[test]
+fn request_bodies_leave_a_quarter_of_the_budget_free() {
+    let budget = ByteBudget::new(100);
+    let body = budget.reserve_for_request(70).unwrap();
+    assert!(budget.reserve_for_request(6).is_none());
+    assert!(budget.reserve(30).is_some());
+    drop(body);
+    assert!(budget.reserve_for_request(75).is_some());
+}
+
+#[test]
+fn reservations_never_exceed_the_budget_and_are_returned_when_dropped() {
+    let budget = ByteBudget::new(100);
+    let mut first = budget.reserve(60).unwrap();
+    assert!(budget.reserve(41).is_none());
+    let second = budget.reserve(40).unwrap();
+    assert!(!first.try_grow_to(61));
+    drop(second);
+    assert!(first.try_grow_to(100));
+    first.shrink_to(10);
+    assert_eq!((budget.reserved(), budget.peak()), (10, 100));
+    drop(first);
+    assert_eq!((budget.reserved(), budget.peak()), (0, 100));
+}
--- a/crates/router/src/frontend/inference/held.rs
+++ b/crates/router/src/frontend/inference/held.rs
@@ -8,7 +8,7 @@
 use http_body::{Body, Frame, SizeHint};
 
 use crate::exchange::IncompleteBody;
-use crate::frontend::account::Claim;
+use crate::frontend::byte_budget::ByteReservation;
 
 /// Bytes that are given at once.
 const PIECE: usize = 16 * 1024;
@@ -16,13 +16,16 @@
 /// The body of an answer that is here whole.
 pub struct Held {
     left: Bytes,
-    claim: Claim,
+    reservation: ByteReservation,
 }
 
 impl Held {
-    /// An answer, and what it claims.
-    pub fn new(whole: Bytes, claim: Claim) -> Held {
-        Held { left: whole, claim }
+    /// An answer, and what it reservations.
+    pub fn new(whole: Bytes, reservation: ByteReservation) -> Held {
+        Held {
+            left: whole,
+            reservation,
+        }
     }
 }
 
@@ -40,7 +43,7 @@
         let piece = PIECE.min(self.left.len());
         let piece = self.left.split_to(piece);
         let left = self.left.len();
-        self.claim.shrink_to(left + PIECE);
+        self.reservation.shrink_to(left + PIECE);
         Poll::Ready(Some(Ok(Frame::data(piece))))
     }
 
--- a/crates/router/src/frontend/inference/mod.rs
+++ b/crates/router/src/frontend/inference/mod.rs
@@ -29,7 +29,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use super::account::{Account, Claim};
+use super::byte_budget::{ByteBudget, ByteReservation};
 use super::{is_word, retry_after, streamed, AnswerBody, Arriving, BodyError, ClientLimits, Front};
 use crate::core::{Handle, IncomingRequest};
 use crate::exchange::{BodyStream, FinalResponse, IncompleteBody, Message};
@@ -155,7 +155,7 @@
     classes: [usize; 3],
     catalogue: Catalogue,
     tenants: Option<Tenants>,
-    account: Account,
+    budget: ByteBudget,
     queue: Queue,
     phase: watch::Receiver<Phase>,
     /// Ids of requests that are open: a batch's slices go by names made of it.
@@ -205,7 +205,7 @@
 
 /// What a slice came to.
 enum Sliced {
-    Served(Part, Claim),
+    Served(Part, ByteReservation),
     Failed(SliceFailure),
     Taken,
 }
@@ -238,7 +238,7 @@
             catalogue: setup.catalogue(site).unwrap_or_default(),
             settings: settings.clone(),
             tenants,
-            account: Account::new(setup.limits.held_bytes),
+            budget: ByteBudget::new(setup.limits.held_bytes),
             queue: Queue::new(setup.batches.settings(most.unwrap_or(COME_BACK_MOST))),
             setup,
             phase,
@@ -270,15 +270,15 @@
             .whole(
                 Some(&head.headers),
                 self.setup.limits.body_bytes,
-                &self.account,
+                &self.budget,
             )
             .await;
-        let (body, claim) = body.map_err(Failure::Body)?;
+        let (body, reservation) = body.map_err(Failure::Body)?;
         match form {
-            None => self.chat(order, body, claim).await,
+            None => self.chat(order, body, reservation).await,
             Some(form) => {
                 let batch = Batch::decode(form, body, &self.setup.limits.bounds())?;
-                self.batch(order, batch, claim).await
+                self.batch(order, batch, reservation).await
             }
         }
     }
@@ -427,14 +427,14 @@
         &self,
         order: Order,
         body: Bytes,
-        mut claim: Claim,
+        mut reservation: ByteReservation,
     ) -> Result<Response<AnswerBody>, Failure> {
         let chat = Chat::decode(&body, &self.setup.limits.bounds())?;
         let model = self.model(&chat.model, Endpoint::Chat)?;
         let sent = chat.encode(&body, model.name)?;
         drop(body);
         // What the answer will hold is claimed before anything is sent for it.
-        if !claim.grow_to(sent.len().max(STREAM_HELD)) {
+        if !reservation.try_grow_to(sent.len().max(STREAM_HELD)) {
             return Err(Failure::Body(BodyError::NoRoom));
         }
         let name = order.name.name.clone();
@@ -453,11 +453,14 @@
         let (answer, gone) = self.handle.submit(incoming).response().await;
         let (media_type, parts) = served(answer, order.due)?;
         // Nothing further is sent for it: the body is let go.
-        claim.shrink_to(STREAM_HELD);
+        reservation.shrink_to(STREAM_HELD);
         let events = media_type.starts_with(EVENTS);
         if chat.stream && events {
-            let mut response =
-                Response::new(AnswerBody::other(EventStream::new(parts, gone, claim)));
+            let mut response = Response::new(AnswerBody::other(EventStream::new(
+                parts,
+                gone,
+                reservation,
+            )));
             response
                 .headers_mut()
                 .insert(CONTENT_TYPE, HeaderValue::from_static(EVENTS));
@@ -467,23 +470,29 @@
             return Ok(streamed(&media_type, parts, gone));
         }
         if !events {
-            let (whole, claim) = self.whole(parts, claim).await?;
+            let (whole, reservation) = self.whole(parts, reservation).await?;
             serde_json::from_slice::<serde_json::Map<String, serde_json::Value>>(&whole)
                 .map_err(|_| Failure::Failed)?;
-            return Ok(json_response(AnswerBody::other(Held::new(whole, claim))));
+            return Ok(json_response(AnswerBody::other(Held::new(
+                whole,
+                reservation,
+            ))));
         }
-        let (whole, claim) = self.folded(parts, claim, &name, &chat.model).await?;
-        Ok(json_response(AnswerBody::other(Held::new(whole, claim))))
+        let (whole, reservation) = self.folded(parts, reservation, &name, &chat.model).await?;
+        Ok(json_response(AnswerBody::other(Held::new(
+            whole,
+            reservation,
+        ))))
     }
 
     /// The answer that a stream's events make together.
     async fn folded(
         &self,
         mut parts: BodyStream,
-        mut claim: Claim,
+        mut reservation: ByteReservation,
         name: &str,
         model: &str,
-    ) -> Result<(Bytes, Claim), Failure> {
+    ) -> Result<(Bytes, ByteReservation), Failure> {
         let mut fold = Fold::default();
         while let Some(part) = poll_fn(|cx| parts.poll_next(cx)).await {
             match part {
@@ -491,33 +500,33 @@
                 // All may have come before it broke off: the fold knows.
                 Err(IncompleteBody) => break,
             }
-            if fold.held() > self.setup.limits.body_bytes || !claim.grow_to(fold.held()) {
+            if fold.held() > self.setup.limits.body_bytes || !reservation.try_grow_to(fold.held()) {
                 return Err(Failure::Failed);
             }
         }
         let whole = fold.finish(name, model).ok_or(Failure::Failed)?;
-        if !claim.grow_to(whole.len()) {
+        if !reservation.try_grow_to(whole.len()) {
             return Err(Failure::Failed);
         }
-        Ok((whole, claim))
+        Ok((whole, reservation))
     }
 
     /// All parts of an answer.
     async fn whole(
         &self,
         mut parts: BodyStream,
-        mut claim: Claim,
-    ) -> Result<(Bytes, Claim), Failure> {
+        mut reservation: ByteReservation,
+    ) -> Result<(Bytes, ByteReservation), Failure> {
         let mut whole = BytesMut::new();
         while let Some(part) = poll_fn(|cx| parts.poll_next(cx)).await {
             let part = part.map_err(|IncompleteBody| Failure::Failed)?;
             let length = whole.len() + part.len();
-            if length > self.setup.limits.body_bytes || !claim.grow_to(length) {
+            if length > self.setup.limits.body_bytes || !reservation.try_grow_to(length) {
                 return Err(Failure::Failed);
             }
             whole.extend_from_slice(&part);
         }
-        Ok((whole.freeze(), claim))
+        Ok((whole.freeze(), reservation))
     }
 
     /// Serves a batch slice by slice. Finished slices are kept; one that fails is asked for again as the engine
@@ -526,7 +535,7 @@
         &self,
         order: Order,
         batch: Batch,
-        claim: Claim,
+        reservation: ByteReservation,
     ) -> Result<Response<AnswerBody>, Failure> {
         let model = self.model(&batch.model, order.endpoint)?;
         let mut hasher = DefaultHasher::new();
@@ -553,7 +562,7 @@
         let opened = self.queue.open(order.due, opening);
         let mut ticket = opened.map_err(|refusal| refused(refusal.come_back))?;
         let mut parts: Vec<(Range<usize>, Part)> = Vec::new();
-        let mut claims = vec![claim];
+        let mut reservations = vec![reservation];
         let verdict = loop {
             let slice = match ticket.turn().await {
                 Turn::Ended(verdict) => break verdict,
@@ -569,9 +578,9 @@
                 sliced = self.slice(&order, &batch, model, &slice) => sliced,
             };
             match sliced {
-                Sliced::Served(part, claim) => {
+                Sliced::Served(part, reservation) => {
                     parts.push((slice.items, part));
-                    claims.push(claim);
+                    reservations.push(reservation);
                     ticket.served();
                 }
                 Sliced::Taken => return Err(Failure::Taken),
@@ -596,9 +605,12 @@
             Failure::Failed
         })?;
         drop(batch);
-        claims.clear();
-        let claim = self.account.claim(whole.len()).ok_or(Failure::Failed)?;
-        Ok(json_response(AnswerBody::other(Held::new(whole, claim))))
+        reservations.clear();
+        let reservation = self.budget.reserve(whole.len()).ok_or(Failure::Failed)?;
+        Ok(json_response(AnswerBody::other(Held::new(
+            whole,
+            reservation,
+        ))))
     }
 
     /// Sends one slice and reads its answer.
@@ -613,7 +625,7 @@
         };
         let body = batch.encode(&slice.items, model.name);
         let pause = i64::try_from(ROOM_AGAIN.as_micros()).unwrap_or(0);
-        let Some(sending) = self.account.claim(body.len()) else {
+        let Some(sending) = self.budget.reserve(body.len()) else {
             return Sliced::Failed(SliceFailure::NoRoom(pause));
         };
         let message = message(batch.form.target(), &order.query, body);
@@ -631,16 +643,16 @@
             FinalResponse::DuplicateId => return failed,
         };
         drop(sending);
-        let Some(claim) = self.account.claim(0) else {
+        let Some(reservation) = self.budget.reserve(0) else {
             return failed;
         };
-        let Ok((whole, mut claim)) = self.whole(parts, claim).await else {
+        let Ok((whole, mut reservation)) = self.whole(parts, reservation).await else {
             return failed;
         };
         match Part::decode(batch, slice.items.len(), &whole) {
-            Ok(part) if claim.grow_to(part.held()) => {
-                claim.shrink_to(part.held());
-                Sliced::Served(part, claim)
+            Ok(part) if reservation.try_grow_to(part.held()) => {
+                reservation.shrink_to(part.held());
+                Sliced::Served(part, reservation)
             }
             Ok(_) => failed,
             Err(error) => {
--- a/crates/router/src/frontend/inference/stream.rs
+++ b/crates/router/src/frontend/inference/stream.rs
@@ -8,7 +8,7 @@
 use http_body::{Body, Frame};
 
 use crate::exchange::{BodyStream, DisconnectGuard, IncompleteBody};
-use crate::frontend::account::Claim;
+use crate::frontend::byte_budget::ByteReservation;
 
 enum State {
     Passing,
@@ -25,18 +25,22 @@
     /// Tells when the client is done.
     _gone: DisconnectGuard,
     /// What its parts count for.
-    _claim: Claim,
+    _reservation: ByteReservation,
     events: Events,
     state: State,
 }
 
 impl EventStream {
     /// The events of a server's answer.
-    pub fn new(parts: BodyStream, gone: DisconnectGuard, claim: Claim) -> EventStream {
+    pub fn new(
+        parts: BodyStream,
+        gone: DisconnectGuard,
+        reservation: ByteReservation,
+    ) -> EventStream {
         EventStream {
             parts,
             _gone: gone,
-            _claim: claim,
+            _reservation: reservation,
             events: Events::default(),
             state: State::Passing,
         }
--- a/crates/router/src/frontend/mod.rs
+++ b/crates/router/src/frontend/mod.rs
@@ -1,8 +1,8 @@
 //! The server side: listening, connections, and what all fronts share. A front is a tower service over hyper
 //! that decodes a request once, waits at the exchange, and encodes the answer once.
 
-mod account;
 mod body;
+mod byte_budget;
 mod client_stream;
 mod connections;
 mod headers;
--- a/crates/router/src/frontend/platform.rs
+++ b/crates/router/src/frontend/platform.rs
@@ -10,7 +10,7 @@
 use http::request::Parts as Head;
 use http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode};
 
-use super::account::Account;
+use super::byte_budget::ByteBudget;
 use super::connections::BODY_LIMIT;
 use super::headers::end_to_end;
 use super::{is_word, retry_after, streamed, AnswerBody, Arriving, BodyError, Front, Readiness};
@@ -26,7 +26,7 @@
     handle: Handle,
     classes: Rc<Vec<String>>,
     readiness: Readiness,
-    account: Account,
+    budget: ByteBudget,
 }
 
 impl Platform {
@@ -37,14 +37,14 @@
             handle,
             classes,
             readiness,
-            account: Account::new(usize::MAX),
+            budget: ByteBudget::new(usize::MAX),
         }
     }
 
     async fn chat(&self, request: Request<Arriving>) -> Result<Response<AnswerBody>, Wrong> {
         let (head, body) = request.into_parts();
         // The number of connections bounds what bodies hold here.
-        let (body, _claim) = body.whole(None, BODY_LIMIT, &self.account).await?;
+        let (body, _reservation) = body.whole(None, BODY_LIMIT, &self.budget).await?;
         let caller = self.handle.submit(decode(&head, body, &self.classes)?);
         let (answer, gone) = caller.response().await;
         Ok(match answer {
