--- a/crates/router/src/frontend/client_stream.rs
+++ b/crates/router/src/frontend/client_stream.rs
@@ -1,4 +1,5 @@
-//! A client's stream, with what passes noted, and read on while its request is being answered.
+//! A client's byte stream, of which the connection state is kept up to date, and which is read ahead
+//! while a request is being answered.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -11,54 +12,59 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::Instant;
 
-use super::connections::{Activity, ConnectionState};
+use super::connection_state::{Activity, ConnectionState};
 use crate::socket::Socket;
 
-/// The most that is thrown away of what is read ahead, so that a client which sends much and goes is noticed.
+/// The most bytes that are discarded of what is read ahead, so that the disconnect of a client which
+/// has sent much before it is still noticed.
 const DISCARD_LIMIT: usize = 4 * 1024 * 1024;
-/// What is read at once of what is read ahead or thrown away.
-const PIECE: usize = 2 * 1024;
+/// The bytes that are read ahead at once.
+const CHUNK_SIZE: usize = 2 * 1024;
 
-/// Reads ahead while a request is being answered, so that a client which leaves is noticed. Guards against a close that
-/// stands behind bytes which nobody reads until the answer is out: the library stops reading once it has any.
+/// Reads ahead while a request is being answered, so that a client's disconnect is noticed. The HTTP
+/// library stops reading once it has any bytes of a further request, and the end of the stream stands
+/// behind those bytes until the response is complete.
 pub struct ReadAhead {
     stream: Rc<RefCell<Socket>>,
     state: Rc<ConnectionState>,
 }
 
 impl ReadAhead {
+    /// Reads ahead on `stream`.
     pub(super) fn new(stream: Rc<RefCell<Socket>>, state: Rc<ConnectionState>) -> ReadAhead {
         ReadAhead { stream, state }
     }
 
-    /// Waits until the client has left while a request of it is being answered. Must be polled in the task that reads
-    /// the stream, and after that: whoever polls last is woken.
-    pub async fn client_left(&self) {
-        poll_fn(|cx| self.poll_client_left(cx)).await;
+    /// Waits until the client disconnects while one of its requests is being answered. Must be polled
+    /// in the task that reads the stream, and after the read: whoever polls last is woken.
+    pub async fn client_disconnected(&self) {
+        poll_fn(|cx| self.poll_disconnected(cx)).await;
     }
 
-    fn poll_client_left(&self, cx: &mut Context<'_>) -> Poll<()> {
-        let mut piece = [0; PIECE];
-        while self.may_read_on() {
-            let mut read = ReadBuf::new(&mut piece);
+    fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
+        let mut chunk = [0; CHUNK_SIZE];
+        while self.may_read_ahead() {
+            let mut read = ReadBuf::new(&mut chunk);
             let failed =
                 ready!(Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, &mut read)).is_err();
             if failed || read.filled().is_empty() {
                 return Poll::Ready(());
             }
             self.keep_or_discard(read.filled());
-            cx.waker().wake_by_ref(); // whoever waits for it has been polled already
+            // The reader of the kept bytes has already been polled.
+            cx.waker().wake_by_ref();
         }
         Poll::Pending
     }
 
-    fn may_read_on(&self) -> bool {
+    fn may_read_ahead(&self) -> bool {
         let answering = matches!(self.state.activity.get(), Activity::Answering);
         answering && self.state.discarded.get() < DISCARD_LIMIT
     }
 
-    /// Keeps the next request, which a client may send as soon as it has the last event of an answer. What is more than
-    /// a request can hold is discarded; then nothing further is kept, and the connection ends there.
+    /// Keeps the next request, which a client may send as soon as it has the last event of a response.
+    /// What exceeds the size of a request is discarded; from then on nothing is kept, and the
+    /// connection ends with the current request.
     fn keep_or_discard(&self, bytes: &[u8]) {
         let discarded = &self.state.discarded;
         if discarded.get() == 0 && self.state.reserve_read_ahead(bytes.len()) {
@@ -69,18 +75,19 @@
     }
 }
 
-/// A client's stream, with a look at what passes.
+/// A client's stream that keeps the connection's state up to date.
 pub struct TrackedStream {
     stream: Rc<RefCell<Socket>>,
     state: Rc<ConnectionState>,
 }
 
 impl TrackedStream {
+    /// Tracks `stream` in `state`.
     pub(super) fn new(stream: Rc<RefCell<Socket>>, state: Rc<ConnectionState>) -> TrackedStream {
         TrackedStream { stream, state }
     }
 
-    /// Gives what was read ahead first, then what the stream has, or its end where the rest has been discarded.
+    /// Reads what was read ahead first, then from the stream; its end where the rest was discarded.
     fn poll_next_bytes(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let mut read_ahead = self.state.read_ahead.borrow_mut();
         if read_ahead.is_empty() && self.state.discarded.get() > 0 {
@@ -94,7 +101,8 @@
         read_ahead.advance(length);
         self.state.release_read_ahead(length);
         if read_ahead.is_empty() {
-            *read_ahead = BytesMut::new(); // idle connections hold no buffer
+            // An idle connection holds no buffer.
+            *read_ahead = BytesMut::new();
         }
         Poll::Ready(Ok(()))
     }
--- a/crates/router/src/frontend/mod.rs
+++ b/crates/router/src/frontend/mod.rs
@@ -4,6 +4,7 @@
 mod body;
 mod byte_budget;
 mod client_stream;
+mod connection_state;
 mod connections;
 mod headers;
 pub mod inference;
@@ -35,12 +36,10 @@
 use crate::shutdown::Phase;
 use crate::socket::Socket;
 pub use body::{Arriving, BodyError};
-pub use connections::ClientLimits;
+pub use connection_state::ClientLimits;
+use connection_state::READ_BUFFER_LIMIT;
 use connections::{ClientConnection, ConnectionLimiter, RequestGuard, RequestTracker};
 
-/// The most that is read ahead on a connection, and so the longest head of a request. A kept connection goes on
-/// holding as much as its last body made it read at once: memory would grow with those that ask once and stay.
-const BUFFER_MOST: usize = 16 * 1024;
 /// The interval between two looks for connections whose time is up.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(100);
 /// After a failure to accept: descriptors may be short for a while.
@@ -336,7 +335,7 @@
     // How long a client may take is the limiter's affair.
     let served = http1::Builder::new()
         .header_read_timeout(None)
-        .max_buf_size(BUFFER_MOST)
+        .max_buf_size(READ_BUFFER_LIMIT)
         .serve_connection(TokioIo::new(stream), TowerToHyperService::new(service));
     tokio::pin!(served);
     let ended = async {
@@ -362,7 +361,7 @@
                 false => return,
             },
             ended = &mut ended => break ended,
-            () = read_ahead.client_left() => {
+            () = read_ahead.client_disconnected() => {
                 return tracing::debug!("a client has left before its answer was out");
             }
         }
--- a/crates/router/src/frontend/platform.rs
+++ b/crates/router/src/frontend/platform.rs
@@ -11,7 +11,7 @@
 use http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode};
 
 use super::byte_budget::ByteBudget;
-use super::connections::BODY_LIMIT;
+use super::connection_state::REQUEST_BODY_LIMIT;
 use super::headers::end_to_end;
 use super::{is_word, retry_after, streamed, AnswerBody, Arriving, BodyError, Front, Readiness};
 use crate::core::{Handle, IncomingRequest};
@@ -44,7 +44,7 @@
     async fn chat(&self, request: Request<Arriving>) -> Result<Response<AnswerBody>, Wrong> {
         let (head, body) = request.into_parts();
         // The number of connections bounds what bodies hold here.
-        let (body, _reservation) = body.whole(None, BODY_LIMIT, &self.budget).await?;
+        let (body, _reservation) = body.whole(None, REQUEST_BODY_LIMIT, &self.budget).await?;
         let caller = self.handle.submit(decode(&head, body, &self.classes)?);
         let (answer, gone) = caller.response().await;
         Ok(match answer {
