--- a/crates/router/src/frontend/body.rs
+++ b/crates/router/src/frontend/body.rs
@@ -1,11 +1,11 @@
-//! The body of a request on its way: read within limits of size, time and memory.
+//! Reads request bodies within limits of size, time and memory.
 
 use std::io::Write;
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
 use flate2::write::MultiGzDecoder;
-use http::header::{CONTENT_ENCODING, CONTENT_TYPE};
+use http::header::{HeaderName, CONTENT_ENCODING, CONTENT_TYPE};
 use http::{HeaderMap, StatusCode};
 use http_body::Body;
 use http_body_util::BodyExt;
@@ -14,198 +14,251 @@
 
 use super::byte_budget::{ByteBudget, ByteReservation};
 
-/// Compressed bytes that are taken at once: each may become a thousand, and must be counted first.
-const PIECE: usize = 1_024;
-
-/// How much, and for how long, is read of a body that nobody wants.
-const DRAIN_MOST: usize = 64 * 1024 * 1024;
-const DRAIN_FOR: Duration = Duration::from_secs(2);
+/// The compressed bytes that are decompressed at once. Each may become a thousand bytes, which must
+/// be reserved before more are decompressed.
+const COMPRESSED_CHUNK_SIZE: usize = 1_024;
+/// The most bytes that are drained of a body that was not read.
+const DRAIN_LIMIT: usize = 64 * 1024 * 1024;
+/// How long such a body is drained.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why the body of a request was not read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// It is too long.
+    /// It is larger than this limit.
     #[error("the body holds more than {0} bytes")]
-    TooLong(usize),
-    /// It broke off, or cannot be decoded.
+    TooLarge(usize),
+    /// It broke off, or could not be decompressed.
     #[error("the body could not be read")]
     Unreadable,
-    /// It took too long.
+    /// It took too long to arrive.
     #[error("the request took too long")]
-    Slow,
-    /// Where it ends is in doubt.
+    TimedOut,
+    /// Its end is ambiguous.
     #[error("the request has both a length and an encoding")]
-    Ambiguous,
-    /// All bytes for bodies and answers are in use.
+    AmbiguousLength,
+    /// The byte budget is used up.
     #[error("there is no room for the body now; trying again is harmless")]
-    NoRoom,
-    /// It is encoded in a way that is not known here.
+    BudgetExhausted,
+    /// Its content coding is not supported.
     #[error("Content-Encoding must be gzip or identity")]
-    Encoding,
-    /// It is not JSON by its own word.
+    UnsupportedEncoding,
+    /// Its declared media type is not JSON.
     #[error("Content-Type must be application/json")]
-    MediaType,
+    UnsupportedMediaType,
 }
 
 impl BodyError {
-    /// The status of its answer.
+    /// The status of the response.
     pub fn status(self) -> StatusCode {
         match self {
-            BodyError::TooLong(_) => StatusCode::PAYLOAD_TOO_LARGE,
-            BodyError::Unreadable | BodyError::Ambiguous => StatusCode::BAD_REQUEST,
-            BodyError::Slow => StatusCode::REQUEST_TIMEOUT,
-            BodyError::NoRoom => StatusCode::SERVICE_UNAVAILABLE,
-            BodyError::Encoding | BodyError::MediaType => StatusCode::UNSUPPORTED_MEDIA_TYPE,
+            BodyError::TooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
+            BodyError::Unreadable | BodyError::AmbiguousLength => StatusCode::BAD_REQUEST,
+            BodyError::TimedOut => StatusCode::REQUEST_TIMEOUT,
+            BodyError::BudgetExhausted => StatusCode::SERVICE_UNAVAILABLE,
+            BodyError::UnsupportedEncoding | BodyError::UnsupportedMediaType => {
+                StatusCode::UNSUPPORTED_MEDIA_TYPE
+            }
         }
     }
 }
 
-/// How a body is encoded.
+/// The content coding of a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Coding {
-    Plain,
+enum ContentCoding {
+    Identity,
     Gzip,
 }
 
-/// The body of a request on its way.
-pub struct Arriving {
+/// The body of a request that has not been read yet.
+pub struct RequestBody {
     pub(super) body: Incoming,
-    pub(super) due: Instant,
-    pub(super) ambiguous: bool,
-    /// Its client waits for the word to go on.
-    pub(super) waits: bool,
+    /// When all of it must have arrived.
+    pub(super) deadline: Instant,
+    /// Whether its end is ambiguous.
+    pub(super) is_ambiguous: bool,
+    /// Whether its client waits for `100 Continue` before it sends the body.
+    pub(super) expects_continue: bool,
 }
 
-impl Arriving {
-    /// The whole body. What it reservations is for the caller to hold for as long as the bytes. Nothing is read, and no
-    /// client that waits for a word is told to go on, before there is room. The head, where it is given, must say
-    /// that it is JSON, or nothing.
-    pub async fn whole(
+impl RequestBody {
+    /// Reads the whole body, decompressed. The caller holds the reservation as long as the bytes.
+    ///
+    /// Nothing is read, and no `100 Continue` is sent, before the declared length is reserved. If
+    /// `headers` are given, they may declare no media type but JSON; otherwise the body is read as
+    /// it is.
+    pub async fn read_to_end(
         self,
         headers: Option<&HeaderMap>,
-        most: usize,
+        size_limit: usize,
         budget: &ByteBudget,
     ) -> Result<(Bytes, ByteReservation), BodyError> {
-        if self.ambiguous {
-            return Err(BodyError::Ambiguous);
+        if self.is_ambiguous {
+            return Err(BodyError::AmbiguousLength);
         }
         let declared = usize::try_from(self.body.size_hint().lower()).unwrap_or(usize::MAX);
-        let admitted = headers
-            .map_or(Ok(Coding::Plain), coding)
-            .and_then(|coding| match budget.reserve_for_request(declared) {
-                _ if declared > most => Err(BodyError::TooLong(most)),
-                Some(reservation) => Ok((coding, reservation)),
-                None => Err(BodyError::NoRoom),
-            });
         let mut body = self.body;
-        let read = match admitted {
+        let result = match admit(headers, declared, size_limit, budget) {
             Ok((coding, reservation)) => {
-                let reading = read(&mut body, coding, declared, most, reservation);
-                timeout_at(self.due, reading)
+                let target = BodyBuffer {
+                    size_limit,
+                    reservation,
+                };
+                timeout_at(self.deadline, target.read(&mut body, coding, declared))
                     .await
-                    .unwrap_or(Err(BodyError::Slow))
+                    .unwrap_or(Err(BodyError::TimedOut))
             }
             Err(error) => Err(error),
         };
-        if read.is_err() && !self.waits {
+        // A client that still waits for `100 Continue` sends nothing to drain.
+        if result.is_err() && !self.expects_continue {
             tokio::task::spawn_local(drain(body));
         }
-        read
+        result
     }
 }
 
-/// Reads on and keeps nothing, for a while: a connection that is closed with something unread may take the answer
-/// with it before its client has seen it. A client that waits for the word to go on sends nothing.
+/// Checks what the headers declare, and reserves the declared length.
+fn admit(
+    headers: Option<&HeaderMap>,
+    declared: usize,
+    size_limit: usize,
+    budget: &ByteBudget,
+) -> Result<(ContentCoding, ByteReservation), BodyError> {
+    let coding = match headers {
+        Some(headers) => content_coding(headers)?,
+        None => ContentCoding::Identity,
+    };
+    if declared > size_limit {
+        return Err(BodyError::TooLarge(size_limit));
+    }
+    match budget.reserve_for_request(declared) {
+        Some(reservation) => Ok((coding, reservation)),
+        None => Err(BodyError::BudgetExhausted),
+    }
+}
+
+/// Reads and discards the rest of a body for a while. If a connection is closed with unread bytes,
+/// the system may reset it before the client has read the response.
 async fn drain(mut body: Incoming) {
-    let mut left = DRAIN_MOST;
+    let mut remaining = DRAIN_LIMIT;
     let draining = async {
         while let Some(Ok(frame)) = body.frame().await {
-            left = left.saturating_sub(frame.into_data().map_or(0, |data| data.len()));
-            if left == 0 {
+            let length = frame.into_data().map_or(0, |data| data.len());
+            remaining = remaining.saturating_sub(length);
+            if remaining == 0 {
                 return;
             }
         }
     };
-    let _ = timeout(DRAIN_FOR, draining).await;
+    let _ = timeout(DRAIN_TIMEOUT, draining).await;
 }
 
-/// Checks what the head says of the body: JSON, in a coding that is known here.
-fn coding(headers: &HeaderMap) -> Result<Coding, BodyError> {
-    let word = |name| {
-        headers
-            .get(name)
-            .map(|v| v.to_str().unwrap_or("?").to_ascii_lowercase())
-    };
-    if let Some(media) = word(CONTENT_TYPE) {
-        let (kind, rest) = media.split_once(';').unwrap_or((&media, ""));
-        let charset = rest
-            .split(';')
-            .filter_map(|p| p.trim().strip_prefix("charset=").map(str::to_owned))
-            .next();
-        let utf8 =
-            charset.is_none_or(|c| matches!(c.trim_matches('"'), "utf-8" | "utf8" | "us-ascii"));
-        if kind.trim() != "application/json" || !utf8 {
-            return Err(BodyError::MediaType);
+/// The content coding that the headers declare, if their media type is JSON or not declared.
+fn content_coding(headers: &HeaderMap) -> Result<ContentCoding, BodyError> {
+    if let Some(media_type) = lowercase_header(headers, CONTENT_TYPE) {
+        if !is_json(&media_type) {
+            return Err(BodyError::UnsupportedMediaType);
         }
     }
-    match word(CONTENT_ENCODING).as_deref().map(str::trim) {
-        None | Some("" | "identity") => Ok(Coding::Plain),
-        Some("gzip" | "x-gzip") => Ok(Coding::Gzip),
-        Some(_) => Err(BodyError::Encoding),
+    let coding = lowercase_header(headers, CONTENT_ENCODING);
+    match coding.as_deref().map(str::trim) {
+        None | Some("" | "identity") => Ok(ContentCoding::Identity),
+        Some("gzip" | "x-gzip") => Ok(ContentCoding::Gzip),
+        Some(_) => Err(BodyError::UnsupportedEncoding),
     }
 }
 
-async fn read(
-    body: &mut Incoming,
-    coding: Coding,
-    declared: usize,
-    most: usize,
-    mut reservation: ByteReservation,
-) -> Result<(Bytes, ByteReservation), BodyError> {
-    let mut decoder = MultiGzDecoder::new(Vec::new());
-    let mut plain = BytesMut::with_capacity(if coding == Coding::Plain { declared } else { 0 });
-    while let Some(frame) = body.frame().await {
-        let Ok(data) = frame.map_err(|_| BodyError::Unreadable)?.into_data() else {
-            continue;
-        };
-        if coding == Coding::Plain {
+fn lowercase_header(headers: &HeaderMap, name: HeaderName) -> Option<String> {
+    let value = headers.get(name)?;
+    Some(value.to_str().unwrap_or("?").to_ascii_lowercase())
+}
+
+/// Whether a media type in lower case is JSON in UTF-8.
+fn is_json(media_type: &str) -> bool {
+    let (essence, parameters) = media_type.split_once(';').unwrap_or((media_type, ""));
+    let charset = parameters
+        .split(';')
+        .find_map(|parameter| parameter.trim().strip_prefix("charset="));
+    let is_utf8 =
+        charset.is_none_or(|c| matches!(c.trim_matches('"'), "utf-8" | "utf8" | "us-ascii"));
+    essence.trim() == "application/json" && is_utf8
+}
+
+/// Collects a body within its size limit and the byte budget.
+struct BodyBuffer {
+    size_limit: usize,
+    reservation: ByteReservation,
+}
+
+impl BodyBuffer {
+    async fn read(
+        self,
+        body: &mut Incoming,
+        coding: ContentCoding,
+        declared: usize,
+    ) -> Result<(Bytes, ByteReservation), BodyError> {
+        match coding {
+            ContentCoding::Identity => self.read_plain(body, declared).await,
+            ContentCoding::Gzip => self.read_gzip(body).await,
+        }
+    }
+
+    async fn read_plain(
+        mut self,
+        body: &mut Incoming,
+        declared: usize,
+    ) -> Result<(Bytes, ByteReservation), BodyError> {
+        let mut plain = BytesMut::with_capacity(declared);
+        while let Some(data) = next_data(body).await? {
             let length = plain.len() + data.len();
-            check(length, length.max(plain.capacity()), most, &mut reservation)?;
+            self.reserve(length, length.max(plain.capacity()))?;
             plain.extend_from_slice(&data);
-            continue;
         }
-        for piece in data.chunks(PIECE) {
-            decoder
-                .write_all(piece)
-                .map_err(|_| BodyError::Unreadable)?;
-            let held = decoder.get_ref();
-            check(held.len(), held.capacity(), most, &mut reservation)?;
+        self.reservation.shrink_to(plain.capacity());
+        Ok((plain.freeze(), self.reservation))
+    }
+
+    async fn read_gzip(
+        mut self,
+        body: &mut Incoming,
+    ) -> Result<(Bytes, ByteReservation), BodyError> {
+        let mut decoder = MultiGzDecoder::new(Vec::new());
+        while let Some(data) = next_data(body).await? {
+            for chunk in data.chunks(COMPRESSED_CHUNK_SIZE) {
+                let written = decoder.write_all(chunk);
+                written.map_err(|_| BodyError::Unreadable)?;
+                let plain = decoder.get_ref();
+                self.reserve(plain.len(), plain.capacity())?;
+            }
         }
+        let plain = decoder.finish().map_err(|_| BodyError::Unreadable)?;
+        self.reserve(plain.len(), plain.capacity())?;
+        self.reservation.shrink_to(plain.capacity());
+        Ok((plain.into(), self.reservation))
     }
-    if coding == Coding::Plain {
-        reservation.shrink_to(plain.capacity());
-        return Ok((plain.freeze(), reservation));
+
+    /// Checks the length of what has been read, and reserves the memory that holds it.
+    fn reserve(&mut self, length: usize, capacity: usize) -> Result<(), BodyError> {
+        if length > self.size_limit {
+            return Err(BodyError::TooLarge(self.size_limit));
+        }
+        if !self.reservation.try_grow_for_request(capacity) {
+            return Err(BodyError::BudgetExhausted);
+        }
+        Ok(())
     }
-    let whole = decoder.finish().map_err(|_| BodyError::Unreadable)?;
-    check(whole.len(), whole.capacity(), most, &mut reservation)?;
-    reservation.shrink_to(whole.capacity());
-    Ok((whole.into(), reservation))
 }
 
-fn check(
-    length: usize,
-    held: usize,
-    most: usize,
-    reservation: &mut ByteReservation,
-) -> Result<(), BodyError> {
-    if length > most {
-        return Err(BodyError::TooLong(most));
-    }
-    if reservation.try_grow_for_request(held) {
-        Ok(())
-    } else {
-        Err(BodyError::NoRoom)
+/// The data of the next frame that has any; `None` at the end of the body.
+async fn next_data(body: &mut Incoming) -> Result<Option<Bytes>, BodyError> {
+    while let Some(frame) = body.frame().await {
+        let frame = frame.map_err(|_| BodyError::Unreadable)?;
+        if let Ok(data) = frame.into_data() {
+            return Ok(Some(data));
+        }
     }
+    Ok(None)
 }
 
 #[cfg(test)]
--- a/crates/router/src/frontend/body/tests.rs
+++ b/crates/router/src/frontend/body/tests.rs
@@ -1,18 +1,21 @@
-//! Tests of `body`.
+//! Tests of reading request bodies.
 
 use super::*;
 
 #[test]
-fn only_json_in_a_known_coding_is_read() {
+fn only_json_in_a_supported_content_coding_is_accepted() {
     let of = |name: http::HeaderName, value: &str| {
         let mut headers = HeaderMap::new();
         headers.insert(name, value.parse().unwrap());
-        coding(&headers)
+        content_coding(&headers)
     };
-    assert_eq!(coding(&HeaderMap::new()), Ok(Coding::Plain));
+    assert_eq!(
+        content_coding(&HeaderMap::new()),
+        Ok(ContentCoding::Identity)
+    );
     assert_eq!(
         of(CONTENT_TYPE, "Application/JSON; charset=\"UTF-8\""),
-        Ok(Coding::Plain)
+        Ok(ContentCoding::Identity)
     );
     for other in [
         "text/plain",
@@ -22,15 +25,15 @@
     ] {
         assert_eq!(
             of(CONTENT_TYPE, other),
-            Err(BodyError::MediaType),
+            Err(BodyError::UnsupportedMediaType),
             "{other}"
         );
     }
-    assert_eq!(of(CONTENT_ENCODING, "gzip"), Ok(Coding::Gzip));
+    assert_eq!(of(CONTENT_ENCODING, "gzip"), Ok(ContentCoding::Gzip));
     for other in ["br", "gzip, gzip", "deflate"] {
         assert_eq!(
             of(CONTENT_ENCODING, other),
-            Err(BodyError::Encoding),
+            Err(BodyError::UnsupportedEncoding),
             "{other}"
         );
     }
--- a/crates/router/src/frontend/inference/mod.rs
+++ b/crates/router/src/frontend/inference/mod.rs
@@ -30,7 +30,9 @@
 use tokio::time::Instant;
 
 use super::byte_budget::{ByteBudget, ByteReservation};
-use super::{is_word, retry_after, streamed, AnswerBody, Arriving, BodyError, ClientLimits, Front};
+use super::request_id::is_valid_request_id;
+use super::response::{set_retry_after, streaming_response};
+use super::{BodyError, ClientLimits, Frontend, RequestBody, ResponseBody};
 use crate::core::{Handle, IncomingRequest};
 use crate::exchange::{BodyStream, FinalResponse, IncompleteBody, Message};
 use crate::shutdown::Phase;
@@ -80,8 +82,8 @@
     fn error(&self) -> ApiError {
         match self {
             Failure::Api(error) => error.clone(),
-            Failure::Body(BodyError::NoRoom) => {
-                ApiError::server(503, "overloaded", BodyError::NoRoom.to_string())
+            Failure::Body(BodyError::BudgetExhausted) => {
+                ApiError::server(503, "overloaded", BodyError::BudgetExhausted.to_string())
             }
             Failure::Body(error) => ApiError::invalid(
                 error.status().as_u16(),
@@ -117,9 +119,9 @@
         }
     }
 
-    fn response(&self) -> Response<AnswerBody> {
+    fn response(&self) -> Response<ResponseBody> {
         let error = self.error();
-        let mut response = json_response(AnswerBody::text(error.to_json()));
+        let mut response = json_response(ResponseBody::full(error.to_json()));
         *response.status_mut() =
             StatusCode::from_u16(error.status).unwrap_or(StatusCode::BAD_GATEWAY);
         let headers = response.headers_mut();
@@ -135,7 +137,7 @@
     }
 }
 
-fn json_response(body: AnswerBody) -> Response<AnswerBody> {
+fn json_response(body: ResponseBody) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     response
         .headers_mut()
@@ -252,8 +254,8 @@
     async fn route(
         &self,
         name: Rc<str>,
-        request: Request<Arriving>,
-    ) -> Result<Response<AnswerBody>, Failure> {
+        request: Request<RequestBody>,
+    ) -> Result<Response<ResponseBody>, Failure> {
         let (head, body) = request.into_parts();
         let (endpoint, form) = match head.uri.path() {
             CHAT => (Endpoint::Chat, None),
@@ -267,7 +269,7 @@
         }
         let order = self.order(name, &head, endpoint)?;
         let body = body
-            .whole(
+            .read_to_end(
                 Some(&head.headers),
                 self.setup.limits.body_bytes,
                 &self.budget,
@@ -284,7 +286,7 @@
     }
 
     /// `/v1/models` and `/v1/models/{id}`.
-    fn models(&self, path: &str, head: &Head) -> Result<Response<AnswerBody>, Failure> {
+    fn models(&self, path: &str, head: &Head) -> Result<Response<ResponseBody>, Failure> {
         let rest = path
             .strip_prefix(MODELS)
             .filter(|rest| rest.is_empty() || rest.starts_with('/'));
@@ -305,7 +307,7 @@
             "" => self.catalogue.list(),
             id => self.catalogue.show(&unescaped(id))?,
         };
-        Ok(json_response(AnswerBody::text(text)))
+        Ok(json_response(ResponseBody::full(text)))
     }
 
     fn order(&self, name: Rc<str>, head: &Head, endpoint: Endpoint) -> Result<Order, Failure> {
@@ -347,7 +349,7 @@
         };
         match header(head, "X-Request-Id") {
             Ok(None) => Ok(made_up()),
-            Ok(Some(id)) if is_word(id) => Ok(id.into()),
+            Ok(Some(id)) if is_valid_request_id(id) => Ok(id.into()),
             Ok(Some(_)) => Err((
                 made_up(),
                 ApiError::value("X-Request-Id", "must be a plain word").into(),
@@ -428,14 +430,14 @@
         order: Order,
         body: Bytes,
         mut reservation: ByteReservation,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let chat = Chat::decode(&body, &self.setup.limits.bounds())?;
         let model = self.model(&chat.model, Endpoint::Chat)?;
         let sent = chat.encode(&body, model.name)?;
         drop(body);
         // What the answer will hold is claimed before anything is sent for it.
         if !reservation.try_grow_to(sent.len().max(STREAM_HELD)) {
-            return Err(Failure::Body(BodyError::NoRoom));
+            return Err(Failure::Body(BodyError::BudgetExhausted));
         }
         let name = order.name.name.clone();
         let mut message = message(CHAT, &order.query, sent);
@@ -456,7 +458,7 @@
         reservation.shrink_to(STREAM_HELD);
         let events = media_type.starts_with(EVENTS);
         if chat.stream && events {
-            let mut response = Response::new(AnswerBody::other(EventStream::new(
+            let mut response = Response::new(ResponseBody::boxed(EventStream::new(
                 parts,
                 gone,
                 reservation,
@@ -467,19 +469,19 @@
             return Ok(response);
         }
         if chat.stream {
-            return Ok(streamed(&media_type, parts, gone));
+            return Ok(streaming_response(&media_type, parts, gone));
         }
         if !events {
             let (whole, reservation) = self.whole(parts, reservation).await?;
             serde_json::from_slice::<serde_json::Map<String, serde_json::Value>>(&whole)
                 .map_err(|_| Failure::Failed)?;
-            return Ok(json_response(AnswerBody::other(Held::new(
+            return Ok(json_response(ResponseBody::boxed(Held::new(
                 whole,
                 reservation,
             ))));
         }
         let (whole, reservation) = self.folded(parts, reservation, &name, &chat.model).await?;
-        Ok(json_response(AnswerBody::other(Held::new(
+        Ok(json_response(ResponseBody::boxed(Held::new(
             whole,
             reservation,
         ))))
@@ -536,7 +538,7 @@
         order: Order,
         batch: Batch,
         reservation: ByteReservation,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let model = self.model(&batch.model, order.endpoint)?;
         let mut hasher = DefaultHasher::new();
         order.tenant.hash(&mut hasher);
@@ -607,7 +609,7 @@
         drop(batch);
         reservations.clear();
         let reservation = self.budget.reserve(whole.len()).ok_or(Failure::Failed)?;
-        Ok(json_response(AnswerBody::other(Held::new(
+        Ok(json_response(ResponseBody::boxed(Held::new(
             whole,
             reservation,
         ))))
@@ -666,7 +668,7 @@
     fn come_back(&self, failure: &Failure) -> Option<Duration> {
         let pause = match failure {
             Failure::Refused(pause) => *pause,
-            Failure::Body(BodyError::NoRoom) => ROOM_AGAIN,
+            Failure::Body(BodyError::BudgetExhausted) => ROOM_AGAIN,
             Failure::Api(error) if error.code == "tenants_unknown" => ROOM_AGAIN,
             _ => return None,
         };
@@ -714,7 +716,7 @@
         .into_owned()
 }
 
-impl Front for Inference {
+impl Frontend for Inference {
     fn limits(&self) -> ClientLimits {
         let limits = &self.0.setup.limits;
         ClientLimits {
@@ -724,7 +726,7 @@
         }
     }
 
-    async fn answer(self, request: Request<Arriving>) -> Response<AnswerBody> {
+    async fn respond(self, request: Request<RequestBody>) -> Response<ResponseBody> {
         let inner = self.0;
         let head = request.into_parts();
         let (name, routed) = match inner.name(&head.0) {
@@ -737,7 +739,7 @@
         let mut response = routed.unwrap_or_else(|failure| {
             let mut response = failure.response();
             if let Some(pause) = inner.come_back(&failure) {
-                retry_after(&mut response, pause);
+                set_retry_after(&mut response, pause);
             }
             response
         });
--- a/crates/router/src/frontend/platform.rs
+++ b/crates/router/src/frontend/platform.rs
@@ -13,7 +13,9 @@
 use super::byte_budget::ByteBudget;
 use super::connection_state::REQUEST_BODY_LIMIT;
 use super::headers::end_to_end;
-use super::{is_word, retry_after, streamed, AnswerBody, Arriving, BodyError, Front, Readiness};
+use super::request_id::is_valid_request_id;
+use super::response::{set_retry_after, streaming_response};
+use super::{BodyError, Frontend, Readiness, RequestBody, ResponseBody};
 use crate::core::{Handle, IncomingRequest};
 use crate::exchange::{FinalResponse, Message};
 
@@ -41,20 +43,24 @@
         }
     }
 
-    async fn chat(&self, request: Request<Arriving>) -> Result<Response<AnswerBody>, Wrong> {
+    async fn chat(&self, request: Request<RequestBody>) -> Result<Response<ResponseBody>, Wrong> {
         let (head, body) = request.into_parts();
         // The number of connections bounds what bodies hold here.
-        let (body, _reservation) = body.whole(None, REQUEST_BODY_LIMIT, &self.budget).await?;
+        let (body, _reservation) = body
+            .read_to_end(None, REQUEST_BODY_LIMIT, &self.budget)
+            .await?;
         let caller = self.handle.submit(decode(&head, body, &self.classes)?);
         let (answer, gone) = caller.response().await;
         Ok(match answer {
-            FinalResponse::Streaming { media_type, body } => streamed(&media_type, body, gone),
+            FinalResponse::Streaming { media_type, body } => {
+                streaming_response(&media_type, body, gone)
+            }
             FinalResponse::Rejected(pause) => {
                 let mut response = text(
                     StatusCode::SERVICE_UNAVAILABLE,
                     "refused: there is no room now\n",
                 );
-                retry_after(&mut response, pause);
+                set_retry_after(&mut response, pause);
                 response
             }
             FinalResponse::Failed => text(StatusCode::BAD_GATEWAY, "failed: it may have run\n"),
@@ -66,8 +72,8 @@
     }
 }
 
-impl Front for Platform {
-    async fn answer(self, request: Request<Arriving>) -> Response<AnswerBody> {
+impl Frontend for Platform {
+    async fn respond(self, request: Request<RequestBody>) -> Response<ResponseBody> {
         match (request.method(), request.uri().path()) {
             (&Method::GET, UP) if self.readiness.is_ready() => text(StatusCode::OK, "ready\n"),
             (&Method::GET, UP) => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
@@ -81,8 +87,8 @@
     }
 }
 
-fn text(status: StatusCode, text: impl Into<bytes::Bytes>) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::text(text));
+fn text(status: StatusCode, text: impl Into<bytes::Bytes>) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::full(text));
     *response.status_mut() = status;
     response.headers_mut().insert(
         CONTENT_TYPE,
@@ -105,7 +111,7 @@
 }
 
 impl Wrong {
-    fn response(self) -> Response<AnswerBody> {
+    fn response(self) -> Response<ResponseBody> {
         let status = match self {
             Wrong::Body(error) => error.status(),
             _ => StatusCode::BAD_REQUEST,
@@ -136,7 +142,7 @@
 fn decode(head: &Head, body: bytes::Bytes, classes: &[String]) -> Result<IncomingRequest, Wrong> {
     let headers = &head.headers;
     let name = needed(headers, "X-Request-Id")?;
-    if !is_word(name) {
+    if !is_valid_request_id(name) {
         return Err(Wrong::Unreadable("X-Request-Id"));
     }
     let class = needed(headers, "X-Class")?;
