--- a/crates/router/src/frontend/client_stream.rs
+++ b/crates/router/src/frontend/client_stream.rs
@@ -1,5 +1,5 @@
-//! A client's byte stream, of which the connection state is kept up to date, and which is read ahead
-//! while a request is being answered.
+//! A client's byte stream, of which the connection state is kept up to date, and which is read
+//! ahead while a request is being answered.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -15,15 +15,15 @@
 use super::connection_state::{Activity, ConnectionState};
 use crate::socket::Socket;
 
-/// The most bytes that are discarded of what is read ahead, so that the disconnect of a client which
-/// has sent much before it is still noticed.
+/// The most bytes that are discarded of what is read ahead, so that the disconnect of a client
+/// which has sent much before it is still noticed.
 const DISCARD_LIMIT: usize = 4 * 1024 * 1024;
 /// The bytes that are read ahead at once.
 const CHUNK_SIZE: usize = 2 * 1024;
 
-/// Reads ahead while a request is being answered, so that a client's disconnect is noticed. The HTTP
-/// library stops reading once it has any bytes of a further request, and the end of the stream stands
-/// behind those bytes until the response is complete.
+/// Reads ahead while a request is being answered, so that a client's disconnect is noticed. The
+/// HTTP library stops reading once it has any bytes of a further request, and the end of the stream
+/// stands behind those bytes until the response is complete.
 pub struct ReadAhead {
     stream: Rc<RefCell<Socket>>,
     state: Rc<ConnectionState>,
@@ -35,8 +35,8 @@
         ReadAhead { stream, state }
     }
 
-    /// Waits until the client disconnects while one of its requests is being answered. Must be polled
-    /// in the task that reads the stream, and after the read: whoever polls last is woken.
+    /// Waits until the client disconnects while one of its requests is being answered. Must be
+    /// polled in the task that reads the stream, and after the read: whoever polls last is woken.
     pub async fn client_disconnected(&self) {
         poll_fn(|cx| self.poll_disconnected(cx)).await;
     }
@@ -62,9 +62,9 @@
         answering && self.state.discarded.get() < DISCARD_LIMIT
     }
 
-    /// Keeps the next request, which a client may send as soon as it has the last event of a response.
-    /// What exceeds the size of a request is discarded; from then on nothing is kept, and the
-    /// connection ends with the current request.
+    /// Keeps the next request, which a client may send as soon as it has the last event of a
+    /// response. What exceeds the size of a request is discarded; from then on nothing is kept, and
+    /// the connection ends with the current request.
     fn keep_or_discard(&self, bytes: &[u8]) {
         let discarded = &self.state.discarded;
         if discarded.get() == 0 && self.state.reserve_read_ahead(bytes.len()) {
--- a/crates/router/src/frontend/headers.rs
+++ b/crates/router/src/frontend/headers.rs
@@ -1,4 +1,4 @@
-//! Which headers of a client's request a server is sent.
+//! Which headers of a client's request are forwarded to an endpoint.
 
 use http::header::{
     HeaderName, CONNECTION, CONTENT_LENGTH, CONTENT_TYPE, EXPECT, HOST, PROXY_AUTHENTICATE,
@@ -6,7 +6,8 @@
 };
 use http::HeaderMap;
 
-/// Headers that concern one connection alone (RFC 9110, 7.6.1), and the framing of the body, which is sent anew.
+/// Headers that concern one connection alone (RFC 9110, 7.6.1), and the framing of the body, which
+/// each attempt writes anew.
 const HOP_BY_HOP: [HeaderName; 10] = [
     CONNECTION,
     CONTENT_LENGTH,
@@ -24,31 +25,40 @@
 /// Headers that each attempt sets itself.
 const SET_BY_ATTEMPT: [&str; 2] = ["x-request-id", "x-deadline-ms"];
 
-/// The headers that pass on unchanged: all but those of the connection and those that an attempt sets itself. What a
-/// server needs of them is the server's affair: an idempotency key, for one, by which it discards repeats.
+/// The headers that are forwarded unchanged: all but the hop-by-hop ones and those that an attempt
+/// sets itself. They may mean something to the endpoint: an idempotency key, for one, lets it
+/// discard repeated requests.
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    let named = headers
+    let listed = listed_in_connection(headers);
+    headers
+        .iter()
+        .filter(|(name, _)| is_forwarded(name, &listed))
+        .map(|(name, value)| (name.clone(), value.clone()))
+        .collect()
+}
+
+/// The names that the `Connection` headers list: those headers are hop-by-hop too.
+fn listed_in_connection(headers: &HeaderMap) -> Vec<&str> {
+    headers
         .get_all(CONNECTION)
         .iter()
-        .filter_map(|value| value.to_str().ok());
-    let named: Vec<&str> = named
+        .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .map(str::trim)
-        .collect();
-    let stays = |name: &HeaderName| {
-        name == CONTENT_TYPE
-            || HOP_BY_HOP.contains(name)
-            || HOP_BY_HOP_NAMES.contains(&name.as_str())
-            || SET_BY_ATTEMPT.contains(&name.as_str())
-            || named
-                .iter()
-                .any(|other| name.as_str().eq_ignore_ascii_case(other))
-    };
-    let passed = headers.iter().filter(|(name, _)| !stays(name));
-    passed
-        .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
 }
 
+fn is_forwarded(name: &HeaderName, listed_in_connection: &[&str]) -> bool {
+    let is_listed = listed_in_connection
+        .iter()
+        .any(|listed| name.as_str().eq_ignore_ascii_case(listed));
+    // Each attempt sets the media type from the message.
+    name != CONTENT_TYPE
+        && !HOP_BY_HOP.contains(name)
+        && !HOP_BY_HOP_NAMES.contains(&name.as_str())
+        && !SET_BY_ATTEMPT.contains(&name.as_str())
+        && !is_listed
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/router/src/frontend/headers/tests.rs
+++ b/crates/router/src/frontend/headers/tests.rs
@@ -1,7 +1,9 @@
+//! Tests of the selection of forwarded headers.
+
 use super::*;
 
 #[test]
-fn headers_of_the_connection_stay_and_all_others_pass_on_with_each_of_their_values() {
+fn hop_by_hop_headers_are_dropped_and_all_others_are_forwarded_with_each_value() {
     let headers = [
         ("connection", "keep-alive, x-hop"),
         ("content-length", "2"),
--- a/crates/router/src/frontend/platform.rs
+++ b/crates/router/src/frontend/platform.rs
@@ -1,13 +1,14 @@
-//! The platform's front: chat completions, described by headers, whose bodies pass unread.
+//! The platform API: chat completions that are described by headers, with bodies that pass unread.
 
 use std::rc::Rc;
 use std::str::FromStr;
 use std::time::Duration;
 
+use bytes::Bytes;
 use cranetack_routing_policy::ClassId;
 use cranetack_settings::SiteSettings;
 use http::header::{CONNECTION, CONTENT_TYPE};
-use http::request::Parts as Head;
+use http::request::Parts as RequestHead;
 use http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode};
 
 use super::byte_budget::ByteBudget;
@@ -19,52 +20,76 @@
 use crate::core::{Handle, IncomingRequest};
 use crate::exchange::{FinalResponse, Message};
 
-const CHAT: &str = "/v1/chat/completions";
-const UP: &str = "/up";
+const CHAT_PATH: &str = "/v1/chat/completions";
+const READINESS_PATH: &str = "/up";
 
-/// The front as a service.
+const REQUEST_ID: &str = "X-Request-Id";
+const CLASS: &str = "X-Class";
+const DEADLINE_MS: &str = "X-Deadline-Ms";
+const COST_HINT: &str = "X-Cost-Hint";
+const SESSION: &str = "X-Key";
+const RETRY: &str = "X-Retry";
+const EXTRAS: &str = "X-Extras";
+
+/// The value of [`RETRY`] with which a client resumes a broken stream.
+const RETRY_RESUMED: &str = "again";
+
+/// The platform API as a frontend. Cheap to clone.
 #[derive(Clone)]
 pub struct Platform {
     handle: Handle,
-    classes: Rc<Vec<String>>,
+    class_names: Rc<Vec<String>>,
     readiness: Readiness,
     budget: ByteBudget,
 }
 
 impl Platform {
-    /// A front that hands its requests to `handle`.
+    /// A frontend that submits its requests to `handle`.
     pub fn new(handle: Handle, site: &SiteSettings, readiness: Readiness) -> Platform {
-        let classes = Rc::new(site.classes.iter().map(|c| c.name.clone()).collect());
+        let class_names = site.classes.iter().map(|c| c.name.clone()).collect();
         Platform {
             handle,
-            classes,
+            class_names: Rc::new(class_names),
             readiness,
+            // The connection limit bounds the bytes of all bodies here.
             budget: ByteBudget::new(usize::MAX),
         }
     }
 
-    async fn chat(&self, request: Request<RequestBody>) -> Result<Response<ResponseBody>, Wrong> {
+    fn readiness_response(&self) -> Response<ResponseBody> {
+        if self.readiness.is_ready() {
+            text_response(StatusCode::OK, "ready\n")
+        } else {
+            text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
+        }
+    }
+
+    async fn chat(
+        &self,
+        request: Request<RequestBody>,
+    ) -> Result<Response<ResponseBody>, RequestError> {
         let (head, body) = request.into_parts();
-        // The number of connections bounds what bodies hold here.
         let (body, _reservation) = body
             .read_to_end(None, REQUEST_BODY_LIMIT, &self.budget)
             .await?;
-        let caller = self.handle.submit(decode(&head, body, &self.classes)?);
-        let (answer, gone) = caller.response().await;
-        Ok(match answer {
+        let incoming = decode(&head, body, &self.class_names)?;
+        let (response, disconnect) = self.handle.submit(incoming).response().await;
+        Ok(match response {
             FinalResponse::Streaming { media_type, body } => {
-                streaming_response(&media_type, body, gone)
+                streaming_response(&media_type, body, disconnect)
             }
-            FinalResponse::Rejected(pause) => {
-                let mut response = text(
+            FinalResponse::Rejected(retry_after) => {
+                let mut response = text_response(
                     StatusCode::SERVICE_UNAVAILABLE,
                     "refused: there is no room now\n",
                 );
-                set_retry_after(&mut response, pause);
+                set_retry_after(&mut response, retry_after);
                 response
             }
-            FinalResponse::Failed => text(StatusCode::BAD_GATEWAY, "failed: it may have run\n"),
-            FinalResponse::DuplicateId => text(
+            FinalResponse::Failed => {
+                text_response(StatusCode::BAD_GATEWAY, "failed: it may have run\n")
+            }
+            FinalResponse::DuplicateId => text_response(
                 StatusCode::CONFLICT,
                 "another request with this id is open\n",
             ),
@@ -75,19 +100,21 @@
 impl Frontend for Platform {
     async fn respond(self, request: Request<RequestBody>) -> Response<ResponseBody> {
         match (request.method(), request.uri().path()) {
-            (&Method::GET, UP) if self.readiness.is_ready() => text(StatusCode::OK, "ready\n"),
-            (&Method::GET, UP) => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-            (&Method::POST, CHAT) => self.chat(request).await.unwrap_or_else(Wrong::response),
-            (_, UP | CHAT) => text(
+            (&Method::GET, READINESS_PATH) => self.readiness_response(),
+            (&Method::POST, CHAT_PATH) => self
+                .chat(request)
+                .await
+                .unwrap_or_else(RequestError::into_response),
+            (_, READINESS_PATH | CHAT_PATH) => text_response(
                 StatusCode::METHOD_NOT_ALLOWED,
                 "this method is not served here\n",
             ),
-            _ => text(StatusCode::NOT_FOUND, "there is nothing at this path\n"),
+            _ => text_response(StatusCode::NOT_FOUND, "there is nothing at this path\n"),
         }
     }
 }
 
-fn text(status: StatusCode, text: impl Into<bytes::Bytes>) -> Response<ResponseBody> {
+fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::full(text));
     *response.status_mut() = status;
     response.headers_mut().insert(
@@ -97,26 +124,28 @@
     response
 }
 
-/// What is wrong with a request.
+/// Why a request cannot be decoded.
 #[derive(Debug, PartialEq, thiserror::Error)]
-enum Wrong {
+enum RequestError {
     #[error("the header {0} is missing")]
-    Missing(&'static str),
+    MissingHeader(&'static str),
     #[error("the header {0} cannot be read")]
-    Unreadable(&'static str),
+    InvalidHeader(&'static str),
     #[error("the class {0:?} is not known")]
-    Class(String),
+    UnknownClass(String),
     #[error(transparent)]
     Body(#[from] BodyError),
 }
 
-impl Wrong {
-    fn response(self) -> Response<ResponseBody> {
+impl RequestError {
+    fn into_response(self) -> Response<ResponseBody> {
         let status = match self {
-            Wrong::Body(error) => error.status(),
-            _ => StatusCode::BAD_REQUEST,
+            RequestError::Body(error) => error.status(),
+            RequestError::MissingHeader(_)
+            | RequestError::InvalidHeader(_)
+            | RequestError::UnknownClass(_) => StatusCode::BAD_REQUEST,
         };
-        let mut response = text(status, format!("{self}\n"));
+        let mut response = text_response(status, format!("{self}\n"));
         response
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
@@ -124,78 +153,117 @@
     }
 }
 
-fn header<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, Wrong> {
+fn optional_header<'a>(
+    headers: &'a HeaderMap,
+    name: &'static str,
+) -> Result<Option<&'a str>, RequestError> {
     let value = headers.get(name).map(HeaderValue::to_str).transpose();
-    value.map_err(|_| Wrong::Unreadable(name))
+    value.map_err(|_| RequestError::InvalidHeader(name))
 }
 
-fn needed<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, Wrong> {
-    header(headers, name)?
-        .filter(|v| !v.is_empty())
-        .ok_or(Wrong::Missing(name))
+/// The value of a header that must be present and not empty.
+fn required_header<'a>(
+    headers: &'a HeaderMap,
+    name: &'static str,
+) -> Result<&'a str, RequestError> {
+    match optional_header(headers, name)? {
+        Some(value) if !value.is_empty() => Ok(value),
+        _ => Err(RequestError::MissingHeader(name)),
+    }
 }
 
-fn number<T: FromStr>(text: &str, name: &'static str) -> Result<T, Wrong> {
-    text.trim().parse().map_err(|_| Wrong::Unreadable(name))
+fn parse_number<T: FromStr>(text: &str, header: &'static str) -> Result<T, RequestError> {
+    let number = text.trim().parse();
+    number.map_err(|_| RequestError::InvalidHeader(header))
 }
 
-fn decode(head: &Head, body: bytes::Bytes, classes: &[String]) -> Result<IncomingRequest, Wrong> {
+fn decode(
+    head: &RequestHead,
+    body: Bytes,
+    class_names: &[String],
+) -> Result<IncomingRequest, RequestError> {
     let headers = &head.headers;
-    let name = needed(headers, "X-Request-Id")?;
-    if !is_valid_request_id(name) {
-        return Err(Wrong::Unreadable("X-Request-Id"));
+    let request_id = required_header(headers, REQUEST_ID)?;
+    if !is_valid_request_id(request_id) {
+        return Err(RequestError::InvalidHeader(REQUEST_ID));
     }
-    let class = needed(headers, "X-Class")?;
-    let class = classes
-        .iter()
-        .position(|c| c == class)
-        .ok_or_else(|| Wrong::Class(class.to_owned()))?;
-    let time_to_first_byte: u32 = number(needed(headers, "X-Deadline-Ms")?, "X-Deadline-Ms")?;
-    let hint = header(headers, "X-Cost-Hint")?
-        .map(|v| number::<u32>(v, "X-Cost-Hint"))
-        .transpose()?;
-    let retry = header(headers, "X-Retry")?;
-    let target = head
-        .uri
-        .path_and_query()
-        .map_or(CHAT, |t| t.as_str())
-        .to_owned();
-    let media_type = header(headers, "content-type")?
-        .unwrap_or("application/json")
-        .to_owned();
-    let mut incoming = IncomingRequest {
-        request_id: name.into(),
-        class: ClassId(class),
-        session: header(headers, "X-Key")?.map(str::to_owned),
-        shared_prefix: None,
+    let class = decode_class(headers, class_names)?;
+    let time_to_first_byte: u32 =
+        parse_number(required_header(headers, DEADLINE_MS)?, DEADLINE_MS)?;
+    let expected_duration: Option<u32> = match optional_header(headers, COST_HINT)? {
+        Some(milliseconds) => Some(parse_number(milliseconds, COST_HINT)?),
+        None => None,
+    };
+    let retry = optional_header(headers, RETRY)?;
+    let message = endpoint_message(head, body)?;
+    let session = optional_header(headers, SESSION)?;
+    let extras = Extras::decode(optional_header(headers, EXTRAS)?.unwrap_or(""))?;
+    Ok(IncomingRequest {
+        request_id: request_id.into(),
+        class,
+        session: session.map(str::to_owned),
+        shared_prefix: extras.shared_prefix,
         time_to_first_byte: Duration::from_millis(time_to_first_byte.into()),
-        expected_duration: hint.map(|ms| Duration::from_millis(ms.into())),
-        prompt_tokens: 0,
-        shared_prefix_tokens: 0,
-        max_tokens: 0,
+        expected_duration: expected_duration.map(|ms| Duration::from_millis(ms.into())),
+        prompt_tokens: extras.prompt_tokens,
+        shared_prefix_tokens: extras.shared_prefix_tokens,
+        max_tokens: extras.max_tokens,
         is_retry: retry.is_some(),
-        is_resumed: retry == Some("again"),
+        is_resumed: retry == Some(RETRY_RESUMED),
         allowed_kinds: None,
-        message: Rc::new(Message {
-            target,
-            media_type,
-            headers: end_to_end(headers),
-            body,
-        }),
+        message: Rc::new(message),
+    })
+}
+
+fn decode_class(headers: &HeaderMap, class_names: &[String]) -> Result<ClassId, RequestError> {
+    let name = required_header(headers, CLASS)?;
+    match class_names.iter().position(|known| known == name) {
+        Some(index) => Ok(ClassId(index)),
+        None => Err(RequestError::UnknownClass(name.to_owned())),
+    }
+}
+
+/// What endpoints are sent of a request.
+fn endpoint_message(head: &RequestHead, body: Bytes) -> Result<Message, RequestError> {
+    let target = match head.uri.path_and_query() {
+        Some(target) => target.as_str(),
+        None => CHAT_PATH,
     };
-    for pair in header(headers, "X-Extras")?.unwrap_or("").split(',') {
-        let Some((key, value)) = pair.trim().split_once('=') else {
-            continue;
-        };
-        match key {
-            "prefix" => incoming.shared_prefix = Some(value.to_owned()),
-            "prompt_len" => incoming.prompt_tokens = number(value, "X-Extras")?,
-            "prefix_len" => incoming.shared_prefix_tokens = number(value, "X-Extras")?,
-            "max_out" => incoming.max_tokens = number(value, "X-Extras")?,
-            _ => {}
+    let media_type = optional_header(&head.headers, "content-type")?.unwrap_or("application/json");
+    Ok(Message {
+        target: target.to_owned(),
+        media_type: media_type.to_owned(),
+        headers: end_to_end(&head.headers),
+        body,
+    })
+}
+
+/// The pairs of the header [`EXTRAS`] that the router uses; others are ignored.
+#[derive(Default)]
+struct Extras {
+    shared_prefix: Option<String>,
+    prompt_tokens: u64,
+    shared_prefix_tokens: u64,
+    max_tokens: u64,
+}
+
+impl Extras {
+    fn decode(text: &str) -> Result<Extras, RequestError> {
+        let mut extras = Extras::default();
+        for pair in text.split(',') {
+            let Some((key, value)) = pair.trim().split_once('=') else {
+                continue;
+            };
+            match key {
+                "prefix" => extras.shared_prefix = Some(value.to_owned()),
+                "prompt_len" => extras.prompt_tokens = parse_number(value, EXTRAS)?,
+                "prefix_len" => extras.shared_prefix_tokens = parse_number(value, EXTRAS)?,
+                "max_out" => extras.max_tokens = parse_number(value, EXTRAS)?,
+                _ => {}
+            }
         }
+        Ok(extras)
     }
-    Ok(incoming)
 }
 
 #[cfg(test)]
--- a/crates/router/src/frontend/platform/tests.rs
+++ b/crates/router/src/frontend/platform/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of `platform`.
+//! Tests of decoding requests of the platform API.
 
 use super::*;
 
-fn head(headers: &[(&str, &str)]) -> Head {
+fn head(headers: &[(&str, &str)]) -> RequestHead {
     let request = Request::post("/v1/chat/completions?a=b");
     let request = headers
         .iter()
@@ -14,7 +14,7 @@
     vec!["lookup".to_owned(), "order".to_owned()]
 }
 
-const WHOLE: [(&str, &str); 5] = [
+const HEADERS: [(&str, &str); 5] = [
     ("X-Request-Id", "9b1f"),
     ("X-Class", "order"),
     ("X-Key", "7f3a"),
@@ -27,7 +27,7 @@
 
 #[test]
 fn a_request_is_decoded_from_its_headers() {
-    let incoming = decode(&head(&WHOLE), "{}".into(), &classes()).unwrap();
+    let incoming = decode(&head(&HEADERS), "{}".into(), &classes()).unwrap();
     assert_eq!(
         (&*incoming.request_id, incoming.class),
         ("9b1f", ClassId(1))
@@ -48,34 +48,55 @@
 }
 
 #[test]
-fn bad_input_is_told_plainly() {
-    for (name, value, wrong) in [
-        ("X-Request-Id", "", Wrong::Missing("X-Request-Id")),
-        ("X-Request-Id", "a/../b", Wrong::Unreadable("X-Request-Id")),
-        ("X-Class", "other", Wrong::Class("other".to_owned())),
-        ("X-Deadline-Ms", "-1", Wrong::Unreadable("X-Deadline-Ms")),
+fn invalid_headers_are_rejected_with_an_error_that_names_them() {
+    for (name, value, error) in [
+        (
+            "X-Request-Id",
+            "",
+            RequestError::MissingHeader("X-Request-Id"),
+        ),
+        (
+            "X-Request-Id",
+            "a/../b",
+            RequestError::InvalidHeader("X-Request-Id"),
+        ),
+        (
+            "X-Class",
+            "other",
+            RequestError::UnknownClass("other".to_owned()),
+        ),
+        (
+            "X-Deadline-Ms",
+            "-1",
+            RequestError::InvalidHeader("X-Deadline-Ms"),
+        ),
         (
             "X-Deadline-Ms",
             "99999999999999",
-            Wrong::Unreadable("X-Deadline-Ms"),
+            RequestError::InvalidHeader("X-Deadline-Ms"),
+        ),
+        (
+            "X-Extras",
+            "prompt_len=many",
+            RequestError::InvalidHeader("X-Extras"),
         ),
-        ("X-Extras", "prompt_len=many", Wrong::Unreadable("X-Extras")),
     ] {
-        let mut headers = WHOLE;
-        headers
-            .iter_mut()
-            .filter(|(n, _)| *n == name)
-            .for_each(|h| h.1 = value);
+        let mut headers = HEADERS;
+        for header in &mut headers {
+            if header.0 == name {
+                header.1 = value;
+            }
+        }
         assert_eq!(
             decode(&head(&headers), "{}".into(), &classes()).unwrap_err(),
-            wrong
+            error
         );
     }
 }
 
 #[test]
-fn a_client_that_asks_for_the_rest_is_marked() {
-    let mut headers = WHOLE.to_vec();
+fn a_resumed_stream_is_marked_as_retry_and_resumed() {
+    let mut headers = HEADERS.to_vec();
     headers.push(("X-Retry", "again"));
     let incoming = decode(&head(&headers), "{}".into(), &classes()).unwrap();
     assert!(incoming.is_retry && incoming.is_resumed);
--- a/crates/router/src/frontend/response_body.rs
+++ b/crates/router/src/frontend/response_body.rs
@@ -85,8 +85,8 @@
 }
 
 impl StreamBody {
-    /// On an error, hyper closes the connection without the last chunk, and without the data that it
-    /// has not written yet. So the error is held back for one poll: the client gets what arrived
+    /// On an error, hyper closes the connection without the last chunk, and without the data that
+    /// it has not written yet. So the error is held back for one poll: the client gets what arrived
     /// before it.
     fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, IncompleteBody>>> {
         if self.is_broken {
--- a/crates/router/src/frontend/server.rs
+++ b/crates/router/src/frontend/server.rs
@@ -121,7 +121,8 @@
     connection.close_gracefully(stream).await;
 }
 
-/// Serves the requests of a connection until it ends, its client disconnects, or it is to be closed.
+/// Serves the requests of a connection until it ends, its client disconnects, or it is to be
+/// closed.
 async fn serve_requests<F: Frontend>(
     stream: Rc<RefCell<Socket>>,
     connection: &ClientConnection,
