--- /dev/null
+++ b/crates/batch-scheduler/src/deficit_round_robin/tests.rs
@@ -0,0 +1,82 @@
+//! Tests of the deficit round robin.
+
+use super::*;
+
+const fn flow(tenant: u64) -> Flow {
+    Flow { class: 0, tenant }
+}
+
+/// Takes turns in which a batch is ready again as soon as it has been served; returns the tokens of
+/// each flow.
+fn tokens_by_flow(batches: &[(u64, u64, u64)], quantum: u64, turns: usize) -> HashMap<u64, u64> {
+    let mut given = HashMap::new();
+    let mut round_robin = DeficitRoundRobin::new(quantum);
+    for (batch, tenant, _) in batches {
+        round_robin.push(flow(*tenant), *batch);
+    }
+    for _ in 0..turns {
+        let size = |batch: u64| batches.iter().find(|b| b.0 == batch).map(|b| b.2);
+        let batch = round_robin.next(size).unwrap();
+        let (_, tenant, tokens) = batches.iter().find(|b| b.0 == batch).unwrap();
+        *given.entry(*tenant).or_default() += tokens;
+        round_robin.push(flow(*tenant), batch);
+    }
+    given
+}
+
+#[test]
+fn flows_get_equal_tokens_whatever_their_slice_sizes_and_batch_counts() {
+    // One tenant with ten batches, one with one; large slices beside small ones.
+    let mut batches = vec![(100, 2, 300), (200, 3, 5_000)];
+    batches.extend((0..10).map(|n| (n, 1, 700)));
+    let given = tokens_by_flow(&batches, 500, 4_000);
+    let (least, most) = (given.values().min().unwrap(), given.values().max().unwrap());
+    assert!(most - least <= 10_000, "{given:?}");
+    assert!(*least > 300_000);
+}
+
+#[test]
+fn batches_of_one_flow_take_turns() {
+    let mut round_robin = DeficitRoundRobin::new(100);
+    for batch in 1..=3 {
+        round_robin.push(flow(1), batch);
+    }
+    let mut order = Vec::new();
+    for _ in 0..6 {
+        let batch = round_robin.next(|_| Some(10)).unwrap();
+        order.push(batch);
+        round_robin.push(flow(1), batch);
+    }
+    assert_eq!(order, [1, 2, 3, 1, 2, 3]);
+}
+
+#[test]
+fn batches_and_flows_that_are_no_longer_ready_are_skipped_and_removed() {
+    let mut round_robin = DeficitRoundRobin::new(100);
+    for n in 0..1_000 {
+        round_robin.push(flow(n), n);
+    }
+    assert_eq!(
+        round_robin.next(|batch| (batch == 999).then_some(250)),
+        Some(999)
+    );
+    assert_eq!(round_robin.next(|_| Some(1)), None);
+    // The one in debt is kept until idle flows are removed.
+    assert_eq!(round_robin.flow_count(), 1);
+    round_robin.remove_idle_flows();
+    assert_eq!(round_robin.flow_count(), 0);
+}
+
+#[test]
+fn a_slice_larger_than_the_quantum_is_sent_at_once_and_paid_for_later() {
+    let mut round_robin = DeficitRoundRobin::new(10);
+    round_robin.push(flow(1), 1);
+    assert_eq!(round_robin.next(|_| Some(1_000_000)), Some(1));
+    round_robin.push(flow(1), 1);
+    round_robin.push(flow(2), 2);
+    let size = |batch| Some(if batch == 1 { 1_000_000 } else { 1_000 });
+    for _ in 0..900 {
+        assert_eq!(round_robin.next(size), Some(2));
+        round_robin.push(flow(2), 2);
+    }
+}
--- a/crates/batch-scheduler/tests/engine.rs
+++ b/crates/batch-scheduler/tests/engine.rs
@@ -1,64 +1,73 @@
-//! The engine as a whole: against a model with random steps, and case by case.
+//! The scheduler as a whole: against a model with random steps, and case by case.
 
 use std::collections::HashMap;
 
 use cranetack_batch_scheduler::{
-    BatchId, Engine, Failure, Flow, Micros, Opening, Order, Refusal, Settings, Verdict,
+    BatchId, BatchOutcome, BatchScheduler, BatchSpec, Flow, Load, Micros, Rejection,
+    SchedulerConfig, SliceDispatch, SliceFailure,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 const MS: Micros = 1_000;
 
+fn load(open_batches: usize, slices_in_flight: usize) -> Load {
+    Load {
+        open_batches,
+        slices_in_flight,
+    }
+}
+
 fn flow(class: u32, tenant: u64) -> Flow {
     Flow { class, tenant }
 }
 
-fn opening(tokens: &[u32], due: Micros) -> Opening {
-    Opening {
+fn batch_spec(tokens: &[u32], deadline: Micros) -> BatchSpec {
+    BatchSpec {
         flow: flow(0, 1),
-        tokens: tokens.to_vec(),
-        common: 0,
-        first: 100,
-        due,
-        repeats: true,
+        item_tokens: tokens.to_vec(),
+        shared_tokens: 0,
+        initial_slice_tokens: 100,
+        deadline,
+        is_idempotent: true,
     }
 }
 
-fn engine(change: impl FnOnce(&mut Settings)) -> Engine {
-    let mut settings = Settings {
-        least_tokens: 10,
-        ..Settings::default()
+fn scheduler(change: impl FnOnce(&mut SchedulerConfig)) -> BatchScheduler {
+    let mut config = SchedulerConfig {
+        min_slice_tokens: 10,
+        ..SchedulerConfig::default()
     };
-    change(&mut settings);
-    Engine::new(settings)
+    change(&mut config);
+    BatchScheduler::new(config)
 }
 
-/// What the model knows of a batch.
-struct Known {
+const MAX_IN_FLIGHT: usize = 3;
+const MAX_OPEN_BATCHES: usize = 6;
+
+/// What the model knows of an open batch.
+struct ModelBatch {
     items: usize,
-    due: Micros,
-    repeats: bool,
+    deadline: Micros,
+    is_idempotent: bool,
     served: usize,
-    out: Option<Order>,
-    /// Items up to here may have run without an answer.
-    may_have_run: usize,
-    verdict: Option<Verdict>,
+    in_flight: Option<SliceDispatch>,
+    /// Items before this one may have been executed without a response.
+    may_have_been_executed: usize,
+    outcome: Option<BatchOutcome>,
 }
 
 #[derive(Debug, Clone)]
 enum Step {
     Open {
-        tokens: Vec<u32>,
+        item_tokens: Vec<u32>,
         tenant: u64,
-        patience: Micros,
-        repeats: bool,
+        timeout: Micros,
+        is_idempotent: bool,
     },
-    Send,
-    Serve(usize),
-    Fail(usize),
-    Refuse(usize, Micros),
-    NoRoom(usize, Micros),
+    Dispatch,
+    Succeed(usize),
+    Fail(usize, SliceFailure),
     Close(usize),
     Wait(Micros),
 }
@@ -70,183 +79,255 @@
         1..400 * MS,
         any::<bool>(),
     );
+    let open = open.prop_map(|(item_tokens, tenant, timeout, is_idempotent)| Step::Open {
+        item_tokens,
+        tenant,
+        timeout,
+        is_idempotent,
+    });
+    let rejected = |(n, retry_after)| Step::Fail(n, SliceFailure::Rejected { retry_after });
+    let out_of_memory = |(n, retry_after)| Step::Fail(n, SliceFailure::OutOfMemory { retry_after });
     prop_oneof![
-        2 => open.prop_map(|(tokens, tenant, patience, repeats)| Step::Open { tokens, tenant, patience, repeats }),
-        6 => Just(Step::Send),
-        6 => (0..9_usize).prop_map(Step::Serve),
-        2 => (0..9_usize).prop_map(Step::Fail),
-        2 => (0..9_usize, 0..30 * MS).prop_map(|(n, pause)| Step::Refuse(n, pause)),
-        2 => (0..9_usize, 0..30 * MS).prop_map(|(n, pause)| Step::NoRoom(n, pause)),
+        2 => open,
+        6 => Just(Step::Dispatch),
+        6 => (0..9_usize).prop_map(Step::Succeed),
+        2 => (0..9_usize).prop_map(|n| Step::Fail(n, SliceFailure::Failed)),
+        2 => (0..9_usize, 0..30 * MS).prop_map(rejected),
+        2 => (0..9_usize, 0..30 * MS).prop_map(out_of_memory),
         1 => (0..9_usize).prop_map(Step::Close),
         3 => (0..20 * MS).prop_map(Step::Wait),
     ]
 }
 
-/// Whatever happens: one slice of a batch out, none but what is not served, in order, each item once; nothing
-/// that may have run and must not run twice; one verdict, nothing after it; and all ends by its deadline.
-fn check(steps: Vec<Step>) -> Result<(), TestCaseError> {
-    let mut engine = engine(|s| (s.at_once, s.open_most) = (3, 6));
-    let mut known: HashMap<BatchId, Known> = HashMap::new();
-    let (mut now, mut successes, mut repeats) = (0, 0, 0);
-    for step in steps {
-        let nth = |known: &HashMap<BatchId, Known>, n: usize| {
-            let mut out: Vec<_> = known
-                .iter()
-                .filter(|(_, k)| k.out.is_some())
-                .map(|(id, _)| *id)
-                .collect();
-            out.sort();
-            (!out.is_empty()).then(|| out[n % out.len()])
-        };
+/// The scheduler beside a model of its batches.
+///
+/// Whatever the steps: a batch has one slice in flight, which begins with its first item that has
+/// not been served, so that items are served in order and once. Nothing that may have been executed
+/// is executed again unless it is idempotent. A batch has one outcome, with nothing after it, by
+/// its deadline.
+struct Model {
+    scheduler: BatchScheduler,
+    batches: HashMap<BatchId, ModelBatch>,
+    now: Micros,
+    successes: u32,
+    retries: usize,
+}
+
+impl Model {
+    fn new() -> Model {
+        let scheduler = scheduler(|config| {
+            config.max_in_flight = MAX_IN_FLIGHT;
+            config.max_open_batches = MAX_OPEN_BATCHES;
+        });
+        Model {
+            scheduler,
+            batches: HashMap::new(),
+            now: 0,
+            successes: 0,
+            retries: 0,
+        }
+    }
+
+    /// One of the batches with a slice in flight.
+    fn nth_in_flight(&self, n: usize) -> Option<BatchId> {
+        let in_flight = self.batches.iter().filter(|(_, b)| b.in_flight.is_some());
+        nth(in_flight.map(|(id, _)| *id).collect(), n)
+    }
+
+    fn take(&mut self, step: Step) -> Result<(), TestCaseError> {
         match step {
             Step::Open {
-                tokens,
+                item_tokens,
                 tenant,
-                patience,
-                repeats,
+                timeout,
+                is_idempotent,
             } => {
-                let items = tokens.len();
-                let due = now + patience;
-                let opening = Opening {
+                let spec = BatchSpec {
                     flow: flow(0, tenant),
-                    tokens,
-                    common: 5,
-                    first: 100,
-                    due,
-                    repeats,
+                    item_tokens,
+                    shared_tokens: 5,
+                    initial_slice_tokens: 100,
+                    deadline: self.now + timeout,
+                    is_idempotent,
                 };
-                let full = known.len() >= 6;
-                match engine.open(now, opening) {
-                    Ok(id) => {
-                        prop_assert!(!full);
-                        let (served, out, may_have_run, verdict) = (0, None, 0, None);
-                        let batch = Known {
-                            items,
-                            due,
-                            repeats,
-                            served,
-                            out,
-                            may_have_run,
-                            verdict,
-                        };
-                        prop_assert!(known.insert(id, batch).is_none());
-                    }
-                    Err(Refusal { come_back }) => prop_assert!(come_back > 0),
-                }
+                self.open(spec)?;
             }
-            Step::Send => {
-                if let Some(order) = engine.next(now) {
-                    let batch = known.get_mut(&order.batch).expect("it is open");
-                    prop_assert!(batch.out.is_none() && batch.verdict.is_none());
-                    prop_assert_eq!(order.items.start, batch.served);
-                    prop_assert!(
-                        order.items.end > order.items.start && order.items.end <= batch.items
-                    );
-                    prop_assert!(
-                        batch.repeats || order.items.start >= batch.may_have_run,
-                        "ran twice"
-                    );
-                    repeats += usize::from(order.items.start < batch.may_have_run);
-                    batch.out = Some(order);
+            Step::Dispatch => self.dispatch()?,
+            Step::Succeed(n) => {
+                if let Some(id) = self.nth_in_flight(n) {
+                    let batch = self.batches.get_mut(&id).unwrap();
+                    batch.served = batch.in_flight.take().unwrap().items.end;
+                    self.successes += 1;
+                    self.scheduler.slice_succeeded(self.now, id);
                 }
             }
-            Step::Serve(n) => {
-                if let Some(id) = nth(&known, n) {
-                    let batch = known.get_mut(&id).unwrap();
-                    batch.served = batch.out.take().unwrap().items.end;
-                    successes += 1;
-                    engine.served(now, id);
-                }
-            }
-            Step::Fail(n) => {
-                if let Some(id) = nth(&known, n) {
-                    let batch = known.get_mut(&id).unwrap();
-                    batch.may_have_run = batch.out.take().unwrap().items.end;
-                    engine.failed(now, id, Failure::Failed);
-                }
-            }
-            Step::Refuse(n, pause) => {
-                if let Some(id) = nth(&known, n) {
-                    known.get_mut(&id).unwrap().out = None;
-                    engine.failed(now, id, Failure::Refused(pause));
-                }
-            }
-            Step::NoRoom(n, pause) => {
-                if let Some(id) = nth(&known, n) {
-                    known.get_mut(&id).unwrap().out = None;
-                    engine.failed(now, id, Failure::NoRoom(pause));
+            Step::Fail(n, failure) => {
+                if let Some(id) = self.nth_in_flight(n) {
+                    let batch = self.batches.get_mut(&id).unwrap();
+                    let slice = batch.in_flight.take().unwrap();
+                    if failure == SliceFailure::Failed {
+                        batch.may_have_been_executed = slice.items.end;
+                    }
+                    self.scheduler.slice_failed(self.now, id, failure);
                 }
             }
             Step::Close(n) => {
-                let mut all: Vec<_> = known.keys().copied().collect();
-                all.sort();
-                if let Some(id) = (!all.is_empty()).then(|| all[n % all.len()]) {
-                    engine.close(id);
-                    known.remove(&id);
+                if let Some(id) = nth(self.batches.keys().copied().collect(), n) {
+                    self.scheduler.close(id);
+                    self.batches.remove(&id);
                 }
             }
             Step::Wait(span) => {
-                now += span;
-                engine.tick(now);
-                prop_assert!(engine.wake().is_none_or(|at| at > now));
+                self.now += span;
+                self.scheduler.tick(self.now);
+                prop_assert!(self.scheduler.next_wake().is_none_or(|at| at > self.now));
             }
         }
-        while let Some((id, verdict)) = engine.verdict() {
-            let batch = known.get_mut(&id).expect("it is open");
-            prop_assert!(batch.verdict.replace(verdict).is_none(), "two verdicts");
-            prop_assert_eq!(verdict == Verdict::Whole, batch.served == batch.items);
-            prop_assert!(verdict != Verdict::Late || now >= batch.due);
-            let refused = matches!(verdict, Verdict::Refused(_));
+        Ok(())
+    }
+
+    fn open(&mut self, spec: BatchSpec) -> Result<(), TestCaseError> {
+        let batch = ModelBatch {
+            items: spec.item_tokens.len(),
+            deadline: spec.deadline,
+            is_idempotent: spec.is_idempotent,
+            served: 0,
+            in_flight: None,
+            may_have_been_executed: 0,
+            outcome: None,
+        };
+        let is_full = self.batches.len() >= MAX_OPEN_BATCHES;
+        match self.scheduler.open(self.now, spec) {
+            Ok(id) => {
+                prop_assert!(!is_full);
+                prop_assert!(self.batches.insert(id, batch).is_none());
+            }
+            Err(Rejection { retry_after }) => prop_assert!(retry_after > 0),
+        }
+        Ok(())
+    }
+
+    fn dispatch(&mut self) -> Result<(), TestCaseError> {
+        let Some(dispatch) = self.scheduler.next_dispatch(self.now) else {
+            return Ok(());
+        };
+        let items = dispatch.items.clone();
+        let batch = self.batches.get_mut(&dispatch.batch).expect("it is open");
+        prop_assert!(batch.in_flight.is_none() && batch.outcome.is_none());
+        prop_assert_eq!(items.start, batch.served);
+        prop_assert!(items.end > items.start && items.end <= batch.items);
+        prop_assert!(
+            batch.is_idempotent || items.start >= batch.may_have_been_executed,
+            "executed twice"
+        );
+        self.retries += usize::from(items.start < batch.may_have_been_executed);
+        batch.in_flight = Some(dispatch);
+        Ok(())
+    }
+
+    fn check_outcomes(&mut self) -> Result<(), TestCaseError> {
+        while let Some((id, outcome)) = self.scheduler.next_outcome() {
+            let batch = self.batches.get_mut(&id).expect("it is open");
+            prop_assert!(batch.outcome.replace(outcome).is_none(), "two outcomes");
+            let is_completed = outcome == BatchOutcome::Completed;
+            prop_assert_eq!(is_completed, batch.served == batch.items);
+            prop_assert!(outcome != BatchOutcome::DeadlineExceeded || self.now >= batch.deadline);
+            let is_rejected = matches!(outcome, BatchOutcome::Rejected(_));
             prop_assert!(
-                !refused || batch.repeats || batch.may_have_run.max(batch.served) == 0,
-                "not harmless"
+                !is_rejected
+                    || batch.is_idempotent
+                    || batch.may_have_been_executed.max(batch.served) == 0,
+                "a retry is not harmless"
             );
-            batch.out = None;
+            batch.in_flight = None;
         }
-        let out = known.values().filter(|k| k.out.is_some()).count();
-        prop_assert_eq!(engine.load(), (known.len(), out));
-        prop_assert!(out <= 3);
+        Ok(())
+    }
+
+    fn check_load_and_deadlines(&self) -> Result<(), TestCaseError> {
+        let in_flight = self.batches.values().filter(|b| b.in_flight.is_some());
+        let in_flight = in_flight.count();
+        prop_assert_eq!(self.scheduler.load(), load(self.batches.len(), in_flight));
+        prop_assert!(in_flight <= MAX_IN_FLIGHT);
         prop_assert!(
-            known
+            self.batches
                 .values()
-                .all(|k| k.verdict.is_some() || k.due > now || k.due == now),
+                .all(|b| b.outcome.is_some() || b.deadline >= self.now),
             "too late"
         );
         // A share of the successes, and what may be saved.
-        prop_assert!(repeats as f64 <= 10.0 + 0.2 * f64::from(successes) + 1e-9);
+        prop_assert!(self.retries as f64 <= 10.0 + 0.2 * f64::from(self.successes) + 1e-9);
+        Ok(())
+    }
+
+    fn close_all(&mut self) {
+        for id in self.batches.keys() {
+            self.scheduler.close(*id);
+        }
+    }
+}
+
+fn nth(mut ids: Vec<BatchId>, n: usize) -> Option<BatchId> {
+    ids.sort();
+    if ids.is_empty() {
+        return None;
     }
-    let ids: Vec<_> = known.keys().copied().collect();
-    ids.into_iter().for_each(|id| engine.close(id));
-    prop_assert_eq!((engine.load(), engine.wake()), ((0, 0), None));
+    Some(ids[n % ids.len()])
+}
+
+fn check(steps: Vec<Step>) -> Result<(), TestCaseError> {
+    let mut model = Model::new();
+    for step in steps {
+        model.take(step)?;
+        model.check_outcomes()?;
+        model.check_load_and_deadlines()?;
+    }
+    model.close_all();
+    let scheduler = &model.scheduler;
+    prop_assert_eq!(
+        (scheduler.load(), scheduler.next_wake()),
+        (load(0, 0), None)
+    );
     Ok(())
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 256, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 256,
+        rng_seed: RngSeed::Fixed(7),
+        ..ProptestConfig::default()
+    })]
     #[test]
-    fn no_steps_break_a_promise(steps in proptest::collection::vec(step(), 1..120)) {
+    fn no_sequence_of_steps_violates_an_invariant(
+        steps in proptest::collection::vec(step(), 1..120),
+    ) {
         check(steps)?;
     }
 }
 
 #[test]
-fn the_slice_that_failed_is_asked_for_alone_and_what_was_served_is_kept() {
-    let mut engine = engine(|_| ());
-    let id = engine.open(0, opening(&[50; 18], 9_000 * MS)).unwrap();
+fn a_failed_slice_is_retried_alone_and_served_slices_are_kept() {
+    let mut scheduler = scheduler(|_| ());
+    let id = scheduler
+        .open(0, batch_spec(&[50; 18], 9_000 * MS))
+        .unwrap();
     let mut sent = Vec::new();
     let mut now = 0;
     loop {
-        if let Some((of, verdict)) = engine.verdict() {
-            assert_eq!((of, verdict), (id, Verdict::Whole));
+        if let Some((of, outcome)) = scheduler.next_outcome() {
+            assert_eq!((of, outcome), (id, BatchOutcome::Completed));
             break;
         }
-        let order = engine.next(now).unwrap();
-        assert!(engine.next(now).is_none(), "one attempt out");
-        sent.push(order.items.clone());
+        let dispatch = scheduler.next_dispatch(now).unwrap();
+        assert!(
+            scheduler.next_dispatch(now).is_none(),
+            "one slice in flight"
+        );
+        sent.push(dispatch.items.clone());
         now += 10 * MS;
         match sent.len() {
-            7 => engine.failed(now, id, Failure::Failed),
-            _ => engine.served(now, id),
+            7 => scheduler.slice_failed(now, id, SliceFailure::Failed),
+            _ => scheduler.slice_succeeded(now, id),
         }
     }
     assert_eq!(sent[6].start, sent[7].start);
@@ -260,164 +341,198 @@
 }
 
 #[test]
-fn what_may_have_run_is_sent_again_only_where_that_is_permitted() {
-    for (repeats, failure, verdict) in [
-        (false, Failure::Failed, Some(Verdict::Failed)),
-        (true, Failure::Failed, None),
-        (false, Failure::NoRoom(MS), None),
+fn a_slice_that_may_have_been_executed_is_retried_only_if_idempotent() {
+    for (is_idempotent, failure, outcome) in [
+        (false, SliceFailure::Failed, Some(BatchOutcome::Failed)),
+        (true, SliceFailure::Failed, None),
+        (false, SliceFailure::OutOfMemory { retry_after: MS }, None),
         (
             true,
-            Failure::Refused(7_000 * MS),
-            Some(Verdict::Refused(Refusal {
-                come_back: 7_000 * MS,
+            SliceFailure::Rejected {
+                retry_after: 7_000 * MS,
+            },
+            Some(BatchOutcome::Rejected(Rejection {
+                retry_after: 7_000 * MS,
             })),
         ),
     ] {
-        let mut engine = engine(|_| ());
-        let id = engine
+        let mut scheduler = scheduler(|_| ());
+        let id = scheduler
             .open(
                 0,
-                Opening {
-                    repeats,
-                    ..opening(&[50], 900 * MS)
+                BatchSpec {
+                    is_idempotent,
+                    ..batch_spec(&[50], 900 * MS)
                 },
             )
             .unwrap();
-        engine.next(0).unwrap();
-        engine.failed(MS, id, failure);
-        assert_eq!(engine.verdict().map(|(_, v)| v), verdict);
-        engine.tick(20 * MS);
-        assert_eq!(engine.next(20 * MS).is_some(), verdict.is_none());
+        scheduler.next_dispatch(0).unwrap();
+        scheduler.slice_failed(MS, id, failure);
+        assert_eq!(scheduler.next_outcome().map(|(_, o)| o), outcome);
+        scheduler.tick(20 * MS);
+        assert_eq!(
+            scheduler.next_dispatch(20 * MS).is_some(),
+            outcome.is_none()
+        );
     }
 }
 
-/// Guards against repeats that add to an overload: where nothing can be sent, tries end with the budget.
+/// Retries must not add to an overload: where nothing can be sent, attempts end with the budget.
 #[test]
-fn where_there_is_no_room_batches_are_refused_at_once_and_told_when_to_come_back() {
-    let mut engine = engine(|s| s.at_once = 100);
-    let (mut now, mut sent, mut refused) = (0, 0, 0);
+fn without_memory_batches_are_rejected_at_once_with_a_retry_delay() {
+    let mut scheduler = scheduler(|config| config.max_in_flight = 100);
+    let mut now = 0;
+    let mut sent = 0;
+    let mut rejected = 0;
     for _ in 0..40 {
-        engine
-            .open(now, opening(&[50], now + 900_000 * MS))
+        scheduler
+            .open(now, batch_spec(&[50], now + 900_000 * MS))
             .unwrap();
     }
-    while engine.load().0 > 0 {
-        while let Some(order) = engine.next(now) {
+    while scheduler.load().open_batches > 0 {
+        while let Some(dispatch) = scheduler.next_dispatch(now) {
             sent += 1;
-            engine.failed(now, order.batch, Failure::NoRoom(7 * MS));
+            scheduler.slice_failed(
+                now,
+                dispatch.batch,
+                SliceFailure::OutOfMemory {
+                    retry_after: 7 * MS,
+                },
+            );
         }
-        while let Some((id, verdict)) = engine.verdict() {
+        while let Some((id, outcome)) = scheduler.next_outcome() {
             assert!(
-                matches!(verdict, Verdict::Refused(r) if r.come_back > 0),
-                "{verdict:?}"
+                matches!(outcome, BatchOutcome::Rejected(r) if r.retry_after > 0),
+                "{outcome:?}"
             );
-            refused += 1;
-            engine.close(id);
+            rejected += 1;
+            scheduler.close(id);
         }
-        now = engine.wake().unwrap_or(now);
-        engine.tick(now);
+        now = scheduler.next_wake().unwrap_or(now);
+        scheduler.tick(now);
     }
-    assert_eq!((refused, sent), (40, 40 + 10));
+    assert_eq!((rejected, sent), (40, 40 + 10));
     assert!(now < 400 * MS, "none is held until its deadline");
 }
 
 #[test]
-fn a_batch_without_hope_is_refused_when_its_pace_shows_it_and_not_held() {
-    let mut engine = engine(|_| ());
-    let id = engine.open(0, opening(&[100; 100], 1_000 * MS)).unwrap();
+fn a_batch_that_cannot_meet_its_deadline_is_rejected_early() {
+    let mut scheduler = scheduler(|_| ());
+    let id = scheduler
+        .open(0, batch_spec(&[100; 100], 1_000 * MS))
+        .unwrap();
     let mut now = 0;
-    let verdict = loop {
-        if let Some((_, verdict)) = engine.verdict() {
-            break verdict;
+    let outcome = loop {
+        if let Some((_, outcome)) = scheduler.next_outcome() {
+            break outcome;
         }
-        engine.next(now).unwrap();
+        scheduler.next_dispatch(now).unwrap();
         now += 50 * MS;
-        engine.served(now, id);
+        scheduler.slice_succeeded(now, id);
     };
-    let Verdict::Refused(Refusal { come_back }) = verdict else {
-        panic!("{verdict:?}")
+    let BatchOutcome::Rejected(Rejection { retry_after }) = outcome else {
+        panic!("{outcome:?}")
     };
     assert!(
-        now <= 200 * MS && come_back >= 1_000 * MS,
-        "{now} {come_back}"
+        now <= 200 * MS && retry_after >= 1_000 * MS,
+        "{now} {retry_after}"
     );
-    engine.close(id);
-    // Once the pace is known, the next one is refused before anything of it is sent.
-    let small = engine.open(now, opening(&[100], now + 500 * MS)).unwrap();
+    scheduler.close(id);
+    // Once the slice times are known, the next one is rejected before any of it is sent.
+    let small = scheduler
+        .open(now, batch_spec(&[100], now + 500 * MS))
+        .unwrap();
     for _ in 0..6 {
-        engine.next(now);
-        engine.served(now + 50 * MS, small);
+        scheduler.next_dispatch(now);
+        scheduler.slice_succeeded(now + 50 * MS, small);
     }
-    engine.close(small);
+    scheduler.close(small);
     for n in 0..9 {
-        let one = engine.open(now, opening(&[100], now + 500 * MS)).unwrap();
-        engine.next(now).unwrap();
+        let one = scheduler
+            .open(now, batch_spec(&[100], now + 500 * MS))
+            .unwrap();
+        scheduler.next_dispatch(now).unwrap();
         now += (50 + n) * MS;
-        engine.served(now, one);
-        engine.close(one);
+        scheduler.slice_succeeded(now, one);
+        scheduler.close(one);
     }
-    assert!(engine
-        .open(now, opening(&[100; 100], now + 500 * MS))
+    assert!(scheduler
+        .open(now, batch_spec(&[100; 100], now + 500 * MS))
         .is_err());
-    assert!(engine.open(now, opening(&[100; 2], now + 500 * MS)).is_ok());
+    assert!(scheduler
+        .open(now, batch_spec(&[100; 2], now + 500 * MS))
+        .is_ok());
 }
 
-/// Guards against a batch that waits for as long as another one is: a short one gets its turns beside a long one
-/// of the same tenant, and a tenant with one batch as many tokens as one with many.
+/// A short batch gets its turns beside a long one of the same tenant, and a tenant with one batch
+/// gets as many tokens as one with many.
 #[test]
-fn no_batch_waits_on_anothers_length() {
-    let mut engine = engine(|s| s.at_once = 1);
+fn a_batch_does_not_wait_for_a_longer_one() {
+    let mut scheduler = scheduler(|config| config.max_in_flight = 1);
     let far = 1_000_000_000 * MS;
     for _ in 0..20 {
-        engine.open(0, opening(&[10; 4_000], far)).unwrap();
+        scheduler.open(0, batch_spec(&[10; 4_000], far)).unwrap();
     }
     let mut now = 0;
-    let mut run = |engine: &mut Engine, until: BatchId| {
+    let mut run = |scheduler: &mut BatchScheduler, until: BatchId| {
         let mut slices = 0;
         loop {
-            let order = engine.next(now).unwrap();
-            now += MS + 10 * order.tokens as Micros;
+            let dispatch = scheduler.next_dispatch(now).unwrap();
+            now += MS + 10 * dispatch.tokens as Micros;
             slices += 1;
-            engine.served(now, order.batch);
-            if engine.verdict().is_some_and(|(id, _)| id == until) {
+            scheduler.slice_succeeded(now, dispatch.batch);
+            if scheduler.next_outcome().is_some_and(|(id, _)| id == until) {
                 return slices;
             }
         }
     };
-    let same = engine.open(0, opening(&[10; 3], far)).unwrap();
-    assert!(run(&mut engine, same) <= 21);
-    let other = engine
+    let same = scheduler.open(0, batch_spec(&[10; 3], far)).unwrap();
+    assert!(run(&mut scheduler, same) <= 21);
+    let other = scheduler
         .open(
             0,
-            Opening {
+            BatchSpec {
                 flow: flow(0, 2),
-                ..opening(&[10; 40], far)
+                ..batch_spec(&[10; 40], far)
             },
         )
         .unwrap();
-    assert!(run(&mut engine, other) <= 60);
+    assert!(run(&mut scheduler, other) <= 60);
 }
 
 #[test]
-fn a_deadline_ends_a_batch_in_whatever_state_it_is() {
+fn a_deadline_ends_a_batch_in_any_state() {
     for steps in 0..4 {
-        let mut engine = engine(|_| ());
-        let id = engine.open(0, opening(&[50; 9], 30 * MS)).unwrap();
+        let mut scheduler = scheduler(|_| ());
+        let id = scheduler.open(0, batch_spec(&[50; 9], 30 * MS)).unwrap();
         if steps > 0 {
-            engine.next(0).unwrap();
+            scheduler.next_dispatch(0).unwrap();
         }
         match steps {
-            2 => engine.served(MS, id),
-            3 => engine.failed(MS, id, Failure::NoRoom(5 * MS)),
+            2 => scheduler.slice_succeeded(MS, id),
+            3 => scheduler.slice_failed(
+                MS,
+                id,
+                SliceFailure::OutOfMemory {
+                    retry_after: 5 * MS,
+                },
+            ),
             _ => {}
         }
-        engine.tick(30 * MS);
-        assert_eq!(engine.verdict(), Some((id, Verdict::Late)), "{steps}");
-        assert_eq!((engine.load(), engine.next(30 * MS)), ((1, 0), None));
-        // What comes in late changes nothing.
-        engine.served(31 * MS, id);
-        engine.failed(31 * MS, id, Failure::Failed);
-        assert_eq!(engine.verdict(), None);
-        engine.close(id);
+        scheduler.tick(30 * MS);
+        assert_eq!(
+            scheduler.next_outcome(),
+            Some((id, BatchOutcome::DeadlineExceeded)),
+            "{steps}"
+        );
+        assert_eq!(
+            (scheduler.load(), scheduler.next_dispatch(30 * MS)),
+            (load(1, 0), None)
+        );
+        // What arrives after the outcome changes nothing.
+        scheduler.slice_succeeded(31 * MS, id);
+        scheduler.slice_failed(31 * MS, id, SliceFailure::Failed);
+        assert_eq!(scheduler.next_outcome(), None);
+        scheduler.close(id);
     }
 }
--- a/crates/router/src/frontend/inference/mod.rs
+++ b/crates/router/src/frontend/inference/mod.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use cranetack_batch_scheduler::{Failure as SliceFailure, Flow, Opening, Order as Slice, Verdict};
+use cranetack_batch_scheduler::{BatchOutcome, BatchSpec, Flow, SliceDispatch, SliceFailure};
 use cranetack_inference_api::{
     join, ApiError, Batch, Catalogue, Chat, Endpoint, Fold, Form, Kind, Part, Resolved,
 };
@@ -548,21 +548,21 @@
             .get(model.class.0)
             .map(|c| c.idempotency)
             .unwrap_or_default();
-        let opening = Opening {
+        let opening = BatchSpec {
             flow: Flow {
                 class: u32::try_from(model.class.0).unwrap_or(u32::MAX),
                 tenant: hasher.finish(),
             },
-            tokens: batch.tokens.clone(),
-            common: batch.common_tokens,
-            first: self.setup.served(order.endpoint).slice_tokens,
-            due: 0,
-            repeats: effect == Idempotency::Idempotent,
+            item_tokens: batch.tokens.clone(),
+            shared_tokens: batch.common_tokens,
+            initial_slice_tokens: self.setup.served(order.endpoint).slice_tokens,
+            deadline: 0,
+            is_idempotent: effect == Idempotency::Idempotent,
         };
         let refused =
             |pause: i64| Failure::Refused(Duration::from_micros(u64::try_from(pause).unwrap_or(0)));
         let opened = self.queue.open(order.due, opening);
-        let mut ticket = opened.map_err(|refusal| refused(refusal.come_back))?;
+        let mut ticket = opened.map_err(|refusal| refused(refusal.retry_after))?;
         let mut parts: Vec<(Range<usize>, Part)> = Vec::new();
         let mut reservations = vec![reservation];
         let verdict = loop {
@@ -575,7 +575,7 @@
                 biased;
                 turn = ticket.turn() => match turn {
                     Turn::Ended(verdict) => break verdict,
-                    Turn::Send(_) => break Verdict::Failed,
+                    Turn::Send(_) => break BatchOutcome::Failed,
                 },
                 sliced = self.slice(&order, &batch, model, &slice) => sliced,
             };
@@ -587,19 +587,19 @@
                 }
                 Sliced::Taken => return Err(Failure::Taken),
                 // A router that leaves waits for nothing: its clients ask another one.
-                Sliced::Failed(SliceFailure::NoRoom(pause))
+                Sliced::Failed(SliceFailure::OutOfMemory { retry_after: pause })
                     if *self.phase.borrow() >= Phase::Leaving =>
                 {
-                    ticket.failed(SliceFailure::Refused(pause));
+                    ticket.failed(SliceFailure::Rejected { retry_after: pause });
                 }
                 Sliced::Failed(failure) => ticket.failed(failure),
             }
         };
         match verdict {
-            Verdict::Whole => {}
-            Verdict::Refused(refusal) => return Err(refused(refusal.come_back)),
-            Verdict::Failed => return Err(Failure::Failed),
-            Verdict::Late => return Err(Failure::Deadline),
+            BatchOutcome::Completed => {}
+            BatchOutcome::Rejected(refusal) => return Err(refused(refusal.retry_after)),
+            BatchOutcome::Failed => return Err(Failure::Failed),
+            BatchOutcome::DeadlineExceeded => return Err(Failure::Deadline),
         }
         drop(ticket);
         let whole = join(&batch, &order.name.name, parts).map_err(|error| {
@@ -616,19 +616,25 @@
     }
 
     /// Sends one slice and reads its answer.
-    async fn slice(&self, order: &Order, batch: &Batch, model: Known<'_>, slice: &Slice) -> Sliced {
+    async fn slice(
+        &self,
+        order: &Order,
+        batch: &Batch,
+        model: Known<'_>,
+        slice: &SliceDispatch,
+    ) -> Sliced {
         let failed = Sliced::Failed(SliceFailure::Failed);
         // Each slice, and each repeat of one, is a request of its own to the servers.
         let base = &order.name.name;
-        let name = if slice.number == 0 {
+        let name = if slice.sequence == 0 {
             base.clone()
         } else {
-            format!("{base}.{}", slice.number).into()
+            format!("{base}.{}", slice.sequence).into()
         };
         let body = batch.encode(&slice.items, model.name);
         let pause = i64::try_from(ROOM_AGAIN.as_micros()).unwrap_or(0);
         let Some(sending) = self.budget.reserve(body.len()) else {
-            return Sliced::Failed(SliceFailure::NoRoom(pause));
+            return Sliced::Failed(SliceFailure::OutOfMemory { retry_after: pause });
         };
         let message = message(batch.form.target(), &order.query, body);
         // The guard ends with the slice: a client that leaves takes back the attempt that is out.
@@ -638,10 +644,10 @@
             FinalResponse::Streaming { body, .. } => body,
             FinalResponse::Rejected(pause) => {
                 let pause = i64::try_from(pause.as_micros()).unwrap_or(i64::MAX);
-                return Sliced::Failed(SliceFailure::Refused(pause));
+                return Sliced::Failed(SliceFailure::Rejected { retry_after: pause });
             }
             FinalResponse::Failed => return failed,
-            FinalResponse::DuplicateId if slice.number == 0 => return Sliced::Taken,
+            FinalResponse::DuplicateId if slice.sequence == 0 => return Sliced::Taken,
             FinalResponse::DuplicateId => return failed,
         };
         drop(sending);
--- a/crates/router/src/frontend/inference/queue.rs
+++ b/crates/router/src/frontend/inference/queue.rs
@@ -1,4 +1,4 @@
-//! Batches on the runtime: the engine decides, tickets wait for its turns, and one task keeps its time.
+//! Batches on the runtime: the scheduler decides, tickets wait for its turns, and one task keeps its time.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use cranetack_batch_scheduler::{
-    BatchId, Engine, Failure, Micros, Opening, Order, Refusal, Settings, Verdict,
+    BatchId, BatchOutcome, BatchScheduler, BatchSpec, Micros, Rejection, SchedulerConfig,
+    SliceDispatch, SliceFailure,
 };
 use tokio::sync::{mpsc, Notify};
 use tokio::time::Instant;
@@ -15,13 +16,13 @@
 #[derive(Debug)]
 pub enum Turn {
     /// Send this slice.
-    Send(Order),
+    Send(SliceDispatch),
     /// It has ended like this. Nothing further comes.
-    Ended(Verdict),
+    Ended(BatchOutcome),
 }
 
 struct Shared {
-    engine: RefCell<Engine>,
+    scheduler: RefCell<BatchScheduler>,
     start: Instant,
     tickets: RefCell<HashMap<BatchId, mpsc::UnboundedSender<Turn>>>,
     /// When the task that keeps the time wakes, and how it is told that this is too late.
@@ -35,9 +36,9 @@
 
 impl Queue {
     /// A queue with nothing open. Must be called within a `LocalSet`.
-    pub fn new(settings: Settings) -> Queue {
+    pub fn new(settings: SchedulerConfig) -> Queue {
         let shared = Rc::new(Shared {
-            engine: RefCell::new(Engine::new(settings)),
+            scheduler: RefCell::new(BatchScheduler::new(settings)),
             start: Instant::now(),
             tickets: RefCell::default(),
             wakes: Cell::default(),
@@ -46,7 +47,7 @@
         let weak = Rc::downgrade(&shared);
         tokio::task::spawn_local(async move {
             while let Some(shared) = weak.upgrade() {
-                let wake = shared.engine.borrow().wake();
+                let wake = shared.scheduler.borrow().next_wake();
                 shared.wakes.set(wake);
                 let at = wake.map_or(Duration::from_secs(1), |at| {
                     Duration::from_micros(u64::try_from(at - shared.now()).unwrap_or(0))
@@ -56,20 +57,22 @@
                     () = timer => {}
                     () = shared.sooner.notified() => {}
                 }
-                shared.step(|engine, now| engine.tick(now));
+                shared.step(|scheduler, now| scheduler.tick(now));
             }
         });
         Queue(shared)
     }
 
     /// Takes a batch whose client gives up at this instant, unless it has no hope.
-    pub fn open(&self, due: Instant, opening: Opening) -> Result<Ticket, Refusal> {
+    pub fn open(&self, due: Instant, spec: BatchSpec) -> Result<Ticket, Rejection> {
         let due = self.0.at(due);
-        let opened = self
-            .0
-            .engine
-            .borrow_mut()
-            .open(self.0.now(), Opening { due, ..opening });
+        let opened = self.0.scheduler.borrow_mut().open(
+            self.0.now(),
+            BatchSpec {
+                deadline: due,
+                ..spec
+            },
+        );
         let id = opened?;
         let (tx, turns) = mpsc::unbounded_channel();
         self.0.tickets.borrow_mut().insert(id, tx);
@@ -93,22 +96,22 @@
     }
 
     /// Takes a step and passes on what comes of it.
-    fn step(&self, step: impl FnOnce(&mut Engine, Micros)) {
+    fn step(&self, step: impl FnOnce(&mut BatchScheduler, Micros)) {
         let now = self.now();
-        let mut engine = self.engine.borrow_mut();
-        step(&mut engine, now);
+        let mut scheduler = self.scheduler.borrow_mut();
+        step(&mut scheduler, now);
         let tickets = self.tickets.borrow();
         let tell = |id: BatchId, turn: Turn| tickets.get(&id).is_some_and(|t| t.send(turn).is_ok());
-        while let Some((id, verdict)) = engine.verdict() {
-            tell(id, Turn::Ended(verdict));
+        while let Some((id, outcome)) = scheduler.next_outcome() {
+            tell(id, Turn::Ended(outcome));
         }
-        while let Some(order) = engine.next(now) {
-            let id = order.batch;
-            if !tell(id, Turn::Send(order)) {
-                engine.close(id);
+        while let Some(dispatch) = scheduler.next_dispatch(now) {
+            let id = dispatch.batch;
+            if !tell(id, Turn::Send(dispatch)) {
+                scheduler.close(id);
             }
         }
-        let wake = engine.wake();
+        let wake = scheduler.next_wake();
         if wake.is_some_and(|at| self.wakes.get().is_none_or(|set| at < set)) {
             self.sooner.notify_one();
         }
@@ -129,24 +132,25 @@
         self.turns
             .recv()
             .await
-            .unwrap_or(Turn::Ended(Verdict::Failed))
+            .unwrap_or(Turn::Ended(BatchOutcome::Failed))
     }
 
     /// The slice that is out has been served.
     pub fn served(&self) {
-        self.shared.step(|engine, now| engine.served(now, self.id));
+        self.shared
+            .step(|scheduler, now| scheduler.slice_succeeded(now, self.id));
     }
 
     /// The slice that is out has failed.
-    pub fn failed(&self, failure: Failure) {
+    pub fn failed(&self, failure: SliceFailure) {
         self.shared
-            .step(|engine, now| engine.failed(now, self.id, failure));
+            .step(|scheduler, now| scheduler.slice_failed(now, self.id, failure));
     }
 }
 
 impl Drop for Ticket {
     fn drop(&mut self) {
         self.shared.tickets.borrow_mut().remove(&self.id);
-        self.shared.step(|engine, _| engine.close(self.id));
+        self.shared.step(|scheduler, _| scheduler.close(self.id));
     }
 }
--- a/crates/router/src/frontend/inference/setup.rs
+++ b/crates/router/src/frontend/inference/setup.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cranetack_batch_scheduler::Settings;
+use cranetack_batch_scheduler::SchedulerConfig;
 use cranetack_inference_api::{Bounds, Catalogue, Endpoint, Model};
 use cranetack_routing_policy::Role;
 use cranetack_settings::SiteSettings;
@@ -161,35 +161,35 @@
 
 impl Default for Batches {
     fn default() -> Self {
-        let settings = Settings::default();
+        let config = SchedulerConfig::default();
         Batches {
-            slice_target_ms: u32::try_from(settings.slice_target / 1_000).unwrap_or(u32::MAX),
-            least_tokens: settings.least_tokens,
-            most_tokens: settings.most_tokens,
-            at_once: settings.at_once,
-            round_tokens: settings.quantum,
-            repeat_share: settings.repeat_share,
-            repeat_most: settings.repeat_most,
-            tries: settings.tries,
-            open: settings.open_most,
+            slice_target_ms: u32::try_from(config.slice_target / 1_000).unwrap_or(u32::MAX),
+            least_tokens: config.min_slice_tokens,
+            most_tokens: config.max_slice_tokens,
+            at_once: config.max_in_flight,
+            round_tokens: config.quantum,
+            repeat_share: config.retry_ratio,
+            repeat_most: config.max_saved_retries,
+            tries: config.max_attempts,
+            open: config.max_open_batches,
         }
     }
 }
 
 impl Batches {
     /// In the engine's terms.
-    pub fn settings(&self, come_back_most: Duration) -> Settings {
-        Settings {
+    pub fn settings(&self, max_retry_after: Duration) -> SchedulerConfig {
+        SchedulerConfig {
             slice_target: i64::from(self.slice_target_ms) * 1_000,
-            least_tokens: self.least_tokens,
-            most_tokens: self.most_tokens,
+            min_slice_tokens: self.least_tokens,
+            max_slice_tokens: self.most_tokens,
             quantum: self.round_tokens,
-            at_once: self.at_once,
-            repeat_share: self.repeat_share,
-            repeat_most: self.repeat_most,
-            tries: self.tries,
-            open_most: self.open,
-            come_back_most: i64::try_from(come_back_most.as_micros()).unwrap_or(i64::MAX),
+            max_in_flight: self.at_once,
+            retry_ratio: self.repeat_share,
+            max_saved_retries: self.repeat_most,
+            max_attempts: self.tries,
+            max_open_batches: self.open,
+            max_retry_after: i64::try_from(max_retry_after.as_micros()).unwrap_or(i64::MAX),
         }
     }
 
