--- /dev/null
+++ b/crates/router/src/frontend/inference/buffered_body.rs
@@ -0,0 +1,59 @@
+//! A whole response on its way to a client.
+
+use std::pin::Pin;
+use std::task::{Context, Poll};
+
+use bytes::Bytes;
+use http_body::{Body, Frame, SizeHint};
+
+use super::collect::CollectedBody;
+use crate::exchange::IncompleteBody;
+use crate::frontend::byte_budget::ByteReservation;
+
+/// The bytes that are given to the connection at once.
+const FRAME_SIZE: usize = 16 * 1024;
+
+/// A response body that is held whole. Its bytes stay reserved until they have gone to the
+/// connection, and go there in frames of limited size, so that a client that reads slowly is
+/// noticed and its unread bytes stay reserved.
+pub(super) struct BufferedBody {
+    remaining: Bytes,
+    reservation: ByteReservation,
+}
+
+impl BufferedBody {
+    /// A body of collected data.
+    pub(super) fn new(body: CollectedBody) -> BufferedBody {
+        BufferedBody {
+            remaining: body.data,
+            reservation: body.reservation,
+        }
+    }
+}
+
+impl Body for BufferedBody {
+    type Data = Bytes;
+    type Error = IncompleteBody;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        _: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteBody>>> {
+        if self.remaining.is_empty() {
+            return Poll::Ready(None);
+        }
+        let length = FRAME_SIZE.min(self.remaining.len());
+        let frame = self.remaining.split_to(length);
+        let remaining = self.remaining.len();
+        self.reservation.shrink_to(remaining + FRAME_SIZE);
+        Poll::Ready(Some(Ok(Frame::data(frame))))
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.remaining.is_empty()
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        SizeHint::with_exact(self.remaining.len() as u64)
+    }
+}
--- /dev/null
+++ b/crates/router/src/frontend/inference/chat.rs
@@ -0,0 +1,129 @@
+//! Chat completions.
+
+use bytes::Bytes;
+use cranetack_inference_api::{Chat, Endpoint};
+use http::header::{HeaderName, CONTENT_TYPE};
+use http::{HeaderValue, Response};
+use tokio::time::Instant;
+
+use super::buffered_body::BufferedBody;
+use super::collect::{collect_body, collect_chat_events, CollectedBody};
+use super::error::{json_response, RequestError};
+use super::event_stream::EventStreamBody;
+use super::request::{RequestContext, ServedModel};
+use super::service::{Service, CHAT_PATH};
+use crate::core::IncomingRequest;
+use crate::exchange::{BodyStream, FinalResponse};
+use crate::frontend::byte_budget::ByteReservation;
+use crate::frontend::response::streaming_response;
+use crate::frontend::{BodyError, ResponseBody};
+
+/// By which an endpoint discards repeats of a request.
+const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
+const EVENT_STREAM: &str = "text/event-stream";
+/// The bytes that are reserved for the chunks of a stream that wait for its client.
+const STREAM_RESERVATION: usize = 64 * 1024;
+
+impl Service {
+    /// Serves a chat request.
+    pub(super) async fn chat(
+        &self,
+        context: RequestContext,
+        body: Bytes,
+        mut reservation: ByteReservation,
+    ) -> Result<Response<ResponseBody>, RequestError> {
+        let chat = Chat::decode(&body, &self.setup.limits.bounds())?;
+        let model = self.resolve_model(&chat.model, Endpoint::Chat)?;
+        let forwarded = chat.encode(&body, model.name)?;
+        drop(body);
+        // What the response will hold is reserved before anything is sent for it.
+        if !reservation.try_grow_to(forwarded.len().max(STREAM_RESERVATION)) {
+            return Err(RequestError::Body(BodyError::BudgetExhausted));
+        }
+        let incoming = chat_request(&context, &chat, model, forwarded);
+        let (response, disconnect) = self.handle.submit(incoming).response().await;
+        let EndpointResponse { media_type, stream } =
+            EndpointResponse::from_final(response, context.deadline)?;
+        // No further attempt is made: the request body is no longer held.
+        reservation.shrink_to(STREAM_RESERVATION);
+        let is_event_stream = media_type.starts_with(EVENT_STREAM);
+        if chat.stream && is_event_stream {
+            let body = EventStreamBody::new(stream, disconnect, reservation);
+            return Ok(event_stream_response(body));
+        }
+        if chat.stream {
+            return Ok(streaming_response(&media_type, stream, disconnect));
+        }
+        let size_limit = self.setup.limits.body_bytes;
+        let body = if is_event_stream {
+            let id = context.id();
+            collect_chat_events(stream, reservation, size_limit, id, &chat.model).await?
+        } else {
+            let body = collect_body(stream, reservation, size_limit).await?;
+            check_is_json_object(&body)?;
+            body
+        };
+        Ok(json_response(ResponseBody::boxed(BufferedBody::new(body))))
+    }
+}
+
+fn chat_request(
+    context: &RequestContext,
+    chat: &Chat,
+    model: ServedModel<'_>,
+    body: Bytes,
+) -> IncomingRequest {
+    let mut message = context.message(CHAT_PATH, body);
+    if let Some(key) = &context.idempotency_key {
+        message.headers.insert(IDEMPOTENCY_KEY, key.clone());
+    }
+    let mut incoming = context.incoming(context.id().clone(), model, chat.prompt_tokens, message);
+    incoming.max_tokens = chat.max_tokens.unwrap_or(0);
+    if incoming.session.is_none() {
+        let user = chat.user.as_ref();
+        incoming.session = user.map(|user| context.tenant_session(user));
+    }
+    incoming
+}
+
+/// A response that an endpoint has begun.
+struct EndpointResponse {
+    media_type: String,
+    stream: BodyStream,
+}
+
+impl EndpointResponse {
+    /// The response, or why there is none.
+    fn from_final(
+        response: FinalResponse,
+        deadline: Instant,
+    ) -> Result<EndpointResponse, RequestError> {
+        match response {
+            FinalResponse::Streaming { media_type, body } => Ok(EndpointResponse {
+                media_type,
+                stream: body,
+            }),
+            FinalResponse::Rejected(_) | FinalResponse::Failed if Instant::now() >= deadline => {
+                Err(RequestError::DeadlineExceeded)
+            }
+            FinalResponse::Rejected(retry_after) => Err(RequestError::Rejected { retry_after }),
+            FinalResponse::Failed => Err(RequestError::UpstreamFailed),
+            FinalResponse::DuplicateId => Err(RequestError::DuplicateId),
+        }
+    }
+}
+
+fn event_stream_response(body: EventStreamBody) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::boxed(body));
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static(EVENT_STREAM));
+    response
+}
+
+fn check_is_json_object(body: &CollectedBody) -> Result<(), RequestError> {
+    match serde_json::from_slice::<serde_json::Map<String, serde_json::Value>>(&body.data) {
+        Ok(_) => Ok(()),
+        Err(_) => Err(RequestError::UpstreamFailed),
+    }
+}
--- /dev/null
+++ b/crates/router/src/frontend/inference/request.rs
@@ -0,0 +1,167 @@
+//! What all parts of one request share, and the ids of open requests.
+
+use std::cell::{Cell, RefCell};
+use std::collections::HashSet;
+use std::rc::Rc;
+
+use bytes::Bytes;
+use cranetack_inference_api::{ApiError, Endpoint};
+use cranetack_routing_policy::ClassId;
+use http::request::Parts as RequestHead;
+use http::{HeaderMap, HeaderValue};
+use tokio::time::Instant;
+
+use super::error::RequestError;
+use crate::core::IncomingRequest;
+use crate::exchange::Message;
+use crate::frontend::request_id::is_valid_request_id;
+
+const REQUEST_ID: &str = "X-Request-Id";
+
+/// The ids of open requests. Cheap to clone: clones share the ids.
+///
+/// The ids of a batch's slices are derived from its own, so the core alone cannot see that a
+/// batch's id is in use.
+#[derive(Clone, Default)]
+pub(super) struct OpenRequestIds(Rc<RefCell<HashSet<Rc<str>>>>);
+
+impl OpenRequestIds {
+    /// Takes an id; `None` if it is in use.
+    pub(super) fn open(&self, id: Rc<str>) -> Option<OpenRequestId> {
+        if !self.0.borrow_mut().insert(id.clone()) {
+            return None;
+        }
+        Some(OpenRequestId {
+            id,
+            open: self.clone(),
+        })
+    }
+}
+
+/// An id that is in use until this is dropped.
+pub(super) struct OpenRequestId {
+    id: Rc<str>,
+    open: OpenRequestIds,
+}
+
+impl Drop for OpenRequestId {
+    fn drop(&mut self) {
+        self.open.0.borrow_mut().remove(&self.id);
+    }
+}
+
+/// Generates ids for requests whose clients gave none.
+pub(super) struct RequestIdGenerator {
+    /// Distinguishes this router's ids from those of others.
+    prefix: String,
+    count: Cell<u64>,
+}
+
+impl RequestIdGenerator {
+    /// A generator whose ids begin with `seed`.
+    pub(super) fn new(seed: u64) -> RequestIdGenerator {
+        RequestIdGenerator {
+            prefix: format!("{seed:016x}"),
+            count: Cell::new(0),
+        }
+    }
+
+    /// A new id.
+    pub(super) fn generate(&self) -> Rc<str> {
+        self.count.set(self.count.get() + 1);
+        Rc::from(format!("{}-{}", self.prefix, self.count.get()))
+    }
+}
+
+/// The value of a header, if it is present.
+pub(super) fn header<'a>(
+    head: &'a RequestHead,
+    name: &'static str,
+) -> Result<Option<&'a str>, RequestError> {
+    let value = head.headers.get(name).map(HeaderValue::to_str).transpose();
+    value.map_err(|_| ApiError::value(name, "cannot be read").into())
+}
+
+/// The id that the client gave, if it gave one.
+pub(super) fn client_request_id(head: &RequestHead) -> Result<Option<Rc<str>>, RequestError> {
+    match header(head, REQUEST_ID)? {
+        None => Ok(None),
+        Some(id) if is_valid_request_id(id) => Ok(Some(id.into())),
+        Some(_) => Err(ApiError::value(REQUEST_ID, "must be a plain word").into()),
+    }
+}
+
+/// A model as a request is served with it.
+#[derive(Clone, Copy)]
+pub(super) struct ServedModel<'a> {
+    /// The name that endpoints know.
+    pub(super) name: &'a str,
+    /// The class of the request.
+    pub(super) class: ClassId,
+    /// The kinds of endpoint that have it, a bit for each; absent for all kinds.
+    pub(super) allowed_kinds: Option<u64>,
+}
+
+/// What all parts of a request share.
+pub(super) struct RequestContext {
+    pub(super) id: OpenRequestId,
+    pub(super) endpoint: Endpoint,
+    pub(super) tenant: Option<Rc<str>>,
+    /// The session that the client named.
+    pub(super) session: Option<String>,
+    /// The query of its target, with the question mark, or nothing.
+    pub(super) query: String,
+    /// The key by which endpoints discard repeated requests, if the client gave one.
+    pub(super) idempotency_key: Option<HeaderValue>,
+    /// When the response must have begun.
+    pub(super) deadline: Instant,
+}
+
+impl RequestContext {
+    /// The request's id.
+    pub(super) fn id(&self) -> &Rc<str> {
+        &self.id.id
+    }
+
+    /// A session's name, qualified by the tenant: sessions of two tenants are two, even if their
+    /// names are equal.
+    pub(super) fn tenant_session(&self, name: &str) -> String {
+        format!("{}/{name}", self.tenant.as_deref().unwrap_or(""))
+    }
+
+    /// What endpoints are sent at `path`.
+    pub(super) fn message(&self, path: &str, body: Bytes) -> Message {
+        Message {
+            target: format!("{path}{}", self.query),
+            media_type: "application/json".to_owned(),
+            headers: HeaderMap::new(),
+            body,
+        }
+    }
+
+    /// What is submitted to the core for a part of the request.
+    pub(super) fn incoming(
+        &self,
+        request_id: Rc<str>,
+        model: ServedModel<'_>,
+        prompt_tokens: u64,
+        message: Message,
+    ) -> IncomingRequest {
+        let session = self.session.as_ref();
+        IncomingRequest {
+            request_id,
+            class: model.class,
+            session: session.map(|name| self.tenant_session(name)),
+            shared_prefix: None,
+            time_to_first_byte: self.deadline.saturating_duration_since(Instant::now()),
+            expected_duration: None,
+            prompt_tokens,
+            shared_prefix_tokens: 0,
+            max_tokens: 0,
+            is_retry: false,
+            is_resumed: false,
+            allowed_kinds: model.allowed_kinds,
+            message: Rc::new(message),
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/src/frontend/inference/service.rs
@@ -0,0 +1,295 @@
+//! The inference API as a frontend: its paths, and who may use them.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use cranetack_inference_api::{ApiError, Batch, Catalogue, Endpoint, Form, Kind, Resolved};
+use cranetack_routing_policy::{ClassId, Settings};
+use cranetack_settings::SiteSettings;
+use http::header::HeaderName;
+use http::request::Parts as RequestHead;
+use http::{HeaderValue, Method, Request, Response};
+use tokio::sync::watch;
+use tokio::time::Instant;
+
+use super::batch_queue::BatchQueue;
+use super::error::{json_response, RequestError};
+use super::request::{
+    client_request_id, header, OpenRequestIds, RequestContext, RequestIdGenerator, ServedModel,
+};
+use super::setup::Setup;
+use crate::core::Handle;
+use crate::frontend::byte_budget::ByteBudget;
+use crate::frontend::response::set_retry_after;
+use crate::frontend::{ClientLimits, Frontend, RequestBody, ResponseBody};
+use crate::shutdown::Phase;
+use crate::tenants::{Bearer, Tenants};
+
+pub(super) const CHAT_PATH: &str = "/v1/chat/completions";
+const EMBEDDINGS_PATH: &str = "/v1/embeddings";
+const RERANK_V1_PATH: &str = "/v1/rerank";
+const RERANK_V2_PATH: &str = "/v2/rerank";
+const MODELS_PATH: &str = "/v1/models";
+
+const DEADLINE_MS: &str = "X-Deadline-Ms";
+const SESSION: &str = "X-Key";
+const AUTHORIZATION: &str = "authorization";
+const IDEMPOTENCY_KEY: &str = "idempotency-key";
+const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
+
+/// The longest time to first byte that a client may ask for.
+const MAX_TIME_TO_FIRST_BYTE: Duration = Duration::from_secs(600);
+/// The longest retry delay that clients are advised if the settings do not bound it.
+const DEFAULT_MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
+
+/// The inference API as a frontend. Cheap to clone.
+#[derive(Clone)]
+pub struct Inference(Rc<Service>);
+
+/// The state that all requests share.
+pub(super) struct Service {
+    pub(super) handle: Handle,
+    pub(super) setup: Setup,
+    pub(super) settings: Settings,
+    /// The class of each of [`Endpoint::ALL`], for models that name none.
+    default_classes: [usize; 3],
+    catalogue: Catalogue,
+    tenants: Option<Tenants>,
+    pub(super) budget: ByteBudget,
+    pub(super) queue: BatchQueue,
+    pub(super) phase: watch::Receiver<Phase>,
+    open_ids: OpenRequestIds,
+    id_generator: RequestIdGenerator,
+}
+
+/// What a path serves.
+enum Route {
+    Chat,
+    Batch(Endpoint, Form),
+}
+
+impl Route {
+    fn from_path(path: &str) -> Option<Route> {
+        match path {
+            CHAT_PATH => Some(Route::Chat),
+            EMBEDDINGS_PATH => Some(Route::Batch(Endpoint::Embeddings, Form::Embeddings)),
+            RERANK_V1_PATH => Some(Route::Batch(Endpoint::Rerank, Form::RerankV1)),
+            RERANK_V2_PATH => Some(Route::Batch(Endpoint::Rerank, Form::RerankV2)),
+            _ => None,
+        }
+    }
+
+    fn endpoint(&self) -> Endpoint {
+        match self {
+            Route::Chat => Endpoint::Chat,
+            Route::Batch(endpoint, _) => *endpoint,
+        }
+    }
+}
+
+impl Inference {
+    /// A frontend that submits its requests to `handle`. `seed` distinguishes the request ids that
+    /// it generates from those of other routers. The setup must have passed its check. Must be
+    /// called within a `LocalSet`.
+    pub fn new(
+        handle: Handle,
+        setup: Setup,
+        site: &SiteSettings,
+        settings: &Settings,
+        tenants: Option<Tenants>,
+        seed: u64,
+        phase: watch::Receiver<Phase>,
+    ) -> Inference {
+        let class_index = |name: &str| {
+            let index = site.classes.iter().position(|c| c.name == name);
+            index.unwrap_or(0)
+        };
+        let max_retry_after = max_retry_after(settings).unwrap_or(DEFAULT_MAX_RETRY_AFTER);
+        Inference(Rc::new(Service {
+            handle,
+            default_classes: Endpoint::ALL
+                .map(|endpoint| class_index(&setup.endpoint(endpoint).class)),
+            catalogue: setup.catalogue(site).unwrap_or_default(),
+            settings: settings.clone(),
+            tenants,
+            budget: ByteBudget::new(setup.limits.held_bytes),
+            queue: BatchQueue::new(setup.batches.scheduler_config(max_retry_after)),
+            setup,
+            phase,
+            open_ids: OpenRequestIds::default(),
+            id_generator: RequestIdGenerator::new(seed),
+        }))
+    }
+}
+
+impl Frontend for Inference {
+    fn limits(&self) -> ClientLimits {
+        let limits = &self.0.setup.limits;
+        ClientLimits {
+            request_timeout: limits.body_wait(),
+            unread_timeout: limits.read_wait(),
+            body_bytes: limits.body_bytes,
+        }
+    }
+
+    async fn respond(self, request: Request<RequestBody>) -> Response<ResponseBody> {
+        let service = self.0;
+        let (head, body) = request.into_parts();
+        let (id, result) = match client_request_id(&head) {
+            Ok(client_id) => {
+                let id = client_id.unwrap_or_else(|| service.id_generator.generate());
+                (id.clone(), service.route(id, head, body).await)
+            }
+            Err(error) => (service.id_generator.generate(), Err(error)),
+        };
+        let mut response = result.unwrap_or_else(|error| service.error_response(&error));
+        if let Ok(id) = HeaderValue::from_str(&id) {
+            response.headers_mut().insert(REQUEST_ID, id);
+        }
+        response
+    }
+}
+
+impl Service {
+    async fn route(
+        &self,
+        id: Rc<str>,
+        head: RequestHead,
+        body: RequestBody,
+    ) -> Result<Response<ResponseBody>, RequestError> {
+        let Some(route) = Route::from_path(head.uri.path()) else {
+            return self.models(&head);
+        };
+        if head.method != Method::POST {
+            return Err(RequestError::MethodNotAllowed("POST"));
+        }
+        let context = self.open_request(id, &head, route.endpoint())?;
+        let limits = &self.setup.limits;
+        let (body, reservation) = body
+            .read_to_end(Some(&head.headers), limits.body_bytes, &self.budget)
+            .await
+            .map_err(RequestError::Body)?;
+        match route {
+            Route::Chat => self.chat(context, body, reservation).await,
+            Route::Batch(_, form) => {
+                let batch = Batch::decode(form, body, &limits.bounds())?;
+                self.batch(context, batch, reservation).await
+            }
+        }
+    }
+
+    /// `/v1/models` and `/v1/models/{id}`.
+    fn models(&self, head: &RequestHead) -> Result<Response<ResponseBody>, RequestError> {
+        let rest = head.uri.path().strip_prefix(MODELS_PATH);
+        let Some(rest) = rest.filter(|rest| rest.is_empty() || rest.starts_with('/')) else {
+            let message = "there is nothing at this path";
+            return Err(ApiError::invalid(404, "unknown_url", None, message).into());
+        };
+        if head.method != Method::GET {
+            return Err(RequestError::MethodNotAllowed("GET"));
+        }
+        self.authenticate(head)?;
+        let text = match rest.trim_start_matches('/') {
+            "" => self.catalogue.list(),
+            id => self.catalogue.show(&percent_decoded(id))?,
+        };
+        Ok(json_response(ResponseBody::full(text)))
+    }
+
+    /// Decodes the head of a request, and takes its id.
+    fn open_request(
+        &self,
+        id: Rc<str>,
+        head: &RequestHead,
+        endpoint: Endpoint,
+    ) -> Result<RequestContext, RequestError> {
+        let time_to_first_byte = match header(head, DEADLINE_MS)?.map(str::parse::<u32>) {
+            None => Duration::from_millis(self.setup.endpoint(endpoint).deadline_ms.into()),
+            Some(Ok(ms)) => Duration::from_millis(ms.into()).min(MAX_TIME_TO_FIRST_BYTE),
+            Some(Err(_)) => {
+                return Err(ApiError::value(DEADLINE_MS, "must be whole milliseconds").into())
+            }
+        };
+        let tenant = self.authenticate(head)?;
+        let session = header(head, SESSION)?.map(str::to_owned);
+        let id = self.open_ids.open(id).ok_or(RequestError::DuplicateId)?;
+        let query = head.uri.query();
+        Ok(RequestContext {
+            id,
+            endpoint,
+            tenant,
+            session,
+            query: query.map_or(String::new(), |query| format!("?{query}")),
+            idempotency_key: head.headers.get(IDEMPOTENCY_KEY).cloned(),
+            deadline: Instant::now() + time_to_first_byte,
+        })
+    }
+
+    /// The tenant that the request's key belongs to, if there are tenants.
+    fn authenticate(&self, head: &RequestHead) -> Result<Option<Rc<str>>, RequestError> {
+        let authorization = header(head, AUTHORIZATION)?;
+        let Some(tenants) = &self.tenants else {
+            return Ok(None);
+        };
+        let Some(key) = authorization.and_then(|value| value.strip_prefix("Bearer ")) else {
+            return Err(invalid_api_key());
+        };
+        match tenants.bearer(key.trim()) {
+            Bearer::Tenant(name) => Ok(Some(name)),
+            Bearer::Unknown => Err(invalid_api_key()),
+            Bearer::NotYet => Err(RequestError::tenants_unknown()),
+        }
+    }
+
+    /// How a model that a request names is served at an endpoint of the API.
+    pub(super) fn resolve_model<'a>(
+        &'a self,
+        name: &'a str,
+        endpoint: Endpoint,
+    ) -> Result<ServedModel<'a>, RequestError> {
+        let Resolved { name, class, kinds } = self.catalogue.resolve(name, endpoint)?;
+        let default_class = Endpoint::ALL
+            .iter()
+            .position(|e| *e == endpoint)
+            .map_or(0, |at| self.default_classes[at]);
+        Ok(ServedModel {
+            name,
+            class: ClassId(class.unwrap_or(default_class)),
+            allowed_kinds: kinds,
+        })
+    }
+
+    /// The response to a request that gets none of an endpoint.
+    fn error_response(&self, error: &RequestError) -> Response<ResponseBody> {
+        let mut response = error.to_response();
+        if let Some(retry_after) = error.retry_after() {
+            if self.settings.retry_after {
+                let max = max_retry_after(&self.settings).unwrap_or(Duration::MAX);
+                set_retry_after(&mut response, retry_after.min(max));
+            }
+        }
+        response
+    }
+}
+
+/// The longest retry delay that the settings let clients be advised.
+fn max_retry_after(settings: &Settings) -> Option<Duration> {
+    let micros = u64::try_from(settings.max_retry_after?).ok()?;
+    Some(Duration::from_micros(micros))
+}
+
+fn invalid_api_key() -> RequestError {
+    let message = "the key (Authorization: Bearer KEY) is no tenant's";
+    RequestError::Api(ApiError {
+        kind: Kind::Authentication,
+        ..ApiError::invalid(401, "invalid_api_key", None, message)
+    })
+}
+
+/// A part of a path without percent-encoding. Invalid UTF-8 becomes characters that no model's name
+/// has.
+fn percent_decoded(text: &str) -> String {
+    percent_encoding::percent_decode_str(text)
+        .decode_utf8_lossy()
+        .into_owned()
+}
--- a/crates/router/src/frontend/inference/setup/tests.rs
+++ b/crates/router/src/frontend/inference/setup/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `setup`.
+//! Tests of the operator's file of the inference API.
 
 use serde_json::json;
 
@@ -18,7 +18,7 @@
 const FILE: &str = include_str!("../../../../../../deploy/inference.toml");
 
 #[test]
-fn the_operators_file_as_shipped_can_be_used() {
+fn the_shipped_file_is_valid() {
     let setup: Setup = parse_toml(FILE).unwrap();
     setup.check(&site()).unwrap();
     assert!(setup.listen.ip().is_loopback());
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_wrong_file_names_its_key() {
+fn an_invalid_file_is_rejected_with_an_error_that_names_its_key() {
     for (from, to, key) in [
         ("class = \"rerank\"", "class = \"other\"", "rerank.class"),
         ("class = \"chat\"", "classes = \"chat\"", "chat"),
