--- /dev/null
+++ b/crates/inference-api/src/chat/tests.rs
@@ -0,0 +1,131 @@
+//! Tests of decoding and encoding of chat requests.
+
+use serde_json::{json, Value};
+
+use super::*;
+
+fn decode(body: Value) -> Result<Chat, ApiError> {
+    Chat::decode(body.to_string().as_bytes(), &Bounds::default())
+}
+
+fn asked() -> Value {
+    json!({"model": "m", "messages": [{"role": "user", "content": "12345678"}]})
+}
+
+#[test]
+fn a_prompts_tokens_are_those_of_messages_calls_and_tools() {
+    let body = json!({"model": "m", "max_tokens": 5, "max_completion_tokens": 7, "user": "u",
+        "messages": [{"role": "user", "content": "12345678"},
+            {"role": "user", "content": [{"type": "text", "text": "1234"}, {"type": "image_url"}]},
+            {"role": "assistant", "content": null, "tool_calls": [1]}],
+        "tools": [{"type": "function", "function": {"name": "f"}}]});
+    let tool = r#"{"type":"function","function":{"name":"f"}}"#.len() as u64;
+    let chat = decode(body).unwrap();
+    assert_eq!(chat.prompt_tokens, 2 + 1 + 1 + tool.div_ceil(4));
+    assert_eq!(
+        (chat.max_tokens, chat.user.as_deref(), chat.stream),
+        (Some(7), Some("u"), false)
+    );
+}
+
+#[test]
+fn every_known_field_that_is_wrong_is_named() {
+    for (field, value) in [
+        ("model", json!(3)),
+        ("messages", json!([])),
+        ("messages", json!("x")),
+        ("stream", json!("yes")),
+        ("stream_options", json!({"include_usage": true})),
+        ("stream_options", json!(1)),
+        ("max_tokens", json!(0)),
+        ("max_completion_tokens", json!(-1)),
+        ("temperature", json!(2.1)),
+        ("top_p", json!("high")),
+        ("presence_penalty", json!(3)),
+        ("frequency_penalty", json!(-3)),
+        ("n", json!(0)),
+        ("seed", json!(0.5)),
+        ("stop", json!(["a", "b", "c", "d", "e"])),
+        ("user", json!(1)),
+        ("logprobs", json!(1)),
+        ("top_logprobs", json!(21)),
+        ("tools", json!({})),
+        ("tool_choice", json!(1)),
+        ("parallel_tool_calls", json!("x")),
+        ("response_format", json!({"type": "xml"})),
+    ] {
+        let mut body = asked();
+        body[field] = value.clone();
+        let error = decode(body).expect_err(field);
+        assert_eq!(error.param.as_deref(), Some(field), "{value}");
+    }
+    for (messages, param) in [
+        (json!([{"role": "user"}]), "messages[0].content"),
+        (
+            json!([{"role": "user", "content": 1}]),
+            "messages[0].content",
+        ),
+        (
+            json!([{"role": "user", "content": [{"text": "x"}]}]),
+            "messages[0].content",
+        ),
+        (
+            json!([{"role": "boss", "content": "x"}]),
+            "messages[0].role",
+        ),
+        (
+            json!([{"role": "tool", "content": "x"}]),
+            "messages[0].tool_call_id",
+        ),
+        (json!([{"role": "user", "content": "x"}, 1]), "messages[1]"),
+    ] {
+        let error = decode(json!({"model": "m", "messages": messages})).unwrap_err();
+        assert_eq!(error.param.as_deref(), Some(param));
+    }
+    let error = decode(json!({"temperature": 9, "n": 0})).unwrap_err();
+    for name in ["model", "messages", "temperature", "n must"] {
+        assert!(error.message.contains(name), "{error}");
+    }
+}
+
+#[test]
+fn servers_stream_and_fields_that_are_not_known_pass() {
+    let body = Bytes::from(
+        r#"{"model":"alias","messages":[{"role":"user","content":"\u00e9"}],"x":{"y":[1]}}"#,
+    );
+    let chat = Chat::decode(&body, &Bounds::default()).unwrap();
+    let sent: Value = serde_json::from_slice(&chat.encode(&body, "own").unwrap()).unwrap();
+    assert_eq!(
+        (&sent["model"], &sent["stream"]),
+        (&json!("own"), &json!(true))
+    );
+    assert_eq!(sent["stream_options"], json!({"include_usage": true}));
+    assert_eq!(
+        (&sent["x"], &sent["messages"][0]["content"]),
+        (&json!({"y": [1]}), &json!("é"))
+    );
+    // A stream's body is not touched.
+    let body =
+        Bytes::from(r#"{ "model":"m","stream":true, "messages":[{"role":"user","content":"a"}]}"#);
+    let chat = Chat::decode(&body, &Bounds::default()).unwrap();
+    assert_eq!(chat.encode(&body, "m").unwrap(), body);
+}
+
+#[test]
+fn what_is_no_object_or_says_a_thing_twice_is_refused() {
+    for body in [
+        "",
+        "[]",
+        "{",
+        r#"{"model":"a","model":"b"}"#,
+        "\u{0}",
+        r#"{"a":1}x"#,
+    ] {
+        assert_eq!(
+            Chat::decode(body.as_bytes(), &Bounds::default())
+                .unwrap_err()
+                .code,
+            "invalid_json"
+        );
+    }
+}
