--- a/crates/inference-api/src/batch.rs
+++ b/crates/inference-api/src/batch.rs
@@ -1,169 +1,148 @@
-//! Requests that carry many items: embeddings and rerank. Items stay where they are in the body; a slice of them
-//! is encoded by copying their bytes.
+//! Batch requests, which carry many items: embeddings and rerank. Items stay where they are in the
+//! body; a slice of them is encoded by copying their bytes.
 
 use std::borrow::Cow;
+use std::fmt;
 use std::ops::Range;
 
 use bytes::Bytes;
+use serde::de::{Deserializer, SeqAccess, Visitor};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
+use crate::body_limits::BodyLimits;
 use crate::error::ApiError;
-use crate::fields::{push_field, Fields, Reader};
-use crate::scan::{scan, Bounds};
-use crate::text_tokens;
+use crate::estimate_tokens;
+use crate::fields::{json_string, push_field, FieldReader, Fields};
 
-/// The form of a request and of its answer.
+/// The most that `dimensions` may be.
+const MAX_DIMENSIONS: u64 = 65_536;
+/// What a slice's body may need beside its items and shared fields.
+const ENCODING_OVERHEAD: usize = 64;
+
+/// The form of a batch request and of its response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Form {
+pub enum BatchForm {
     /// `/v1/embeddings`
     Embeddings,
-    /// `/v1/rerank`: documents are texts or objects with a text; `return_documents` gives them back.
+    /// `/v1/rerank`: documents are strings or objects with a text; `return_documents` returns them.
     RerankV1,
-    /// `/v2/rerank`: documents are texts; the usage stands under `meta`.
+    /// `/v2/rerank`: documents are strings; the usage is under `meta`.
     RerankV2,
 }
 
-impl Form {
-    fn items(self) -> &'static str {
+impl BatchForm {
+    /// The field that holds the items.
+    fn items_field(self) -> &'static str {
         match self {
-            Form::Embeddings => "input",
-            Form::RerankV1 | Form::RerankV2 => "documents",
+            BatchForm::Embeddings => "input",
+            BatchForm::RerankV1 | BatchForm::RerankV2 => "documents",
         }
     }
 
-    /// Where servers take it: they know one form of rerank.
-    pub fn target(self) -> &'static str {
+    /// The path at which endpoints serve it: they know one form of rerank.
+    pub fn endpoint_path(self) -> &'static str {
         match self {
-            Form::Embeddings => "/v1/embeddings",
-            Form::RerankV1 | Form::RerankV2 => "/v1/rerank",
+            BatchForm::Embeddings => "/v1/embeddings",
+            BatchForm::RerankV1 | BatchForm::RerankV2 => "/v1/rerank",
         }
     }
 }
 
-/// How a client wants its vectors.
+/// The encoding of vectors that a client wants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Encoding {
+pub enum VectorEncoding {
     /// A list of numbers.
     #[default]
     Float,
-    /// 32-bit numbers, little end first, in base64.
+    /// 32-bit numbers, little-endian, in base64.
     Base64,
 }
 
-/// A decoded batch.
+/// A decoded batch request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Batch {
     /// Its form.
-    pub form: Form,
+    pub form: BatchForm,
     /// The model that the client names.
     pub model: String,
-    /// Whose request it is, as the client says.
+    /// The user that the client names.
     pub user: Option<String>,
-    /// How vectors are wanted.
-    pub encoding: Encoding,
-    /// How long vectors are wanted.
+    /// The encoding of vectors that the client wants.
+    pub encoding: VectorEncoding,
+    /// The length of vectors that the client wants.
     pub dimensions: Option<u64>,
-    /// How many results are wanted.
-    pub top: Option<usize>,
-    /// Whether documents are given back with their results.
-    pub gives_back: bool,
-    /// Tokens that go with every slice: the query's.
-    pub common_tokens: u64,
-    /// Tokens of each item.
-    pub tokens: Vec<u32>,
+    /// How many results the client wants.
+    pub top_n: Option<usize>,
+    /// Whether documents are returned with their results.
+    pub return_documents: bool,
+    /// The tokens that are sent with every slice: those of the query.
+    pub shared_tokens: u64,
+    /// The tokens of each item.
+    pub item_tokens: Vec<u32>,
     body: Bytes,
+    /// Where each item is in the body.
     items: Vec<Range<u32>>,
-    /// The fields that every slice is sent with, but for the model's name.
-    rest: String,
+    /// The encoded fields that are sent with every slice, except for the model's name.
+    shared_fields: String,
 }
 
-#[derive(Deserialize)]
-struct Document<'a> {
-    #[serde(borrow)]
-    text: Cow<'a, str>,
+/// The fields that only one of the two kinds of batch has.
+#[derive(Default)]
+struct FormFields {
+    encoding: VectorEncoding,
+    dimensions: Option<u64>,
+    shared_tokens: u64,
+    top_n: Option<usize>,
+    return_documents: bool,
 }
 
 impl Batch {
     /// Decodes a body.
-    pub fn decode(form: Form, body: Bytes, bounds: &Bounds) -> Result<Batch, ApiError> {
-        scan(&body, bounds)?;
+    pub fn decode(form: BatchForm, body: Bytes, limits: &BodyLimits) -> Result<Batch, ApiError> {
+        limits.check(&body)?;
         let fields = Fields::decode(&body)?;
-        let mut reader = Reader::new(&fields);
-        let model = reader.needed_text("model", "the name of a model");
-        let user = reader.text("user");
-        let raws = raw_items(form, &fields, &mut reader, bounds);
-        let mut tokens = Vec::with_capacity(raws.len());
-        for (at, raw) in raws.iter().enumerate() {
-            match item_tokens(form, raw) {
-                Some(count) => tokens.push(u32::try_from(count).unwrap_or(u32::MAX)),
-                None if raws.len() == 1 && at == 0 && form == Form::Embeddings => {
-                    reader.wrong(
-                        "input",
-                        "must be a text, texts, or token ids that are whole numbers",
-                    );
-                }
-                None => reader.wrong(
-                    format!("{}[{at}]", form.items()),
-                    "is not as the interface has it",
-                ),
-            }
-        }
-        let (mut common_tokens, mut top, mut gives_back) = (0, None, false);
-        let (mut encoding, mut dimensions) = (Encoding::Float, None);
-        if form == Form::Embeddings {
-            let word = reader.optional::<Cow<str>>("encoding_format", "float or base64", |word| {
-                matches!(&**word, "float" | "base64")
-            });
-            if word.as_deref() == Some("base64") {
-                encoding = Encoding::Base64;
-            }
-            dimensions = reader.count("dimensions", 1..=65_536);
-        } else {
-            common_tokens = text_tokens(&reader.needed_text("query", "a text"));
-            top = reader
-                .count("top_n", 1..=u64::MAX)
-                .map(|n| usize::try_from(n).unwrap_or(usize::MAX));
-            gives_back = reader.flag("return_documents").unwrap_or(false);
-            reader.count("max_tokens_per_doc", 1..=u64::MAX);
-            reader.count("max_chunks_per_doc", 1..=u64::MAX);
-        }
-        reader.finish()?;
-        // Results are chosen, and documents given back, when all slices are here.
-        let rest = fields.encode_without(&[form.items(), "model", "top_n", "return_documents"]);
-        let start = body.as_ptr() as usize;
-        let place = |raw: &&RawValue| {
-            let at = raw.get().as_ptr() as usize - start;
-            at as u32..(at + raw.get().len()) as u32
+        let mut reader = FieldReader::new(&fields);
+        let model = reader.required_string("model", "the name of a model");
+        let user = reader.string("user");
+        let raw_items = read_items(form, &fields, &mut reader, limits);
+        let item_tokens = read_item_tokens(form, &raw_items, &mut reader);
+        let form_fields = match form {
+            BatchForm::Embeddings => FormFields::read_embeddings(&mut reader),
+            BatchForm::RerankV1 | BatchForm::RerankV2 => FormFields::read_rerank(&mut reader),
         };
-        let items = raws.iter().map(place).collect();
+        reader.finish()?;
+        // The router selects results and returns documents when all slices have been served.
+        let excluded = [form.items_field(), "model", "top_n", "return_documents"];
+        let shared_fields = fields.encode_without(&excluded);
+        let items = raw_items.iter().map(|raw| range_in(&body, raw)).collect();
         Ok(Batch {
             form,
             model,
             user,
-            encoding,
-            dimensions,
-            top,
-            gives_back,
-            common_tokens,
-            tokens,
+            encoding: form_fields.encoding,
+            dimensions: form_fields.dimensions,
+            top_n: form_fields.top_n,
+            return_documents: form_fields.return_documents,
+            shared_tokens: form_fields.shared_tokens,
+            item_tokens,
             items,
-            rest,
+            shared_fields,
             body,
         })
     }
 
-    /// How many items there are.
+    /// The number of items.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Whether there are none, which no batch is decoded from.
+    /// Whether there are no items, which decoding rejects.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// An item as it came, for giving it back.
+    /// An item as it is in the body.
     pub(crate) fn item(&self, index: usize) -> &str {
         let Range { start, end } = self.items[index].clone();
         std::str::from_utf8(&self.body[start as usize..end as usize]).unwrap_or("null")
@@ -171,29 +150,21 @@
 
     /// The tokens of a slice.
     pub fn slice_tokens(&self, slice: &Range<usize>) -> u64 {
-        self.common_tokens
-            + self.tokens[slice.clone()]
-                .iter()
-                .map(|t| u64::from(*t))
-                .sum::<u64>()
+        let items = self.item_tokens[slice.clone()].iter();
+        self.shared_tokens + items.map(|tokens| u64::from(*tokens)).sum::<u64>()
     }
 
-    /// The body of a slice, for a server that knows the model by this name.
+    /// The body of a slice, for an endpoint that knows the model by this name.
     pub fn encode(&self, slice: &Range<usize>, model: &str) -> Bytes {
-        let held: usize = self.items[slice.clone()]
-            .iter()
-            .map(ExactSizeIterator::len)
-            .sum();
-        let mut text = String::with_capacity(self.rest.len() + held + slice.len() + 64);
+        let items = self.items[slice.clone()].iter();
+        let items_length: usize = items.map(ExactSizeIterator::len).sum();
+        let capacity = self.shared_fields.len() + items_length + slice.len() + ENCODING_OVERHEAD;
+        let mut text = String::with_capacity(capacity);
         text.push('{');
-        text.push_str(&self.rest);
-        push_field(
-            &mut text,
-            "model",
-            &serde_json::to_string(model).unwrap_or_default(),
-        );
+        text.push_str(&self.shared_fields);
+        push_field(&mut text, "model", &json_string(model));
         text.push('"');
-        text.push_str(self.form.items());
+        text.push_str(self.form.items_field());
         text.push_str("\":[");
         for index in slice.clone() {
             if index > slice.start {
@@ -206,80 +177,148 @@
     }
 }
 
-/// The items: one text, or one text as token ids, is a batch of one.
-fn raw_items<'a>(
-    form: Form,
+impl FormFields {
+    fn read_embeddings(reader: &mut FieldReader) -> FormFields {
+        let format = reader.optional::<Cow<str>>("encoding_format", "float or base64", |word| {
+            matches!(&**word, "float" | "base64")
+        });
+        let encoding = match format.as_deref() {
+            Some("base64") => VectorEncoding::Base64,
+            _ => VectorEncoding::Float,
+        };
+        FormFields {
+            encoding,
+            dimensions: reader.integer("dimensions", 1..=MAX_DIMENSIONS),
+            ..FormFields::default()
+        }
+    }
+
+    fn read_rerank(reader: &mut FieldReader) -> FormFields {
+        let query = reader.required_string("query", "a text");
+        let top_n = reader.integer("top_n", 1..=u64::MAX);
+        let return_documents = reader.boolean("return_documents").unwrap_or(false);
+        reader.integer("max_tokens_per_doc", 1..=u64::MAX);
+        reader.integer("max_chunks_per_doc", 1..=u64::MAX);
+        FormFields {
+            shared_tokens: estimate_tokens(&query),
+            top_n: top_n.map(|n| usize::try_from(n).unwrap_or(usize::MAX)),
+            return_documents,
+            ..FormFields::default()
+        }
+    }
+}
+
+/// Where a value that was decoded from a body is in it.
+fn range_in(body: &Bytes, raw: &RawValue) -> Range<u32> {
+    let start = raw.get().as_ptr() as usize - body.as_ptr() as usize;
+    start as u32..(start + raw.get().len()) as u32
+}
+
+/// The items. One string, or one string as token ids, is a batch of one.
+fn read_items<'a>(
+    form: BatchForm,
     fields: &Fields<'a>,
-    reader: &mut Reader<'_, 'a>,
-    bounds: &Bounds,
+    reader: &mut FieldReader<'_, 'a>,
+    limits: &BodyLimits,
 ) -> Vec<&'a RawValue> {
-    let name = form.items();
+    let name = form.items_field();
     let Some(raw) = fields.get(name) else {
-        reader.wrong(name, "is needed: a list that is not empty");
+        reader.report(name, "is needed: a list that is not empty");
         return Vec::new();
     };
-    let text = raw.get();
-    if form == Form::Embeddings {
-        let first = text.strip_prefix('[').map(str::trim_start);
-        if text.starts_with('"')
-            || first.is_some_and(|f| f.starts_with(|c: char| c.is_ascii_digit()))
-        {
-            return vec![raw];
-        }
+    if form == BatchForm::Embeddings && is_single_input(raw.get()) {
+        return vec![raw];
     }
-    let Some(items) = reader.items(name, bounds.items) else {
+    let Some(items) = reader.list(name, limits.items) else {
         return Vec::new();
     };
     if items.is_empty() {
-        reader.wrong(name, "must not be empty");
+        reader.report(name, "must not be empty");
     }
     items
 }
 
-/// The tokens of an item; `None` where it is none. An empty text is no item for a vector.
-fn item_tokens(form: Form, raw: &RawValue) -> Option<u64> {
+/// Whether an input is a string or a list that begins with a number.
+fn is_single_input(text: &str) -> bool {
+    let first_item = text.strip_prefix('[').map(str::trim_start);
+    text.starts_with('"')
+        || first_item.is_some_and(|item| item.starts_with(|c: char| c.is_ascii_digit()))
+}
+
+/// The tokens of each valid item.
+fn read_item_tokens(
+    form: BatchForm,
+    raw_items: &[&RawValue],
+    reader: &mut FieldReader,
+) -> Vec<u32> {
+    let mut all_tokens = Vec::with_capacity(raw_items.len());
+    for (index, raw) in raw_items.iter().enumerate() {
+        match count_item_tokens(form, raw) {
+            Some(tokens) => all_tokens.push(u32::try_from(tokens).unwrap_or(u32::MAX)),
+            None if raw_items.len() == 1 && form == BatchForm::Embeddings => reader.report(
+                "input",
+                "must be a text, texts, or token ids that are whole numbers",
+            ),
+            None => reader.report(
+                format!("{}[{index}]", form.items_field()),
+                "is not as the interface has it",
+            ),
+        }
+    }
+    all_tokens
+}
+
+#[derive(Deserialize)]
+struct Document<'a> {
+    #[serde(borrow)]
+    text: Cow<'a, str>,
+}
+
+/// The tokens of an item; `None` if it is invalid. An empty string has no vector.
+fn count_item_tokens(form: BatchForm, raw: &RawValue) -> Option<u64> {
     let text = raw.get();
     match (text.as_bytes()[0], form) {
         (b'"', _) => {
             let text: Cow<str> = serde_json::from_str(text).ok()?;
-            (form != Form::Embeddings || !text.is_empty()).then(|| text_tokens(&text).max(1))
+            if form == BatchForm::Embeddings && text.is_empty() {
+                return None;
+            }
+            Some(estimate_tokens(&text).max(1))
+        }
+        (b'{', BatchForm::RerankV1) => {
+            let document: Document = serde_json::from_str(text).ok()?;
+            Some(estimate_tokens(&document.text).max(1))
         }
-        (b'{', Form::RerankV1) => serde_json::from_str::<Document>(text)
-            .ok()
-            .map(|d| text_tokens(&d.text).max(1)),
-        (b'[', Form::Embeddings) => {
-            let Counted(count) = serde_json::from_str(text).ok()?;
+        (b'[', BatchForm::Embeddings) => {
+            let TokenIdCount(count) = serde_json::from_str(text).ok()?;
             (count > 0).then_some(count)
         }
         _ => None,
     }
 }
 
-/// Counts whole numbers and keeps none.
-struct Counted(u64);
+/// The length of a list of token ids, which are not kept.
+struct TokenIdCount(u64);
 
-impl<'de> Deserialize<'de> for Counted {
-    fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct Ids;
-        impl<'de> serde::de::Visitor<'de> for Ids {
-            type Value = Counted;
+impl<'de> Deserialize<'de> for TokenIdCount {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        struct CountVisitor;
+        impl<'de> Visitor<'de> for CountVisitor {
+            type Value = TokenIdCount;
 
-            fn expecting(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+            fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
                 f.write_str("token ids")
             }
 
-            fn visit_seq<A: serde::de::SeqAccess<'de>>(
-                self,
-                mut ids: A,
-            ) -> Result<Counted, A::Error> {
+            fn visit_seq<A: SeqAccess<'de>>(self, mut ids: A) -> Result<TokenIdCount, A::Error> {
                 let mut count = 0;
                 while ids.next_element::<u32>()?.is_some() {
                     count += 1;
                 }
-                Ok(Counted(count))
+                Ok(TokenIdCount(count))
             }
         }
-        deserializer.deserialize_seq(Ids)
+        deserializer.deserialize_seq(CountVisitor)
     }
 }
 
--- a/crates/inference-api/src/batch/tests.rs
+++ b/crates/inference-api/src/batch/tests.rs
@@ -1,33 +1,39 @@
-//! Tests of `batch`.
+//! Tests of decoding batch requests and encoding slices.
 
 use serde_json::{json, Value};
 
 use super::*;
 
-fn decode(form: Form, body: Value) -> Result<Batch, ApiError> {
-    Batch::decode(form, body.to_string().into(), &Bounds::default())
+fn decode(form: BatchForm, body: Value) -> Result<Batch, ApiError> {
+    Batch::decode(form, body.to_string().into(), &BodyLimits::default())
 }
 
 #[test]
-fn embeddings_take_one_text_many_texts_or_token_ids() {
+fn embeddings_accept_a_string_strings_or_token_ids() {
     for (input, tokens) in [
         (json!("part"), vec![1]),
         (json!(["a", "bcdef"]), vec![1, 2]),
         (json!([1, 2, 3]), vec![3]),
         (json!([[1, 2], [3]]), vec![2, 1]),
     ] {
-        let batch = decode(Form::Embeddings, json!({"model": "m", "input": input})).unwrap();
-        assert_eq!(batch.tokens, tokens);
+        let batch = decode(BatchForm::Embeddings, json!({"model": "m", "input": input})).unwrap();
+        assert_eq!(batch.item_tokens, tokens);
     }
 }
 
 #[test]
-fn a_slice_is_sent_with_all_but_what_the_front_does_itself() {
-    let body = json!({"model": "alias", "query": "qqqq", "documents": ["a", {"text": "b", "id": 7}, "ü"],
-        "top_n": 1, "return_documents": true, "x": [1, {"y": null}]});
-    let batch = decode(Form::RerankV1, body).unwrap();
+fn a_slice_carries_all_fields_but_those_that_the_router_handles() {
+    let body = json!({
+        "model": "alias",
+        "query": "qqqq",
+        "documents": ["a", {"text": "b", "id": 7}, "ü"],
+        "top_n": 1,
+        "return_documents": true,
+        "x": [1, {"y": null}],
+    });
+    let batch = decode(BatchForm::RerankV1, body).unwrap();
     assert_eq!(
-        (batch.top, batch.gives_back, batch.common_tokens),
+        (batch.top_n, batch.return_documents, batch.shared_tokens),
         (Some(1), true, 1)
     );
     let sent: Value = serde_json::from_slice(&batch.encode(&(1..3), "own")).unwrap();
@@ -40,49 +46,54 @@
 }
 
 #[test]
-fn what_is_wrong_is_named_item_by_item() {
+fn invalid_fields_and_items_are_named_in_the_error() {
     let good = json!({"model": "m", "query": "q", "documents": ["d"], "input": "a"});
     for (form, field, value, param) in [
-        (Form::Embeddings, "input", json!([]), "input"),
-        (Form::Embeddings, "input", json!(""), "input"),
-        (Form::Embeddings, "input", json!([1, -2]), "input"),
-        (Form::Embeddings, "input", json!([1, "a"]), "input"),
-        (Form::Embeddings, "input", json!({}), "input"),
-        (Form::Embeddings, "input", Value::Null, "input"),
-        (Form::Embeddings, "input", json!(["a", 1]), "input[1]"),
-        (Form::Embeddings, "input", json!([[1], []]), "input[1]"),
-        (Form::Embeddings, "input", json!(["a", ""]), "input[1]"),
+        (BatchForm::Embeddings, "input", json!([]), "input"),
+        (BatchForm::Embeddings, "input", json!(""), "input"),
+        (BatchForm::Embeddings, "input", json!([1, -2]), "input"),
+        (BatchForm::Embeddings, "input", json!([1, "a"]), "input"),
+        (BatchForm::Embeddings, "input", json!({}), "input"),
+        (BatchForm::Embeddings, "input", Value::Null, "input"),
+        (BatchForm::Embeddings, "input", json!(["a", 1]), "input[1]"),
+        (BatchForm::Embeddings, "input", json!([[1], []]), "input[1]"),
+        (BatchForm::Embeddings, "input", json!(["a", ""]), "input[1]"),
         (
-            Form::Embeddings,
+            BatchForm::Embeddings,
             "encoding_format",
             json!("hex"),
             "encoding_format",
         ),
-        (Form::Embeddings, "dimensions", json!(0), "dimensions"),
-        (Form::RerankV1, "query", json!(""), "query"),
-        (Form::RerankV1, "query", Value::Null, "query"),
+        (BatchForm::Embeddings, "dimensions", json!(0), "dimensions"),
+        (BatchForm::RerankV1, "query", json!(""), "query"),
+        (BatchForm::RerankV1, "query", Value::Null, "query"),
         (
-            Form::RerankV1,
+            BatchForm::RerankV1,
             "documents",
             json!([{"no": 1}]),
             "documents[0]",
         ),
-        (Form::RerankV1, "documents", json!("d"), "documents"),
+        (BatchForm::RerankV1, "documents", json!("d"), "documents"),
         (
-            Form::RerankV2,
+            BatchForm::RerankV2,
             "documents",
             json!([{"text": "d"}]),
             "documents[0]",
         ),
-        (Form::RerankV2, "documents", json!(["d", 3]), "documents[1]"),
-        (Form::RerankV2, "top_n", json!(0), "top_n"),
         (
-            Form::RerankV1,
+            BatchForm::RerankV2,
+            "documents",
+            json!(["d", 3]),
+            "documents[1]",
+        ),
+        (BatchForm::RerankV2, "top_n", json!(0), "top_n"),
+        (
+            BatchForm::RerankV1,
             "return_documents",
             json!("y"),
             "return_documents",
         ),
-        (Form::RerankV1, "model", Value::Null, "model"),
+        (BatchForm::RerankV1, "model", Value::Null, "model"),
     ] {
         let mut body = good.clone();
         body[field] = value.clone();
@@ -92,15 +103,15 @@
 }
 
 #[test]
-fn lists_are_bounded() {
-    let bounds = Bounds {
+fn the_number_of_items_is_limited() {
+    let limits = BodyLimits {
         items: 2,
-        ..Bounds::default()
+        ..BodyLimits::default()
     };
     let body = json!({"model": "m", "input": ["a", "b", "c"]}).to_string();
-    let error = Batch::decode(Form::Embeddings, body.into(), &bounds).unwrap_err();
+    let error = Batch::decode(BatchForm::Embeddings, body.into(), &limits).unwrap_err();
     assert_eq!(error.param.as_deref(), Some("input"));
-    // Token ids of one text are not items.
+    // The token ids of one string are not items.
     let body = json!({"model": "m", "input": [1, 2, 3, 4]}).to_string();
-    assert!(Batch::decode(Form::Embeddings, body.into(), &bounds).is_ok());
+    assert!(Batch::decode(BatchForm::Embeddings, body.into(), &limits).is_ok());
 }
--- a/crates/inference-api/src/scan/tests.rs
+++ b/crates/inference-api/src/body_limits/tests.rs
@@ -2,22 +2,22 @@
 
 use super::*;
 
-const BOUNDS: Bounds = Bounds {
+const LIMITS: BodyLimits = BodyLimits {
     depth: 3,
-    text: 5,
+    string_bytes: 5,
     items: 9,
 };
 
 #[test]
-fn nesting_and_texts_are_bounded_whatever_stands_in_texts() {
-    let code = |body: &str| scan(body.as_bytes(), &BOUNDS).err().map(|e| e.code);
+fn nesting_and_string_lengths_are_limited_whatever_the_strings_hold() {
+    let code = |body: &str| LIMITS.check(body.as_bytes()).err().map(|e| e.code);
     assert_eq!(code("[[[1]],[[2]]]"), None);
     assert_eq!(code(r#"["[[[["]"#), None);
     assert_eq!(code(r#"["\"[[["]"#), None);
     assert_eq!(code("[[[[1]]]]"), Some("too_deep"));
     assert_eq!(code(r#"{"a":"123456"}"#), Some("text_too_long"));
     assert_eq!(code(r#"{"a":"12\"45"}"#), Some("text_too_long"));
-    // What never ends is for the decoder to refuse, and does not run over the end here.
+    // Decoding rejects what is not closed; the check does not read past the end.
     for open in ["\"abc", "\"a\\", "[\"", "]]]]"] {
         assert_eq!(code(open), None, "{open}");
     }
--- a/crates/inference-api/src/chat.rs
+++ b/crates/inference-api/src/chat.rs
@@ -1,4 +1,4 @@
-//! Chat completions.
+//! Chat completion requests.
 
 use std::borrow::Cow;
 
@@ -6,26 +6,27 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
+use crate::body_limits::BodyLimits;
 use crate::error::ApiError;
-use crate::fields::{push_field, Fields, Reader};
-use crate::scan::{scan, Bounds};
-use crate::text_tokens;
+use crate::estimate_tokens;
+use crate::fields::{json_string, push_field, FieldReader, Fields};
 
-/// A chat request, as far as it matters here.
+/// A chat request, as far as the router needs it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Chat {
+pub struct ChatRequest {
     /// The model that the client names.
     pub model: String,
     /// Whether the client wants a stream.
     pub stream: bool,
-    /// Tokens of its messages and tools.
+    /// The tokens of its messages and tools.
     pub prompt_tokens: u64,
-    /// The most that may be answered, where the client says so.
+    /// The most tokens of the response, if the client limits them.
     pub max_tokens: Option<u64>,
-    /// Whose request it is, as the client says.
+    /// The user that the client names.
     pub user: Option<String>,
 }
 
+/// The roles of messages.
 const ROLES: [&str; 6] = [
     "system",
     "developer",
@@ -34,6 +35,12 @@
     "tool",
     "function",
 ];
+/// The types of `response_format`.
+const RESPONSE_FORMATS: [&str; 3] = ["text", "json_object", "json_schema"];
+/// The most texts of `stop`.
+const MAX_STOP_TEXTS: usize = 4;
+/// The bytes of JSON that are taken as one token.
+const JSON_BYTES_PER_TOKEN: u64 = 4;
 
 #[derive(Deserialize)]
 struct Message<'a> {
@@ -48,7 +55,7 @@
 }
 
 #[derive(Deserialize)]
-struct PartOfMessage<'a> {
+struct ContentPart<'a> {
     r#type: Option<Cow<'a, str>>,
     text: Option<Cow<'a, str>>,
 }
@@ -69,56 +76,52 @@
     name: String,
 }
 
-impl Chat {
+#[derive(Deserialize)]
+struct ResponseFormat {
+    r#type: String,
+}
+
+impl ChatRequest {
     /// Decodes a body.
-    pub fn decode(body: &[u8], bounds: &Bounds) -> Result<Chat, ApiError> {
-        scan(body, bounds)?;
+    pub fn decode(body: &[u8], limits: &BodyLimits) -> Result<ChatRequest, ApiError> {
+        limits.check(body)?;
         let fields = Fields::decode(body)?;
-        let mut reader = Reader::new(&fields);
-        let model = reader.needed_text("model", "the name of a model");
-        let mut prompt_tokens = messages(&mut reader, bounds);
-        prompt_tokens += tools(&mut reader, bounds);
-        let stream = reader.flag("stream").unwrap_or(false);
-        let options = reader.optional::<StreamOptions>(
-            "stream_options",
-            "an object whose include_usage is true or false",
-            |_| true,
-        );
-        if options.is_some_and(|o| o.include_usage.is_some()) && !stream {
-            reader.wrong("stream_options", "is for streams only");
-        }
-        let user = reader.text("user");
-        let max_completion = reader.count("max_completion_tokens", 1..=u64::MAX);
-        let max_tokens = reader.count("max_tokens", 1..=u64::MAX);
-        sampling(&mut reader);
+        let mut reader = FieldReader::new(&fields);
+        let model = reader.required_string("model", "the name of a model");
+        let message_tokens = read_messages(&mut reader, limits);
+        let tool_tokens = read_tools(&mut reader, limits);
+        let stream = reader.boolean("stream").unwrap_or(false);
+        check_stream_options(&mut reader, stream);
+        let user = reader.string("user");
+        let max_completion_tokens = reader.integer("max_completion_tokens", 1..=u64::MAX);
+        let max_tokens = reader.integer("max_tokens", 1..=u64::MAX);
+        check_sampling(&mut reader);
         reader.finish()?;
-        Ok(Chat {
+        Ok(ChatRequest {
             model,
             stream,
-            prompt_tokens,
-            max_tokens: max_completion.or(max_tokens),
+            prompt_tokens: message_tokens + tool_tokens,
+            max_tokens: max_completion_tokens.or(max_tokens),
             user,
         })
     }
 
-    /// The body that a server is sent. Servers always stream: the deadline is the first token's, whatever the
-    /// client wants, and a server that falls silent is found out. The body of a client that streams passes as it
-    /// is, unless its model bears another name among the servers.
+    /// The body that an endpoint is sent, which knows the model as `model`.
+    ///
+    /// Endpoints always stream, whatever the client wants: the deadline is that of the first token,
+    /// and an endpoint that stops responding is noticed. The body of a client that streams is
+    /// passed on as it is, unless endpoints know its model by another name.
     pub fn encode(&self, body: &Bytes, model: &str) -> Result<Bytes, ApiError> {
         if self.stream && model == self.model {
             return Ok(body.clone());
         }
         let fields = Fields::decode(body)?;
-        let mut left_out = vec!["model"];
+        let mut excluded = vec!["model"];
         if !self.stream {
-            left_out.extend(["stream", "stream_options"]);
+            excluded.extend(["stream", "stream_options"]);
         }
-        let mut text = fields.encode_without(&left_out);
-        push_field(
-            &mut text,
-            "model",
-            &serde_json::to_string(model).unwrap_or_default(),
-        );
+        let mut text = fields.encode_without(&excluded);
+        push_field(&mut text, "model", &json_string(model));
         if !self.stream {
             text.push_str(r#""stream":true,"stream_options":{"include_usage":true},"#);
         }
@@ -127,121 +130,137 @@
     }
 }
 
+fn json_tokens(raw: &RawValue) -> u64 {
+    (raw.get().len() as u64).div_ceil(JSON_BYTES_PER_TOKEN)
+}
+
 /// Checks the messages and counts their tokens.
-fn messages(reader: &mut Reader, bounds: &Bounds) -> u64 {
-    reader.need("messages", "a list of messages");
-    let Some(items) = reader.items("messages", bounds.items) else {
+fn read_messages(reader: &mut FieldReader, limits: &BodyLimits) -> u64 {
+    reader.require("messages", "a list of messages");
+    let Some(messages) = reader.list("messages", limits.items) else {
         return 0;
     };
-    if items.is_empty() {
-        reader.wrong("messages", "must not be empty");
+    if messages.is_empty() {
+        reader.report("messages", "must not be empty");
     }
     let mut tokens = 0;
-    for (at, raw) in items.into_iter().enumerate() {
-        let Ok(message) = serde_json::from_str::<Message>(raw.get()) else {
-            reader.wrong(
-                format!("messages[{at}]"),
-                "must be an object with a role and a content",
-            );
-            continue;
-        };
-        if !message
-            .role
-            .as_deref()
-            .is_some_and(|role| ROLES.contains(&role))
-        {
-            reader.wrong(
-                format!("messages[{at}].role"),
-                format!("must be one of {}", ROLES.join(", ")),
-            );
+    for (index, raw) in messages.into_iter().enumerate() {
+        let param = format!("messages[{index}]");
+        match serde_json::from_str::<Message>(raw.get()) {
+            Ok(message) => tokens += read_message(reader, &param, &message),
+            Err(_) => reader.report(param, "must be an object with a role and a content"),
         }
-        if message.role.as_deref() == Some("tool") && message.tool_call_id.is_none() {
-            reader.wrong(
-                format!("messages[{at}].tool_call_id"),
-                "is needed for a tool's message",
+    }
+    tokens
+}
+
+/// Checks a message and counts its tokens.
+fn read_message(reader: &mut FieldReader, param: &str, message: &Message) -> u64 {
+    let role = message.role.as_deref();
+    if !role.is_some_and(|role| ROLES.contains(&role)) {
+        reader.report(
+            format!("{param}.role"),
+            format!("must be one of {}", ROLES.join(", ")),
+        );
+    }
+    if role == Some("tool") && message.tool_call_id.is_none() {
+        reader.report(
+            format!("{param}.tool_call_id"),
+            "is needed for a tool's message",
+        );
+    }
+    let calls = message.tool_calls.or(message.function_call);
+    let content_tokens = match message.content.map(count_content_tokens) {
+        Some(Some(tokens)) => tokens,
+        Some(None) => {
+            reader.report(
+                format!("{param}.content"),
+                "must be a text, or a list of parts that each have a type",
             );
+            0
         }
-        let calls = message.tool_calls.or(message.function_call);
-        match message.content.map(content_tokens) {
-            Some(Some(count)) => tokens += count,
-            Some(None) => {
-                let what = "must be a text, or a list of parts that each have a type";
-                reader.wrong(format!("messages[{at}].content"), what);
+        None => {
+            if calls.is_none() {
+                reader.report(format!("{param}.content"), "is needed");
             }
-            None if calls.is_some() => {}
-            None => reader.wrong(format!("messages[{at}].content"), "is needed"),
+            0
         }
-        tokens += calls.map_or(0, |calls| (calls.get().len() as u64).div_ceil(4));
-    }
-    tokens
+    };
+    content_tokens + calls.map_or(0, json_tokens)
 }
 
-/// The tokens of a content; `None` where it is none.
-fn content_tokens(raw: &RawValue) -> Option<u64> {
+/// The tokens of a message's content; `None` if it is invalid.
+fn count_content_tokens(raw: &RawValue) -> Option<u64> {
     let text = raw.get();
     if text.starts_with('"') {
-        return serde_json::from_str::<Cow<str>>(text)
-            .ok()
-            .map(|t| text_tokens(&t));
+        let content: Cow<str> = serde_json::from_str(text).ok()?;
+        return Some(estimate_tokens(&content));
     }
-    let parts: Vec<PartOfMessage> = serde_json::from_str(text).ok()?;
-    let one = |part: &PartOfMessage| match (part.r#type.as_deref()?, &part.text) {
+    let parts: Vec<ContentPart> = serde_json::from_str(text).ok()?;
+    parts.iter().map(count_part_tokens).sum()
+}
+
+fn count_part_tokens(part: &ContentPart) -> Option<u64> {
+    match (part.r#type.as_deref()?, &part.text) {
         ("text", None) => None,
-        (_, text) => Some(text.as_deref().map_or(0, text_tokens)),
-    };
-    parts.iter().map(one).sum()
+        (_, None) => Some(0),
+        (_, Some(text)) => Some(estimate_tokens(text)),
+    }
 }
 
-/// Checks the tools, which count as part of the prompt.
-fn tools(reader: &mut Reader, bounds: &Bounds) -> u64 {
+/// Checks the tools and counts their tokens, which belong to the prompt.
+fn read_tools(reader: &mut FieldReader, limits: &BodyLimits) -> u64 {
     let mut tokens = 0;
-    for (at, raw) in reader
-        .items("tools", bounds.items)
-        .unwrap_or_default()
-        .into_iter()
-        .enumerate()
-    {
-        tokens += (raw.get().len() as u64).div_ceil(4);
-        let named = |t: &Tool| {
-            t.r#type != "function" || t.function.as_ref().is_some_and(|f| !f.name.is_empty())
-        };
-        if !serde_json::from_str::<Tool>(raw.get()).is_ok_and(|t| named(&t)) {
-            reader.wrong(
-                format!("tools[{at}]"),
+    let tools = reader.list("tools", limits.items).unwrap_or_default();
+    for (index, raw) in tools.into_iter().enumerate() {
+        tokens += json_tokens(raw);
+        let is_valid = serde_json::from_str::<Tool>(raw.get()).is_ok_and(|tool| {
+            let function = tool.function.as_ref();
+            tool.r#type != "function" || function.is_some_and(|f| !f.name.is_empty())
+        });
+        if !is_valid {
+            reader.report(
+                format!("tools[{index}]"),
                 "must have a type and, for a function, its name",
             );
         }
     }
-    let choice = |raw: &&RawValue| raw.get().starts_with(['"', '{']);
-    reader.optional::<&RawValue>("tool_choice", "a word or an object", choice);
-    reader.flag("parallel_tool_calls");
+    reader.optional::<&RawValue>("tool_choice", "a word or an object", |raw| {
+        raw.get().starts_with(['"', '{'])
+    });
+    reader.boolean("parallel_tool_calls");
     tokens
 }
 
-/// Checks what says how answers are made: it is passed on.
-fn sampling(reader: &mut Reader) {
+fn check_stream_options(reader: &mut FieldReader, is_stream: bool) {
+    let options = reader.optional::<StreamOptions>(
+        "stream_options",
+        "an object whose include_usage is true or false",
+        |_| true,
+    );
+    if options.is_some_and(|o| o.include_usage.is_some()) && !is_stream {
+        reader.report("stream_options", "is for streams only");
+    }
+}
+
+/// Checks the fields that control how the response is sampled. They are passed on unchanged.
+fn check_sampling(reader: &mut FieldReader) {
     reader.number("temperature", 0.0..=2.0);
     reader.number("top_p", 0.0..=1.0);
     reader.number("presence_penalty", -2.0..=2.0);
     reader.number("frequency_penalty", -2.0..=2.0);
-    reader.count("n", 1..=128);
+    reader.integer("n", 1..=128);
     reader.optional::<i64>("seed", "a whole number", |_| true);
-    reader.flag("logprobs");
-    reader.count("top_logprobs", 0..=20);
-    let stops = |raw: &&RawValue| {
+    reader.boolean("logprobs");
+    reader.integer("top_logprobs", 0..=20);
+    reader.optional::<&RawValue>("stop", "a text or a list of at most 4 texts", |raw| {
         let list = serde_json::from_str::<Vec<Cow<str>>>(raw.get());
-        raw.get().starts_with('"') || list.is_ok_and(|l| l.len() <= 4)
-    };
-    reader.optional::<&RawValue>("stop", "a text or a list of at most 4 texts", stops);
-    #[derive(Deserialize)]
-    struct Format {
-        r#type: String,
-    }
-    let known = |f: &Format| ["text", "json_object", "json_schema"].contains(&f.r#type.as_str());
+        raw.get().starts_with('"') || list.is_ok_and(|texts| texts.len() <= MAX_STOP_TEXTS)
+    });
     reader.optional(
         "response_format",
         "an object whose type is text, json_object or json_schema",
-        known,
+        |format: &ResponseFormat| RESPONSE_FORMATS.contains(&format.r#type.as_str()),
     );
 }
 
--- a/crates/inference-api/src/chat/tests.rs
+++ b/crates/inference-api/src/chat/tests.rs
@@ -4,16 +4,16 @@
 
 use super::*;
 
-fn decode(body: Value) -> Result<Chat, ApiError> {
-    Chat::decode(body.to_string().as_bytes(), &Bounds::default())
+fn decode(body: Value) -> Result<ChatRequest, ApiError> {
+    ChatRequest::decode(body.to_string().as_bytes(), &BodyLimits::default())
 }
 
-fn asked() -> Value {
+fn chat_body() -> Value {
     json!({"model": "m", "messages": [{"role": "user", "content": "12345678"}]})
 }
 
 #[test]
-fn a_prompts_tokens_are_those_of_messages_calls_and_tools() {
+fn prompt_tokens_are_those_of_messages_calls_and_tools() {
     let body = json!({"model": "m", "max_tokens": 5, "max_completion_tokens": 7, "user": "u",
         "messages": [{"role": "user", "content": "12345678"},
             {"role": "user", "content": [{"type": "text", "text": "1234"}, {"type": "image_url"}]},
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn every_known_field_that_is_wrong_is_named() {
+fn every_invalid_field_is_named_in_the_error() {
     for (field, value) in [
         ("model", json!(3)),
         ("messages", json!([])),
@@ -54,7 +54,7 @@
         ("parallel_tool_calls", json!("x")),
         ("response_format", json!({"type": "xml"})),
     ] {
-        let mut body = asked();
+        let mut body = chat_body();
         body[field] = value.clone();
         let error = decode(body).expect_err(field);
         assert_eq!(error.param.as_deref(), Some(field), "{value}");
@@ -89,11 +89,11 @@
 }
 
 #[test]
-fn servers_stream_and_fields_that_are_not_known_pass() {
+fn endpoints_stream_and_unknown_fields_are_passed_on() {
     let body = Bytes::from(
         r#"{"model":"alias","messages":[{"role":"user","content":"\u00e9"}],"x":{"y":[1]}}"#,
     );
-    let chat = Chat::decode(&body, &Bounds::default()).unwrap();
+    let chat = ChatRequest::decode(&body, &BodyLimits::default()).unwrap();
     let sent: Value = serde_json::from_slice(&chat.encode(&body, "own").unwrap()).unwrap();
     assert_eq!(
         (&sent["model"], &sent["stream"]),
@@ -104,15 +104,15 @@
         (&sent["x"], &sent["messages"][0]["content"]),
         (&json!({"y": [1]}), &json!("é"))
     );
-    // A stream's body is not touched.
+    // The body of a client that streams is not changed.
     let body =
         Bytes::from(r#"{ "model":"m","stream":true, "messages":[{"role":"user","content":"a"}]}"#);
-    let chat = Chat::decode(&body, &Bounds::default()).unwrap();
+    let chat = ChatRequest::decode(&body, &BodyLimits::default()).unwrap();
     assert_eq!(chat.encode(&body, "m").unwrap(), body);
 }
 
 #[test]
-fn what_is_no_object_or_says_a_thing_twice_is_refused() {
+fn bodies_that_are_no_object_or_repeat_a_field_are_rejected() {
     for body in [
         "",
         "[]",
@@ -122,7 +122,7 @@
         r#"{"a":1}x"#,
     ] {
         assert_eq!(
-            Chat::decode(body.as_bytes(), &Bounds::default())
+            ChatRequest::decode(body.as_bytes(), &BodyLimits::default())
                 .unwrap_err()
                 .code,
             "invalid_json"
--- a/crates/inference-api/src/error.rs
+++ b/crates/inference-api/src/error.rs
@@ -1,52 +1,52 @@
-//! Errors in the API's form: `{"error": {"message", "type", "param", "code"}}`.
+//! Errors in the form of the API: `{"error": {"message", "type", "param", "code"}}`.
 
 use serde::Serialize;
 
-/// Whose fault it is: the API's `type`.
+/// The kind of an error: the `type` of the API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub enum Kind {
-    /// The request cannot be served as it is.
+pub enum ErrorKind {
+    /// The request is invalid.
     #[serde(rename = "invalid_request_error")]
-    Invalid,
-    /// The key is nobody's.
+    InvalidRequest,
+    /// The API key is invalid.
     #[serde(rename = "authentication_error")]
     Authentication,
-    /// The service could not.
+    /// The service failed.
     #[serde(rename = "server_error")]
     Server,
 }
 
-/// An error, with the status that it is answered with.
+/// An error, and the status of its response.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{code}: {message}")]
 pub struct ApiError {
     /// The HTTP status.
     pub status: u16,
     /// Its `type`.
-    pub kind: Kind,
+    pub kind: ErrorKind,
     /// Its `code`.
     pub code: &'static str,
     /// The field or header that is wrong.
     pub param: Option<String>,
-    /// What to tell people.
+    /// The message for people.
     pub message: String,
 }
 
 #[derive(Serialize)]
-struct Whole<'a> {
-    error: Shown<'a>,
+struct ErrorBody<'a> {
+    error: ErrorDetail<'a>,
 }
 
 #[derive(Serialize)]
-struct Shown<'a> {
+struct ErrorDetail<'a> {
     message: &'a str,
-    r#type: Kind,
+    r#type: ErrorKind,
     param: Option<&'a str>,
     code: &'a str,
 }
 
 impl ApiError {
-    /// A request that is wrong.
+    /// An invalid request.
     pub fn invalid(
         status: u16,
         code: &'static str,
@@ -55,15 +55,15 @@
     ) -> Self {
         ApiError {
             status,
-            kind: Kind::Invalid,
+            kind: ErrorKind::InvalidRequest,
             code,
             param: param.map(str::to_owned),
             message: message.into(),
         }
     }
 
-    /// A value that is wrong: 400 `invalid_value`.
-    pub fn value(param: &str, message: impl Into<String>) -> Self {
+    /// An invalid value: 400 `invalid_value`.
+    pub fn invalid_value(param: &str, message: impl Into<String>) -> Self {
         ApiError::invalid(400, "invalid_value", Some(param), message)
     }
 
@@ -71,32 +71,27 @@
     pub fn server(status: u16, code: &'static str, message: impl Into<String>) -> Self {
         ApiError {
             status,
-            kind: Kind::Server,
+            kind: ErrorKind::Server,
             code,
             param: None,
             message: message.into(),
         }
     }
 
-    /// The body of the answer.
+    /// The body of the response.
     pub fn to_json(&self) -> String {
-        let Self {
-            kind,
-            code,
-            param,
-            message,
-            ..
-        } = self;
-        let error = Shown {
-            message,
-            r#type: *kind,
-            param: param.as_deref(),
-            code,
+        let body = ErrorBody {
+            error: ErrorDetail {
+                message: &self.message,
+                r#type: self.kind,
+                param: self.param.as_deref(),
+                code: self.code,
+            },
         };
-        serde_json::to_string(&Whole { error }).unwrap_or_default()
+        serde_json::to_string(&body).unwrap_or_default()
     }
 
-    /// The error as an event of a stream, which ends it.
+    /// The error as the last event of a stream.
     pub fn to_event(&self) -> String {
         format!("data: {}\n\n", self.to_json())
     }
--- a/crates/inference-api/src/fields.rs
+++ b/crates/inference-api/src/fields.rs
@@ -1,5 +1,6 @@
-//! The fields of a JSON object, each where it stands in the body. Guards against memory spent on what is only
-//! passed on, and against a field that is read as another by whoever comes next: a name may stand once.
+//! The fields of a JSON object, left where they stand in the body, so that no memory is spent on
+//! what is only passed on. A name may occur once: of two fields with one name, the next reader of
+//! the body might take the other.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -11,8 +12,8 @@
 
 use crate::error::ApiError;
 
-/// Fields that an object may have: more are not of this API.
-const FIELDS_MOST: usize = 256;
+/// The most fields of an object. The API defines far fewer.
+const MAX_FIELDS: usize = 256;
 
 /// The fields of an object, in their order.
 #[derive(Debug, Default)]
@@ -20,8 +21,8 @@
 
 impl<'de: 'a, 'a> Deserialize<'de> for Fields<'a> {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct Object;
-        impl<'de> Visitor<'de> for Object {
+        struct FieldsVisitor;
+        impl<'de> Visitor<'de> for FieldsVisitor {
             type Value = Fields<'de>;
 
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -36,7 +37,7 @@
                             "{name:?} stands twice"
                         )));
                     }
-                    if fields.len() == FIELDS_MOST {
+                    if fields.len() == MAX_FIELDS {
                         return Err(serde::de::Error::custom("too many fields"));
                     }
                     fields.push((name, map.next_value()?));
@@ -44,17 +45,17 @@
                 Ok(Fields(fields))
             }
         }
-        deserializer.deserialize_map(Object)
+        deserializer.deserialize_map(FieldsVisitor)
     }
 }
 
-/// A name, borrowed where it holds no escapes.
+/// A field's name, borrowed if it holds no escapes.
 struct Name<'a>(Cow<'a, str>);
 
 impl<'de: 'a, 'a> Deserialize<'de> for Name<'a> {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct Text;
-        impl<'de> Visitor<'de> for Text {
+        struct NameVisitor;
+        impl<'de> Visitor<'de> for NameVisitor {
             type Value = Name<'de>;
 
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -69,144 +70,159 @@
                 Ok(Name(Cow::Owned(text.to_owned())))
             }
         }
-        deserializer.deserialize_str(Text)
+        deserializer.deserialize_str(NameVisitor)
     }
 }
 
 impl<'a> Fields<'a> {
     /// Decodes a body.
     pub fn decode(body: &'a [u8]) -> Result<Fields<'a>, ApiError> {
-        serde_json::from_slice(body).map_err(|e| {
-            ApiError::invalid(400, "invalid_json", None, format!("not a JSON object: {e}"))
+        serde_json::from_slice(body).map_err(|error| {
+            let message = format!("not a JSON object: {error}");
+            ApiError::invalid(400, "invalid_json", None, message)
         })
     }
 
-    /// A field; one that is null counts as absent.
+    /// The value of a field; null counts as absent.
     pub fn get(&self, name: &str) -> Option<&'a RawValue> {
-        self.0
-            .iter()
-            .find(|(n, _)| n == name)
-            .map(|(_, value)| *value)
-            .filter(|v| v.get() != "null")
+        let (_, value) = self.0.iter().find(|(n, _)| n == name)?;
+        if value.get() == "null" {
+            return None;
+        }
+        Some(value)
     }
 
-    /// All fields but these, encoded one behind the other, each with a comma behind it.
-    pub fn encode_without(&self, left_out: &[&str]) -> String {
+    /// Encodes all fields but these, each followed by a comma.
+    pub fn encode_without(&self, excluded: &[&str]) -> String {
         let mut text = String::new();
-        for (name, value) in self.0.iter().filter(|(n, _)| !left_out.contains(&&**n)) {
-            push_field(&mut text, name, value.get());
+        for (name, value) in &self.0 {
+            if !excluded.contains(&&**name) {
+                push_field(&mut text, name, value.get());
+            }
         }
         text
     }
 }
 
-/// Adds a field and a comma.
+/// Encodes a string as JSON.
+pub fn json_string(text: &str) -> String {
+    serde_json::to_string(text).unwrap_or_default()
+}
+
+/// Appends a field and a comma.
 pub fn push_field(text: &mut String, name: &str, value: &str) {
-    text.push_str(&serde_json::to_string(name).unwrap_or_default());
+    text.push_str(&json_string(name));
     text.push(':');
     text.push_str(value);
     text.push(',');
 }
 
-/// Decodes known fields and collects what is wrong with all of them.
-pub struct Reader<'f, 'a> {
+/// What is wrong with a field.
+struct Problem {
+    param: String,
+    message: String,
+}
+
+/// Decodes known fields, and collects the problems of all of them.
+pub struct FieldReader<'f, 'a> {
     fields: &'f Fields<'a>,
-    problems: Vec<(String, String)>,
+    problems: Vec<Problem>,
 }
 
-impl<'f, 'a> Reader<'f, 'a> {
+impl<'f, 'a> FieldReader<'f, 'a> {
     /// A reader of these fields.
     pub fn new(fields: &'f Fields<'a>) -> Self {
-        Reader {
+        FieldReader {
             fields,
             problems: Vec::new(),
         }
     }
 
-    /// Notes that a field is wrong.
-    pub fn wrong(&mut self, param: impl Into<String>, message: impl Into<String>) {
-        self.problems.push((param.into(), message.into()));
+    /// Reports a problem with a field.
+    pub fn report(&mut self, param: impl Into<String>, message: impl Into<String>) {
+        self.problems.push(Problem {
+            param: param.into(),
+            message: message.into(),
+        });
     }
 
-    /// An optional field, of which `what` says what it must be.
+    /// An optional field. `expected` describes a valid value.
     pub fn optional<T: Deserialize<'a>>(
         &mut self,
         name: &str,
-        what: &str,
-        fits: impl Fn(&T) -> bool,
+        expected: &str,
+        is_valid: impl Fn(&T) -> bool,
     ) -> Option<T> {
         let raw = self.fields.get(name)?;
         match serde_json::from_str::<T>(raw.get()) {
-            Ok(value) if fits(&value) => Some(value),
+            Ok(value) if is_valid(&value) => Some(value),
             _ => {
-                self.wrong(name, format!("must be {what}"));
+                self.report(name, format!("must be {expected}"));
                 None
             }
         }
     }
 
-    /// Notes it if a field is not there.
-    pub fn need(&mut self, name: &str, what: &str) {
+    /// Reports a field that is absent.
+    pub fn require(&mut self, name: &str, expected: &str) {
         if self.fields.get(name).is_none() {
-            self.wrong(name, format!("is needed: {what}"));
+            self.report(name, format!("is needed: {expected}"));
         }
     }
 
-    /// A text that must be there and not be empty.
-    pub fn needed_text(&mut self, name: &str, what: &str) -> String {
-        self.need(name, what);
-        self.optional::<String>(name, what, |t| !t.is_empty())
+    /// A string that must be present and not empty.
+    pub fn required_string(&mut self, name: &str, expected: &str) -> String {
+        self.require(name, expected);
+        self.optional::<String>(name, expected, |text| !text.is_empty())
             .unwrap_or_default()
     }
 
-    /// A text.
-    pub fn text(&mut self, name: &str) -> Option<String> {
+    /// An optional string.
+    pub fn string(&mut self, name: &str) -> Option<String> {
         self.optional(name, "a text", |_| true)
     }
 
-    /// Yes or no.
-    pub fn flag(&mut self, name: &str) -> Option<bool> {
+    /// An optional boolean.
+    pub fn boolean(&mut self, name: &str) -> Option<bool> {
         self.optional(name, "true or false", |_| true)
     }
 
-    /// A whole number within a range.
-    pub fn count(&mut self, name: &str, range: RangeInclusive<u64>) -> Option<u64> {
-        let what = match (*range.start(), *range.end()) {
+    /// An optional whole number within a range.
+    pub fn integer(&mut self, name: &str, range: RangeInclusive<u64>) -> Option<u64> {
+        let expected = match (*range.start(), *range.end()) {
             (low, u64::MAX) => format!("a whole number of at least {low}"),
             (low, high) => format!("a whole number from {low} to {high}"),
         };
-        self.optional(name, &what, |n| range.contains(n))
+        self.optional(name, &expected, |n| range.contains(n))
     }
 
-    /// A number within a range.
+    /// An optional number within a range.
     pub fn number(&mut self, name: &str, range: RangeInclusive<f64>) -> Option<f64> {
-        let what = format!("a number from {} to {}", range.start(), range.end());
-        self.optional(name, &what, |n| range.contains(n))
+        let expected = format!("a number from {} to {}", range.start(), range.end());
+        self.optional(name, &expected, |n| range.contains(n))
     }
 
-    /// The items of a list, at most so many; `None` if it is absent or no list.
-    pub fn items(&mut self, name: &str, most: usize) -> Option<Vec<&'a RawValue>> {
+    /// The items of an optional list, at most `limit`; `None` if it is absent or invalid.
+    pub fn list(&mut self, name: &str, limit: usize) -> Option<Vec<&'a RawValue>> {
         let items: Vec<&'a RawValue> = self.optional(name, "a list", |_| true)?;
-        if items.len() > most {
-            self.wrong(
-                name,
-                format!("holds {} items, more than {most}", items.len()),
-            );
+        if items.len() > limit {
+            let message = format!("holds {} items, more than {limit}", items.len());
+            self.report(name, message);
             return None;
         }
         Some(items)
     }
 
-    /// All is well, or one error that names every field that is wrong.
+    /// Returns one error that names every field with a problem, if there are any.
     pub fn finish(self) -> Result<(), ApiError> {
-        let Some((param, _)) = self.problems.first() else {
+        let Some(first) = self.problems.first() else {
             return Ok(());
         };
-        let all: Vec<String> = self
+        let messages: Vec<String> = self
             .problems
             .iter()
-            .map(|(param, what)| format!("{param} {what}"))
+            .map(|problem| format!("{} {}", problem.param, problem.message))
             .collect();
-        Err(ApiError::value(param, all.join("; ")))
+        Err(ApiError::invalid_value(&first.param, messages.join("; ")))
     }
 }
--- a/crates/inference-api/src/lib.rs
+++ b/crates/inference-api/src/lib.rs
@@ -1,26 +1,35 @@
-//! The messages of the public inference API, without I/O: chat completions, embeddings, rerank and models.
-//! A body is bounded by [`scan`] before memory is spent on it, decoded once into a typed value, and encoded once.
-//! What is large (documents, inputs) stays where it is in the body and is passed on byte by byte; fields that
-//! this package does not know are passed on too.
+//! The messages of the public inference API, without I/O: chat completions, embeddings, rerank and
+//! models.
+//!
+//! A body is checked against [`BodyLimits`] before memory is spent on it, decoded once into a typed
+//! value, and encoded once. What is large (documents, inputs) stays where it is in the body and is
+//! passed on byte by byte; fields that this package does not know are passed on too.
 
 pub mod batch;
+pub mod body_limits;
 pub mod chat;
+pub mod chat_collector;
 pub mod error;
 pub mod events;
 mod fields;
+pub mod merge;
 pub mod models;
-pub mod results;
-pub mod scan;
+pub mod slice_result;
 
-pub use batch::{Batch, Encoding, Form};
-pub use chat::Chat;
-pub use error::{ApiError, Kind};
-pub use events::{Events, Fold};
-pub use models::{Catalogue, Endpoint, Model, Resolved};
-pub use results::{join, BadAnswer, Part};
-pub use scan::Bounds;
+pub use batch::{Batch, BatchForm, VectorEncoding};
+pub use body_limits::BodyLimits;
+pub use chat::ChatRequest;
+pub use chat_collector::ChatCollector;
+pub use error::{ApiError, ErrorKind};
+pub use events::{EventSplitter, InvalidEventStream};
+pub use merge::merge_results;
+pub use models::{ApiEndpoint, Model, ModelCatalog, PerEndpoint, ResolvedModel};
+pub use slice_result::{ResultError, SliceResult};
 
-/// Tokens of a text: one token is taken to be four characters.
-pub fn text_tokens(text: &str) -> u64 {
-    (text.chars().count() as u64).div_ceil(4)
+/// The characters of a text that are taken as one token.
+const CHARS_PER_TOKEN: u64 = 4;
+
+/// An estimate of the tokens of a text.
+pub fn estimate_tokens(text: &str) -> u64 {
+    (text.chars().count() as u64).div_ceil(CHARS_PER_TOKEN)
 }
--- a/crates/inference-api/src/models.rs
+++ b/crates/inference-api/src/models.rs
@@ -1,13 +1,18 @@
-//! Models by their names: which class of request each is served as, endpoint by endpoint.
+//! The models by their names, and the class of request that each is served as at each endpoint.
+
+use std::collections::HashSet;
 
 use serde::Serialize;
 use serde_json::json;
 
 use crate::error::ApiError;
 
-/// What a client asks of a model.
+/// The most bytes of a model's name.
+const MAX_NAME_BYTES: usize = 200;
+
+/// An endpoint of the API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Endpoint {
+pub enum ApiEndpoint {
     /// `/v1/chat/completions`
     Chat,
     /// `/v1/embeddings`
@@ -16,16 +21,42 @@
     Rerank,
 }
 
-impl Endpoint {
-    /// All of them.
-    pub const ALL: [Endpoint; 3] = [Endpoint::Chat, Endpoint::Embeddings, Endpoint::Rerank];
+impl ApiEndpoint {
+    /// All endpoints.
+    pub const ALL: [ApiEndpoint; 3] = [
+        ApiEndpoint::Chat,
+        ApiEndpoint::Embeddings,
+        ApiEndpoint::Rerank,
+    ];
 
-    /// Its name in the operator's file.
+    /// Its name in the operator's file and in the list of models.
     pub fn name(self) -> &'static str {
         match self {
-            Endpoint::Chat => "chat",
-            Endpoint::Embeddings => "embeddings",
-            Endpoint::Rerank => "rerank",
+            ApiEndpoint::Chat => "chat",
+            ApiEndpoint::Embeddings => "embeddings",
+            ApiEndpoint::Rerank => "rerank",
+        }
+    }
+}
+
+/// A value for each endpoint of the API.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct PerEndpoint<T> {
+    /// For [`ApiEndpoint::Chat`].
+    pub chat: T,
+    /// For [`ApiEndpoint::Embeddings`].
+    pub embeddings: T,
+    /// For [`ApiEndpoint::Rerank`].
+    pub rerank: T,
+}
+
+impl<T> PerEndpoint<T> {
+    /// The value of an endpoint.
+    pub fn get(&self, endpoint: ApiEndpoint) -> &T {
+        match endpoint {
+            ApiEndpoint::Chat => &self.chat,
+            ApiEndpoint::Embeddings => &self.embeddings,
+            ApiEndpoint::Rerank => &self.rerank,
         }
     }
 }
@@ -33,33 +64,44 @@
 /// A model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Model {
-    /// The name that servers know.
+    /// The name that endpoints of the service know.
     pub name: String,
     /// Further names that clients may use.
     pub aliases: Vec<String>,
-    /// The class for each endpoint of [`Endpoint::ALL`]; none where the model does not serve it.
-    pub classes: [Option<usize>; 3],
-    /// The kinds of server that have it, a bit for each; any where it does not say.
+    /// The class that it is served as; none where it is not served.
+    pub classes: PerEndpoint<Option<usize>>,
+    /// The kinds of server that have it, a bit for each; absent for all kinds.
     pub kinds: Option<u64>,
 }
 
-/// A model as a request names it.
+impl Model {
+    /// Its names: the one that endpoints know first.
+    fn names(&self) -> impl Iterator<Item = &String> {
+        std::iter::once(&self.name).chain(&self.aliases)
+    }
+
+    fn serves(&self, endpoint: ApiEndpoint) -> bool {
+        self.classes.get(endpoint).is_some()
+    }
+}
+
+/// A model that a request names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Resolved<'a> {
-    /// The name that servers know.
+pub struct ResolvedModel<'a> {
+    /// The name that endpoints of the service know.
     pub name: &'a str,
-    /// The class, where the model says one.
+    /// The class, if the catalog has the model.
     pub class: Option<usize>,
     /// The kinds of server that have it.
     pub kinds: Option<u64>,
 }
 
-/// All models. An empty catalogue knows no names and lets each pass.
+/// All models. An empty catalog accepts any name.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Catalogue(Vec<Model>);
+pub struct ModelCatalog(Vec<Model>);
 
 #[derive(Serialize)]
-struct Shown<'a> {
+struct ModelObject<'a> {
     id: &'a str,
     object: &'static str,
     created: u64,
@@ -69,116 +111,102 @@
     root: Option<&'a str>,
 }
 
-impl Catalogue {
-    /// A catalogue, unless two models bear one name. The message names the key.
-    pub fn new(models: Vec<Model>) -> Result<Catalogue, String> {
-        let mut names = std::collections::HashSet::new();
-        for (at, model) in models.iter().enumerate() {
-            for (key, name) in std::iter::once(("name", &model.name))
-                .chain(model.aliases.iter().map(|alias| ("aliases", alias)))
-            {
-                if name.is_empty() || name.len() > 200 || name.chars().any(char::is_control) {
-                    return Err(format!("models[{at}].{key}: {name:?} is no name"));
-                }
-                if !names.insert(name) {
-                    return Err(format!(
-                        "models[{at}].{key}: {name:?} is the name of another model"
-                    ));
-                }
+impl ModelCatalog {
+    /// A catalog, unless a name is invalid or used twice. An error names the key.
+    pub fn new(models: Vec<Model>) -> Result<ModelCatalog, String> {
+        let mut names = HashSet::new();
+        for (index, model) in models.iter().enumerate() {
+            check_name(&mut names, &format!("models[{index}].name"), &model.name)?;
+            for alias in &model.aliases {
+                check_name(&mut names, &format!("models[{index}].aliases"), alias)?;
             }
-            if model.classes.iter().all(Option::is_none) {
-                return Err(format!("models[{at}]: serves no endpoint"));
+            if !ApiEndpoint::ALL.iter().any(|e| model.serves(*e)) {
+                return Err(format!("models[{index}]: serves no endpoint"));
             }
         }
-        Ok(Catalogue(models))
+        Ok(ModelCatalog(models))
     }
 
-    /// Whether any name passes.
+    /// Whether any name is accepted.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
     fn find(&self, name: &str) -> Option<&Model> {
-        self.0
-            .iter()
-            .find(|m| m.name == name || m.aliases.iter().any(|a| a == name))
+        self.0.iter().find(|m| m.names().any(|n| n == name))
     }
 
-    /// What a name stands for at an endpoint.
+    /// The model that a name stands for at an endpoint.
     pub fn resolve<'a>(
         &'a self,
         name: &'a str,
-        endpoint: Endpoint,
-    ) -> Result<Resolved<'a>, ApiError> {
+        endpoint: ApiEndpoint,
+    ) -> Result<ResolvedModel<'a>, ApiError> {
         if self.is_empty() {
-            return Ok(Resolved {
+            return Ok(ResolvedModel {
                 name,
                 class: None,
                 kinds: None,
             });
         }
-        let model = self.find(name).ok_or_else(|| unknown(name))?;
-        let class = Endpoint::ALL
-            .iter()
-            .position(|e| *e == endpoint)
-            .and_then(|at| model.classes[at]);
-        if class.is_none() {
+        let model = self.find(name).ok_or_else(|| unknown_model(name))?;
+        if !model.serves(endpoint) {
             let message = format!("the model {name:?} does not serve {}", endpoint.name());
-            return Err(ApiError::invalid(
-                404,
-                "model_not_found",
-                Some("model"),
-                message,
-            ));
+            return Err(model_not_found(message));
         }
-        Ok(Resolved {
+        Ok(ResolvedModel {
             name: &model.name,
-            class,
+            class: *model.classes.get(endpoint),
             kinds: model.kinds,
         })
     }
 
-    /// The answer to `/v1/models`: every name that a client may use.
+    /// The response to `/v1/models`: every name that a client may use.
     pub fn list(&self) -> String {
-        let all = self.0.iter();
-        let data: Vec<Shown> = all
-            .flat_map(|m| {
-                std::iter::once(shown(m, &m.name)).chain(m.aliases.iter().map(move |a| shown(m, a)))
-            })
+        let models = self.0.iter();
+        let data: Vec<ModelObject> = models
+            .flat_map(|model| model.names().map(|name| model_object(model, name)))
             .collect();
         json!({"object": "list", "data": data}).to_string()
     }
 
-    /// The answer to `/v1/models/{id}`.
+    /// The response to `/v1/models/{id}`.
     pub fn show(&self, name: &str) -> Result<String, ApiError> {
-        let model = self.find(name).ok_or_else(|| unknown(name))?;
-        let named = std::iter::once(&model.name)
-            .chain(&model.aliases)
-            .find(|n| *n == name);
-        Ok(serde_json::to_string(&shown(model, named.unwrap_or(&model.name))).unwrap_or_default())
+        let model = self.find(name).ok_or_else(|| unknown_model(name))?;
+        Ok(serde_json::to_string(&model_object(model, name)).unwrap_or_default())
     }
 }
 
-fn unknown(name: &str) -> ApiError {
-    ApiError::invalid(
-        404,
-        "model_not_found",
-        Some("model"),
-        format!("there is no model {name:?}"),
-    )
+fn check_name<'a>(
+    names: &mut HashSet<&'a String>,
+    key: &str,
+    name: &'a String,
+) -> Result<(), String> {
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(char::is_control) {
+        return Err(format!("{key}: {name:?} is no name"));
+    }
+    if !names.insert(name) {
+        return Err(format!("{key}: {name:?} is the name of another model"));
+    }
+    Ok(())
+}
+
+fn unknown_model(name: &str) -> ApiError {
+    model_not_found(format!("there is no model {name:?}"))
+}
+
+fn model_not_found(message: String) -> ApiError {
+    ApiError::invalid(404, "model_not_found", Some("model"), message)
 }
 
-fn shown<'a>(model: &'a Model, id: &'a str) -> Shown<'a> {
-    let served = Endpoint::ALL
-        .iter()
-        .zip(&model.classes)
-        .filter(|(_, class)| class.is_some());
-    Shown {
+fn model_object<'a>(model: &'a Model, id: &'a str) -> ModelObject<'a> {
+    let endpoints = ApiEndpoint::ALL.iter().filter(|e| model.serves(**e));
+    ModelObject {
         id,
         object: "model",
         created: 0,
         owned_by: "cranetack",
-        endpoints: served.map(|(e, _)| e.name()).collect(),
+        endpoints: endpoints.map(|e| e.name()).collect(),
         root: (id != model.name).then_some(&model.name),
     }
 }
--- a/crates/inference-api/src/models/tests.rs
+++ b/crates/inference-api/src/models/tests.rs
@@ -1,8 +1,14 @@
-//! Tests of `models`.
+//! Tests of the model catalog.
 
 use super::*;
 
-fn model(name: &str, aliases: &[&str], classes: [Option<usize>; 3]) -> Model {
+const CHAT_ONLY: PerEndpoint<Option<usize>> = PerEndpoint {
+    chat: Some(0),
+    embeddings: None,
+    rerank: None,
+};
+
+fn model(name: &str, aliases: &[&str], classes: PerEndpoint<Option<usize>>) -> Model {
     Model {
         name: name.into(),
         aliases: aliases.iter().map(|a| (*a).to_owned()).collect(),
@@ -12,51 +18,61 @@
 }
 
 #[test]
-fn names_and_aliases_find_their_model_and_others_are_not_found() {
+fn models_are_resolved_by_name_and_alias_and_others_are_not_found() {
     let all = vec![
-        model("parts-chat", &["gpt"], [Some(0), None, None]),
-        model("parts-embed", &[], [None, Some(1), Some(2)]),
+        model("parts-chat", &["gpt"], CHAT_ONLY),
+        model(
+            "parts-embed",
+            &[],
+            PerEndpoint {
+                chat: None,
+                embeddings: Some(1),
+                rerank: Some(2),
+            },
+        ),
     ];
-    let catalogue = Catalogue::new(all).unwrap();
-    let found = Resolved {
+    let catalog = ModelCatalog::new(all).unwrap();
+    let found = ResolvedModel {
         name: "parts-chat",
         class: Some(0),
         kinds: None,
     };
-    assert_eq!(catalogue.resolve("gpt", Endpoint::Chat), Ok(found));
-    for (name, endpoint) in [("gpt", Endpoint::Rerank), ("none", Endpoint::Chat)] {
-        let error = catalogue.resolve(name, endpoint).unwrap_err();
+    assert_eq!(catalog.resolve("gpt", ApiEndpoint::Chat), Ok(found));
+    for (name, endpoint) in [("gpt", ApiEndpoint::Rerank), ("none", ApiEndpoint::Chat)] {
+        let error = catalog.resolve(name, endpoint).unwrap_err();
         assert_eq!((error.status, error.code), (404, "model_not_found"));
     }
-    assert!(catalogue
+    assert!(catalog
         .show("gpt")
         .unwrap()
         .contains("\"root\":\"parts-chat\""));
-    assert_eq!(catalogue.show("none").unwrap_err().status, 404);
-    let any = Resolved {
+    assert_eq!(catalog.show("none").unwrap_err().status, 404);
+    let any = ResolvedModel {
         name: "any",
         class: None,
         kinds: None,
     };
-    assert_eq!(Catalogue::default().resolve("any", Endpoint::Chat), Ok(any));
+    assert_eq!(
+        ModelCatalog::default().resolve("any", ApiEndpoint::Chat),
+        Ok(any)
+    );
 }
 
 #[test]
-fn a_catalogue_that_contradicts_itself_names_the_key() {
-    let one = [Some(0), None, None];
+fn an_invalid_catalog_is_rejected_with_an_error_that_names_the_key() {
     for (models, message) in [
         (
-            vec![model("a", &["b"], one), model("b", &[], one)],
+            vec![model("a", &["b"], CHAT_ONLY), model("b", &[], CHAT_ONLY)],
             "models[1].name",
         ),
-        (vec![model("a", &["a"], one)], "models[0].aliases"),
-        (vec![model("", &[], one)], "models[0].name"),
+        (vec![model("a", &["a"], CHAT_ONLY)], "models[0].aliases"),
+        (vec![model("", &[], CHAT_ONLY)], "models[0].name"),
         (
-            vec![model("a", &[], [None; 3])],
+            vec![model("a", &[], PerEndpoint::default())],
             "models[0]: serves no endpoint",
         ),
     ] {
-        let error = Catalogue::new(models).unwrap_err();
+        let error = ModelCatalog::new(models).unwrap_err();
         assert!(error.starts_with(message), "{error}");
     }
 }
--- a/crates/inference-client/src/stream.rs
+++ b/crates/inference-client/src/stream.rs
@@ -3,7 +3,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use cranetack_inference_api::{events, Events};
+use cranetack_inference_api::events::event_data;
+use cranetack_inference_api::{EventSplitter, InvalidEventStream};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use tokio::time::timeout;
@@ -17,14 +18,14 @@
     body: Incoming,
     _link: Link,
     silence: Duration,
-    events: Events,
+    events: EventSplitter,
     waiting: VecDeque<String>,
     over: bool,
 }
 
 impl ChatStream {
     pub(crate) fn new(body: Incoming, link: Link, silence: Duration) -> ChatStream {
-        let (events, waiting) = (Events::default(), VecDeque::new());
+        let (events, waiting) = (EventSplitter::default(), VecDeque::new());
         ChatStream {
             body,
             _link: link,
@@ -71,10 +72,9 @@
         let Ok(data) = frame.into_data() else {
             return Ok(true);
         };
-        let unreadable = |e: events::NotEvents| Error::Unreadable(e.to_string());
+        let unreadable = |e: InvalidEventStream| Error::Unreadable(e.to_string());
         if let Some(whole) = self.events.push(&data).map_err(unreadable)? {
-            self.waiting
-                .extend(events::data(&whole).map_err(unreadable)?);
+            self.waiting.extend(event_data(&whole).map_err(unreadable)?);
         }
         Ok(true)
     }
--- a/crates/router/src/frontend/inference/batches.rs
+++ b/crates/router/src/frontend/inference/batches.rs
@@ -8,7 +8,7 @@
 use cranetack_batch_scheduler::{
     BatchOutcome, BatchSpec, Flow, Rejection, SliceDispatch, SliceFailure,
 };
-use cranetack_inference_api::{join, Batch, Part};
+use cranetack_inference_api::{merge_results, Batch, SliceResult};
 use cranetack_routing_policy::Idempotency;
 use http::Response;
 
@@ -32,14 +32,14 @@
 
 /// The results of the slices that have been served.
 struct ServedSlices {
-    results: Vec<(Range<usize>, Part)>,
+    results: Vec<(Range<usize>, SliceResult)>,
     /// Of the request body and of the results.
     reservations: Vec<ByteReservation>,
 }
 
 /// The result of one slice.
 struct ServedSlice {
-    result: Part,
+    result: SliceResult,
     reservation: ByteReservation,
 }
 
@@ -89,7 +89,7 @@
             BatchOutcome::DeadlineExceeded => return Err(RequestError::DeadlineExceeded),
         }
         drop(ticket);
-        let data = join(&batch, context.id(), served.results).map_err(|error| {
+        let data = merge_results(&batch, context.id(), served.results).map_err(|error| {
             tracing::warn!(request_id = %context.id(), %error, "could not merge slice results");
             RequestError::UpstreamFailed
         })?;
@@ -116,8 +116,8 @@
                 class: u32::try_from(model.class.0).unwrap_or(u32::MAX),
                 tenant: tenant.finish(),
             },
-            item_tokens: batch.tokens.clone(),
-            shared_tokens: batch.common_tokens,
+            item_tokens: batch.item_tokens.clone(),
+            shared_tokens: batch.shared_tokens,
             initial_slice_tokens: self.setup.endpoint(context.endpoint).slice_tokens,
             deadline: self.queue.time_of(context.deadline),
             is_idempotent: idempotency == Idempotency::Idempotent,
@@ -187,7 +187,7 @@
                 retry_after: to_micros(MEMORY_RETRY_AFTER),
             }));
         };
-        let message = context.message(batch.form.target(), body);
+        let message = context.message(batch.form.endpoint_path(), body);
         let id = slice_request_id(context, dispatch);
         let incoming = context.incoming(id, *model, dispatch.tokens, message);
         // The guard is dropped with the slice, so a client's disconnect cancels the attempt.
@@ -200,14 +200,14 @@
             data,
             mut reservation,
         } = collected.map_err(|_| SLICE_FAILED)?;
-        let result = Part::decode(batch, dispatch.items.len(), &data).map_err(|error| {
+        let result = SliceResult::decode(batch, dispatch.items.len(), &data).map_err(|error| {
             tracing::warn!(request_id = %context.id(), %error, "invalid response to a slice");
             SLICE_FAILED
         })?;
-        if !reservation.try_grow_to(result.held()) {
+        if !reservation.try_grow_to(result.memory_bytes()) {
             return Err(SLICE_FAILED);
         }
-        reservation.shrink_to(result.held());
+        reservation.shrink_to(result.memory_bytes());
         Ok(ServedSlice {
             result,
             reservation,
--- a/crates/router/src/frontend/inference/chat.rs
+++ b/crates/router/src/frontend/inference/chat.rs
@@ -1,7 +1,7 @@
 //! Chat completions.
 
 use bytes::Bytes;
-use cranetack_inference_api::{Chat, Endpoint};
+use cranetack_inference_api::{ApiEndpoint, ChatRequest};
 use http::header::{HeaderName, CONTENT_TYPE};
 use http::{HeaderValue, Response};
 use tokio::time::Instant;
@@ -32,8 +32,8 @@
         body: Bytes,
         mut reservation: ByteReservation,
     ) -> Result<Response<ResponseBody>, RequestError> {
-        let chat = Chat::decode(&body, &self.setup.limits.bounds())?;
-        let model = self.resolve_model(&chat.model, Endpoint::Chat)?;
+        let chat = ChatRequest::decode(&body, &self.setup.limits.body_limits())?;
+        let model = self.resolve_model(&chat.model, ApiEndpoint::Chat)?;
         let forwarded = chat.encode(&body, model.name)?;
         drop(body);
         // What the response will hold is reserved before anything is sent for it.
@@ -69,7 +69,7 @@
 
 fn chat_request(
     context: &RequestContext,
-    chat: &Chat,
+    chat: &ChatRequest,
     model: ServedModel<'_>,
     body: Bytes,
 ) -> IncomingRequest {
--- a/crates/router/src/frontend/inference/collect.rs
+++ b/crates/router/src/frontend/inference/collect.rs
@@ -3,7 +3,7 @@
 use std::future::poll_fn;
 
 use bytes::{Bytes, BytesMut};
-use cranetack_inference_api::Fold;
+use cranetack_inference_api::ChatCollector;
 
 use super::error::RequestError;
 use crate::exchange::{BodyStream, IncompleteBody};
@@ -45,22 +45,22 @@
     request_id: &str,
     model: &str,
 ) -> Result<CollectedBody, RequestError> {
-    let mut events = Fold::default();
+    let mut collector = ChatCollector::default();
     while let Some(chunk) = poll_fn(|cx| stream.poll_next(cx)).await {
         match chunk {
             Ok(chunk) => {
-                let pushed = events.push(&chunk);
+                let pushed = collector.push(&chunk);
                 pushed.map_err(|_| RequestError::UpstreamFailed)?;
             }
             // The response may be complete all the same, which its events say.
             Err(IncompleteBody) => break,
         }
-        let held = events.held();
+        let held = collector.collected_bytes();
         if held > size_limit || !reservation.try_grow_to(held) {
             return Err(RequestError::UpstreamFailed);
         }
     }
-    let data = events
+    let data = collector
         .finish(request_id, model)
         .ok_or(RequestError::UpstreamFailed)?;
     if !reservation.try_grow_to(data.len()) {
--- a/crates/router/src/frontend/inference/event_stream.rs
+++ b/crates/router/src/frontend/inference/event_stream.rs
@@ -4,7 +4,7 @@
 use std::task::{Context, Poll};
 
 use bytes::Bytes;
-use cranetack_inference_api::{ApiError, Events};
+use cranetack_inference_api::{ApiError, EventSplitter};
 use http_body::{Body, Frame};
 
 use crate::exchange::{BodyStream, DisconnectGuard, IncompleteBody};
@@ -12,7 +12,7 @@
 
 #[derive(Clone, Copy)]
 enum State {
-    /// Events are passed on.
+    /// EventSplitter are passed on.
     Streaming,
     /// The error event has been returned, and gets one poll to be written.
     ErrorReturned,
@@ -30,7 +30,7 @@
     _disconnect: DisconnectGuard,
     /// Covers the chunks that wait for the client.
     _reservation: ByteReservation,
-    events: Events,
+    events: EventSplitter,
     state: State,
 }
 
@@ -45,7 +45,7 @@
             stream,
             _disconnect: disconnect,
             _reservation: reservation,
-            events: Events::default(),
+            events: EventSplitter::default(),
             state: State::Streaming,
         }
     }
--- a/crates/router/src/frontend/inference/request.rs
+++ b/crates/router/src/frontend/inference/request.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use cranetack_inference_api::{ApiError, Endpoint};
+use cranetack_inference_api::{ApiEndpoint, ApiError};
 use cranetack_routing_policy::ClassId;
 use http::request::Parts as RequestHead;
 use http::{HeaderMap, HeaderValue};
@@ -79,7 +79,7 @@
     name: &'static str,
 ) -> Result<Option<&'a str>, RequestError> {
     let value = head.headers.get(name).map(HeaderValue::to_str).transpose();
-    value.map_err(|_| ApiError::value(name, "cannot be read").into())
+    value.map_err(|_| ApiError::invalid_value(name, "cannot be read").into())
 }
 
 /// The id that the client gave, if it gave one.
@@ -87,7 +87,7 @@
     match header(head, REQUEST_ID)? {
         None => Ok(None),
         Some(id) if is_valid_request_id(id) => Ok(Some(id.into())),
-        Some(_) => Err(ApiError::value(REQUEST_ID, "must be a plain word").into()),
+        Some(_) => Err(ApiError::invalid_value(REQUEST_ID, "must be a plain word").into()),
     }
 }
 
@@ -105,7 +105,7 @@
 /// What all parts of a request share.
 pub(super) struct RequestContext {
     pub(super) id: OpenRequestId,
-    pub(super) endpoint: Endpoint,
+    pub(super) endpoint: ApiEndpoint,
     pub(super) tenant: Option<Rc<str>>,
     /// The session that the client named.
     pub(super) session: Option<String>,
--- a/crates/router/src/frontend/inference/service.rs
+++ b/crates/router/src/frontend/inference/service.rs
@@ -3,7 +3,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cranetack_inference_api::{ApiError, Batch, Catalogue, Endpoint, Form, Kind, Resolved};
+use cranetack_inference_api::{
+    ApiEndpoint, ApiError, Batch, BatchForm, ErrorKind, ModelCatalog, PerEndpoint, ResolvedModel,
+};
 use cranetack_routing_policy::{ClassId, Settings};
 use cranetack_settings::SiteSettings;
 use http::header::HeaderName;
@@ -17,7 +19,7 @@
 use super::request::{
     client_request_id, header, OpenRequestIds, RequestContext, RequestIdGenerator, ServedModel,
 };
-use super::setup::Setup;
+use super::setup::{EndpointSetup, Setup};
 use crate::core::Handle;
 use crate::frontend::byte_budget::ByteBudget;
 use crate::frontend::response::set_retry_after;
@@ -51,9 +53,9 @@
     pub(super) handle: Handle,
     pub(super) setup: Setup,
     pub(super) settings: Settings,
-    /// The class of each of [`Endpoint::ALL`], for models that name none.
-    default_classes: [usize; 3],
-    catalogue: Catalogue,
+    /// The classes for models that the catalog does not have.
+    default_classes: PerEndpoint<ClassId>,
+    catalog: ModelCatalog,
     tenants: Option<Tenants>,
     pub(super) budget: ByteBudget,
     pub(super) queue: BatchQueue,
@@ -65,23 +67,23 @@
 /// What a path serves.
 enum Route {
     Chat,
-    Batch(Endpoint, Form),
+    Batch(ApiEndpoint, BatchForm),
 }
 
 impl Route {
     fn from_path(path: &str) -> Option<Route> {
         match path {
             CHAT_PATH => Some(Route::Chat),
-            EMBEDDINGS_PATH => Some(Route::Batch(Endpoint::Embeddings, Form::Embeddings)),
-            RERANK_V1_PATH => Some(Route::Batch(Endpoint::Rerank, Form::RerankV1)),
-            RERANK_V2_PATH => Some(Route::Batch(Endpoint::Rerank, Form::RerankV2)),
+            EMBEDDINGS_PATH => Some(Route::Batch(ApiEndpoint::Embeddings, BatchForm::Embeddings)),
+            RERANK_V1_PATH => Some(Route::Batch(ApiEndpoint::Rerank, BatchForm::RerankV1)),
+            RERANK_V2_PATH => Some(Route::Batch(ApiEndpoint::Rerank, BatchForm::RerankV2)),
             _ => None,
         }
     }
 
-    fn endpoint(&self) -> Endpoint {
+    fn endpoint(&self) -> ApiEndpoint {
         match self {
-            Route::Chat => Endpoint::Chat,
+            Route::Chat => ApiEndpoint::Chat,
             Route::Batch(endpoint, _) => *endpoint,
         }
     }
@@ -100,16 +102,19 @@
         seed: u64,
         phase: watch::Receiver<Phase>,
     ) -> Inference {
-        let class_index = |name: &str| {
-            let index = site.classes.iter().position(|c| c.name == name);
-            index.unwrap_or(0)
+        let class = |endpoint: &EndpointSetup| {
+            let index = site.classes.iter().position(|c| c.name == endpoint.class);
+            ClassId(index.unwrap_or(0))
         };
         let max_retry_after = max_retry_after(settings).unwrap_or(DEFAULT_MAX_RETRY_AFTER);
         Inference(Rc::new(Service {
             handle,
-            default_classes: Endpoint::ALL
-                .map(|endpoint| class_index(&setup.endpoint(endpoint).class)),
-            catalogue: setup.catalogue(site).unwrap_or_default(),
+            default_classes: PerEndpoint {
+                chat: class(&setup.chat),
+                embeddings: class(&setup.embeddings),
+                rerank: class(&setup.rerank),
+            },
+            catalog: setup.catalog(site).unwrap_or_default(),
             settings: settings.clone(),
             tenants,
             budget: ByteBudget::new(setup.limits.held_bytes),
@@ -172,7 +177,7 @@
         match route {
             Route::Chat => self.chat(context, body, reservation).await,
             Route::Batch(_, form) => {
-                let batch = Batch::decode(form, body, &limits.bounds())?;
+                let batch = Batch::decode(form, body, &limits.body_limits())?;
                 self.batch(context, batch, reservation).await
             }
         }
@@ -190,8 +195,8 @@
         }
         self.authenticate(head)?;
         let text = match rest.trim_start_matches('/') {
-            "" => self.catalogue.list(),
-            id => self.catalogue.show(&percent_decoded(id))?,
+            "" => self.catalog.list(),
+            id => self.catalog.show(&percent_decoded(id))?,
         };
         Ok(json_response(ResponseBody::full(text)))
     }
@@ -201,13 +206,15 @@
         &self,
         id: Rc<str>,
         head: &RequestHead,
-        endpoint: Endpoint,
+        endpoint: ApiEndpoint,
     ) -> Result<RequestContext, RequestError> {
         let time_to_first_byte = match header(head, DEADLINE_MS)?.map(str::parse::<u32>) {
             None => Duration::from_millis(self.setup.endpoint(endpoint).deadline_ms.into()),
             Some(Ok(ms)) => Duration::from_millis(ms.into()).min(MAX_TIME_TO_FIRST_BYTE),
             Some(Err(_)) => {
-                return Err(ApiError::value(DEADLINE_MS, "must be whole milliseconds").into())
+                return Err(
+                    ApiError::invalid_value(DEADLINE_MS, "must be whole milliseconds").into(),
+                )
             }
         };
         let tenant = self.authenticate(head)?;
@@ -245,16 +252,13 @@
     pub(super) fn resolve_model<'a>(
         &'a self,
         name: &'a str,
-        endpoint: Endpoint,
+        endpoint: ApiEndpoint,
     ) -> Result<ServedModel<'a>, RequestError> {
-        let Resolved { name, class, kinds } = self.catalogue.resolve(name, endpoint)?;
-        let default_class = Endpoint::ALL
-            .iter()
-            .position(|e| *e == endpoint)
-            .map_or(0, |at| self.default_classes[at]);
+        let ResolvedModel { name, class, kinds } = self.catalog.resolve(name, endpoint)?;
+        let default_class = *self.default_classes.get(endpoint);
         Ok(ServedModel {
             name,
-            class: ClassId(class.unwrap_or(default_class)),
+            class: class.map_or(default_class, ClassId),
             allowed_kinds: kinds,
         })
     }
@@ -281,7 +285,7 @@
 fn invalid_api_key() -> RequestError {
     let message = "the key (Authorization: Bearer KEY) is no tenant's";
     RequestError::Api(ApiError {
-        kind: Kind::Authentication,
+        kind: ErrorKind::Authentication,
         ..ApiError::invalid(401, "invalid_api_key", None, message)
     })
 }
--- a/crates/router/src/frontend/inference/setup.rs
+++ b/crates/router/src/frontend/inference/setup.rs
@@ -6,7 +6,7 @@
 
 use std::net::SocketAddr;
 
-use cranetack_inference_api::{Catalogue, Endpoint, Model};
+use cranetack_inference_api::{ApiEndpoint, Model, ModelCatalog, PerEndpoint};
 use cranetack_routing_policy::Role;
 use cranetack_settings::SiteSettings;
 use serde::Deserialize;
@@ -78,36 +78,39 @@
 }
 
 impl ModelSetup {
-    fn class(&self, endpoint: Endpoint) -> Option<&str> {
+    fn class(&self, endpoint: ApiEndpoint) -> Option<&str> {
         match endpoint {
-            Endpoint::Chat => self.chat.as_deref(),
-            Endpoint::Embeddings => self.embeddings.as_deref(),
-            Endpoint::Rerank => self.rerank.as_deref(),
+            ApiEndpoint::Chat => self.chat.as_deref(),
+            ApiEndpoint::Embeddings => self.embeddings.as_deref(),
+            ApiEndpoint::Rerank => self.rerank.as_deref(),
         }
     }
 }
 
 impl Setup {
     /// How an endpoint of the API is served.
-    pub fn endpoint(&self, endpoint: Endpoint) -> &EndpointSetup {
+    pub fn endpoint(&self, endpoint: ApiEndpoint) -> &EndpointSetup {
         match endpoint {
-            Endpoint::Chat => &self.chat,
-            Endpoint::Embeddings => &self.embeddings,
-            Endpoint::Rerank => &self.rerank,
+            ApiEndpoint::Chat => &self.chat,
+            ApiEndpoint::Embeddings => &self.embeddings,
+            ApiEndpoint::Rerank => &self.rerank,
         }
     }
 
     /// The models, with the indices of their classes. An error names the key.
-    pub fn catalogue(&self, site: &SiteSettings) -> Result<Catalogue, String> {
+    pub fn catalog(&self, site: &SiteSettings) -> Result<ModelCatalog, String> {
         let mut models = Vec::new();
         for (index, model) in self.models.iter().enumerate() {
-            let mut classes = [None; 3];
-            for (class, endpoint) in classes.iter_mut().zip(Endpoint::ALL) {
-                if let Some(name) = model.class(endpoint) {
-                    let key = format!("models[{index}].{}", endpoint.name());
-                    *class = Some(class_index(site, &key, name)?);
-                }
-            }
+            let class = |endpoint: ApiEndpoint| {
+                let key = format!("models[{index}].{}", endpoint.name());
+                let name = model.class(endpoint);
+                name.map(|name| class_index(site, &key, name)).transpose()
+            };
+            let classes = PerEndpoint {
+                chat: class(ApiEndpoint::Chat)?,
+                embeddings: class(ApiEndpoint::Embeddings)?,
+                rerank: class(ApiEndpoint::Rerank)?,
+            };
             let kinds = kind_set(site, &model.kinds);
             models.push(Model {
                 name: model.name.clone(),
@@ -116,12 +119,12 @@
                 kinds: kinds.map_err(|error| format!("models[{index}].kinds: {error}"))?,
             });
         }
-        Catalogue::new(models)
+        ModelCatalog::new(models)
     }
 
     /// What is wrong with the values beside the settings, in one line that names the key.
     pub fn check(&self, site: &SiteSettings) -> Result<(), String> {
-        for endpoint in Endpoint::ALL {
+        for endpoint in ApiEndpoint::ALL {
             let key = endpoint.name();
             let setup = self.endpoint(endpoint);
             class_index(site, &format!("{key}.class"), &setup.class)?;
@@ -134,7 +137,7 @@
         }
         self.limits.check()?;
         self.batches.check()?;
-        self.catalogue(site).map(drop)
+        self.catalog(site).map(drop)
     }
 }
 
--- a/crates/router/src/frontend/inference/setup/limits.rs
+++ b/crates/router/src/frontend/inference/setup/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cranetack_inference_api::Bounds;
+use cranetack_inference_api::BodyLimits;
 use serde::Deserialize;
 
 const MIB: usize = 1024 * 1024;
@@ -33,25 +33,25 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        let Bounds { depth, text, items } = Bounds::default();
+        let body = BodyLimits::default();
         Limits {
             body_bytes: 16 * MIB,
             held_bytes: 64 * MIB,
             body_wait_ms: 10_000,
             read_wait_ms: 30_000,
-            depth,
-            items,
-            text_bytes: text,
+            depth: body.depth,
+            items: body.items,
+            text_bytes: body.string_bytes,
         }
     }
 }
 
 impl Limits {
     /// The limits that are checked before a body is decoded.
-    pub fn bounds(&self) -> Bounds {
-        Bounds {
+    pub fn body_limits(&self) -> BodyLimits {
+        BodyLimits {
             depth: self.depth,
-            text: self.text_bytes,
+            string_bytes: self.text_bytes,
             items: self.items,
         }
     }
--- a/crates/router/src/frontend/inference/setup/tests.rs
+++ b/crates/router/src/frontend/inference/setup/tests.rs
@@ -24,9 +24,9 @@
     assert!(setup.listen.ip().is_loopback());
     assert_eq!(setup.rerank.class, "rerank");
     assert!(setup
-        .catalogue(&site())
+        .catalog(&site())
         .unwrap()
-        .resolve("parts-chat", Endpoint::Chat)
+        .resolve("parts-chat", ApiEndpoint::Chat)
         .is_ok());
 }
 
