--- a/crates/inference-client/examples/ask.rs
+++ b/crates/inference-client/examples/ask.rs
@@ -1,4 +1,5 @@
-//! Asks the toy service's models through a router (`make toy` and `make run` in other terminals).
+//! Calls the models of the example service through a router (`make toy` and `make run` in other
+//! terminals).
 
 use cranetack_inference_client::{ChatRequest, Client, EmbeddingsRequest, Message, RerankRequest};
 
@@ -17,17 +18,17 @@
         .collect();
     println!("models: {}", models.join(", "));
 
-    let asked = ChatRequest::new(
+    let request = ChatRequest::new(
         "parts-chat",
         vec![Message::user("Which gasket fits a 6LY3?")],
     );
-    let answer = client.chat(&asked).await?;
+    let response = client.chat(&request).await?;
     println!(
         "whole: {}",
-        answer.choices[0].message.content.as_deref().unwrap_or("")
+        response.choices[0].message.content.as_deref().unwrap_or("")
     );
 
-    let mut stream = client.chat_stream(&asked).await?;
+    let mut stream = client.chat_stream(&request).await?;
     while let Some(chunk) = stream.next().await {
         let chunk = chunk?;
         print!("{}", chunk.text());
--- a/crates/inference-client/src/lib.rs
+++ b/crates/inference-client/src/lib.rs
@@ -1,33 +1,42 @@
-//! A client of the inference API that cranetack serves: chat, whole and streamed, embeddings, rerank, models.
+//! A client of the inference API that cranetack serves: chat, complete or streamed, embeddings,
+//! rerank and models.
 //!
 //! ```no_run
 //! # async fn example() -> Result<(), cranetack_inference_client::Error> {
 //! use cranetack_inference_client::{ChatRequest, Client, Message};
 //!
 //! let client = Client::new("http://127.0.0.1:8090")?;
-//! let asked = ChatRequest::new("parts-chat", vec![Message::user("Which gasket fits a 6LY3?")]);
-//! let answer = client.chat(&asked).await?;
-//! println!("{}", answer.choices[0].message.content.as_deref().unwrap_or(""));
+//! let request = ChatRequest::new("parts-chat", vec![Message::user("Which gasket fits a 6LY3?")]);
+//! let response = client.chat(&request).await?;
+//! println!("{}", response.choices[0].message.content.as_deref().unwrap_or(""));
 //! # Ok(())
 //! # }
 //! ```
 //!
-//! Every call has a deadline, over all its tries. Whether a call is tried again hangs on what came of it (see
-//! [`retry`]), on whether it may run twice ([`Safety`]), on the pause that the service asks for, and on a budget that
-//! all calls of a [`Client`] share. Dropping a call's future, or a [`ChatStream`], closes its connection, which takes
-//! the request back at the service. The client opens connections by itself and keeps some; it must run on a tokio
-//! runtime with time and I/O.
+//! Every call has a deadline over all its attempts. Whether a call is retried depends on the
+//! outcome of the attempt (see [`retry`]), on whether it may be executed twice ([`Idempotency`]),
+//! on the delay that the service asks for, and on a budget that all calls of a [`Client`] share.
+//! Dropping a call's future, or a [`ChatStream`], closes its connection, which cancels the request
+//! at the service. The client opens connections by itself and keeps some of them. It must run on a
+//! tokio runtime with time and I/O.
 
 mod call;
-mod link;
+mod client;
+mod connection;
+mod error;
+mod options;
 pub mod retry;
 mod stream;
 mod types;
+mod write_progress;
 
-pub use call::{Client, Error, Options};
-pub use retry::Safety;
+pub use client::Client;
+pub use error::Error;
+pub use options::Options;
+pub use retry::Idempotency;
 pub use stream::ChatStream;
 pub use types::{
-    ApiErrorBody, ChatAnswer, ChatChunk, ChatRequest, Choice, Embedding, EmbeddingsAnswer,
-    EmbeddingsRequest, Message, Model, Models, RerankAnswer, RerankRequest, Scored, Usage,
+    ApiErrorBody, ChatChunk, ChatRequest, ChatResponse, Choice, Embedding, EmbeddingsRequest,
+    EmbeddingsResponse, Message, Model, ModelList, RerankRequest, RerankResponse, RerankResult,
+    Usage,
 };
--- a/crates/inference-client/src/retry.rs
+++ b/crates/inference-client/src/retry.rs
@@ -1,116 +1,145 @@
-//! Whether a call is tried again, and when. No I/O: what came of a try goes in, what to do comes out.
+//! Whether and when a call is retried.
 
 use std::time::Duration;
 
-/// Whether a request may run twice.
+/// The largest power of two by which the backoff grows.
+const MAX_BACKOFF_EXPONENT: u32 = 16;
+
+/// Whether a request may be executed twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Safety {
+pub enum Idempotency {
     /// It may: reading, embedding and scoring change nothing.
     #[default]
-    Safe,
-    /// It must not: an order, say.
-    Unsafe,
+    Idempotent,
+    /// It must not: an order, for example.
+    NonIdempotent,
 }
 
-/// What came of a try.
+/// How an attempt failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Tried {
-    /// No connection came up, or it ended before the last byte was written: it has not run.
+pub enum AttemptOutcome {
+    /// No connection was established, or it ended before the last byte was written: the request has
+    /// not been executed.
     NotSent,
-    /// The connection ended after the last byte was written and before an answer: it may have run.
-    Lost,
-    /// Answered with this status, and the pause that the service asks for.
-    Answered(u16, Option<Duration>),
-    /// The answer broke off after it had begun. Part of it has been seen.
-    Broken,
+    /// The connection ended after the last byte was written and before a response: the request may
+    /// have been executed.
+    ConnectionLost,
+    /// The service responded.
+    Responded {
+        /// The status.
+        status: u16,
+        /// The delay that the service asks for.
+        retry_after: Option<Duration>,
+    },
+    /// A retry is not possible or of no use, as when a part of the response has been seen.
+    NotRetryable,
 }
 
-/// How calls are tried again.
+/// How calls are retried.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Rules {
-    /// Tries of one call.
-    pub tries: u32,
-    /// The first pause where the service asks for none; it doubles with each try.
-    pub pause: Duration,
-    /// The longest pause, the service's too: one that asks for more is not asked again.
-    pub pause_most: Duration,
-    /// Repeats for each success, of all calls together ...
-    pub share: f64,
-    /// ... and how many may be saved.
-    pub saved: f64,
+pub struct RetryPolicy {
+    /// The most attempts at one call.
+    pub max_attempts: u32,
+    /// The first delay if the service asks for none; it doubles with each attempt.
+    pub initial_delay: Duration,
+    /// The longest delay. If the service asks for a longer one, the call is not retried.
+    pub max_delay: Duration,
+    /// Retries as a share of the successes of all calls.
+    pub budget_ratio: f64,
+    /// The most retries that may be saved.
+    pub max_saved: f64,
 }
 
-impl Default for Rules {
+impl Default for RetryPolicy {
     fn default() -> Self {
-        Rules {
-            tries: 3,
-            pause: Duration::from_millis(50),
-            pause_most: Duration::from_secs(5),
-            share: 0.1,
-            saved: 10.0,
+        RetryPolicy {
+            max_attempts: 3,
+            initial_delay: Duration::from_millis(50),
+            max_delay: Duration::from_secs(5),
+            budget_ratio: 0.1,
+            max_saved: 10.0,
         }
     }
 }
 
-/// Repeats that all calls share.
+/// The retries that all calls of a client share, so that they add little load to an outage.
 #[derive(Debug, Clone)]
-pub struct Retries {
-    rules: Rules,
-    left: f64,
+pub struct RetryBudget {
+    policy: RetryPolicy,
+    available: f64,
 }
 
-impl Retries {
+impl RetryBudget {
     /// A budget that starts full.
-    pub fn new(rules: Rules) -> Retries {
-        Retries {
-            left: rules.saved,
-            rules,
+    pub fn new(policy: RetryPolicy) -> RetryBudget {
+        RetryBudget {
+            available: policy.max_saved,
+            policy,
         }
     }
 
-    /// A call has succeeded.
-    pub fn succeeded(&mut self) {
-        self.left = (self.left + self.rules.share).min(self.rules.saved);
+    /// Notes that a call succeeded.
+    pub fn record_success(&mut self) {
+        self.available = (self.available + self.policy.budget_ratio).min(self.policy.max_saved);
     }
 
-    /// The pause after which to try again, or `None`: what came of the try is the end. `tries` counts those made,
-    /// `left` is the time to the deadline, `chance` from 0 to 1 spreads the pauses of many clients.
-    pub fn again(
+    /// The delay before the next attempt, which is taken from the budget, or `None` if there is to
+    /// be none. `attempts` counts those made, `remaining` is the time to the deadline, and `jitter`
+    /// from 0 to 1 spreads the retries of many clients.
+    pub fn next_delay(
         &mut self,
-        tried: Tried,
-        safety: Safety,
-        tries: u32,
-        left: Duration,
-        chance: f64,
+        outcome: AttemptOutcome,
+        idempotency: Idempotency,
+        attempts: u32,
+        remaining: Duration,
+        jitter: f64,
     ) -> Option<Duration> {
-        let harmless = match tried {
-            Tried::NotSent => true,
-            // Refused: the service says that trying again is harmless, for this class.
-            Tried::Answered(429 | 503, _) => true,
-            Tried::Answered(408, _) => true,
-            Tried::Lost | Tried::Answered(502, _) => safety == Safety::Safe,
-            // What was seen of a broken answer may have been used; and all else is the caller's to mend.
-            Tried::Broken | Tried::Answered(..) => false,
-        };
-        if !harmless || tries >= self.rules.tries {
+        if !is_retryable(outcome, idempotency) || attempts >= self.policy.max_attempts {
             return None;
         }
-        let doubled = self.rules.pause * 2_u32.saturating_pow(tries.saturating_sub(1).min(16));
-        let pause = match tried {
-            // Not before the service asks for; the spread comes on top.
-            Tried::Answered(_, Some(asked)) if asked > self.rules.pause_most => return None,
-            Tried::Answered(_, Some(asked)) => {
-                asked + self.rules.pause.mul_f64(chance.clamp(0.0, 1.0))
-            }
-            _ => doubled
-                .min(self.rules.pause_most)
-                .mul_f64(0.5 + chance.clamp(0.0, 1.0) / 2.0),
-        };
-        if pause >= left || self.left < 1.0 {
+        let delay = self.delay(outcome, attempts, jitter.clamp(0.0, 1.0))?;
+        if delay >= remaining || self.available < 1.0 {
             return None;
         }
-        self.left -= 1.0;
-        Some(pause)
+        self.available -= 1.0;
+        Some(delay)
+    }
+
+    fn delay(&self, outcome: AttemptOutcome, attempts: u32, jitter: f64) -> Option<Duration> {
+        let RetryPolicy {
+            initial_delay,
+            max_delay,
+            ..
+        } = self.policy;
+        if let AttemptOutcome::Responded {
+            retry_after: Some(retry_after),
+            ..
+        } = outcome
+        {
+            if retry_after > max_delay {
+                return None;
+            }
+            // Never earlier than the service asks for: the jitter is added.
+            return Some(retry_after + initial_delay.mul_f64(jitter));
+        }
+        let exponent = attempts.saturating_sub(1).min(MAX_BACKOFF_EXPONENT);
+        let backoff = initial_delay * 2_u32.saturating_pow(exponent);
+        Some(backoff.min(max_delay).mul_f64(0.5 + jitter / 2.0))
+    }
+}
+
+/// Whether a retry cannot execute a request twice that must not be.
+fn is_retryable(outcome: AttemptOutcome, idempotency: Idempotency) -> bool {
+    match outcome {
+        AttemptOutcome::NotSent => true,
+        AttemptOutcome::Responded { status, .. } => match status {
+            // The request was not executed.
+            408 | 429 | 503 => true,
+            502 => idempotency == Idempotency::Idempotent,
+            _ => false,
+        },
+        AttemptOutcome::ConnectionLost => idempotency == Idempotency::Idempotent,
+        AttemptOutcome::NotRetryable => false,
     }
 }
 
--- a/crates/inference-client/src/retry/tests.rs
+++ b/crates/inference-client/src/retry/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `retry`.
+//! Tests of retry decisions.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -7,60 +7,83 @@
 
 const LONG: Duration = Duration::from_secs(60);
 
-fn again(tried: Tried, safety: Safety) -> Option<Duration> {
-    Retries::new(Rules::default()).again(tried, safety, 1, LONG, 0.0)
+fn responded(status: u16, retry_after: Option<Duration>) -> AttemptOutcome {
+    AttemptOutcome::Responded {
+        status,
+        retry_after,
+    }
+}
+
+fn first_delay(outcome: AttemptOutcome, idempotency: Idempotency) -> Option<Duration> {
+    RetryBudget::new(RetryPolicy::default()).next_delay(outcome, idempotency, 1, LONG, 0.0)
 }
 
 #[test]
-fn what_may_have_run_is_repeated_only_if_that_is_safe() {
-    for (tried, safe, other) in [
-        (Tried::NotSent, true, true),
-        (Tried::Lost, true, false),
-        (Tried::Answered(503, None), true, true),
-        (Tried::Answered(429, None), true, true),
-        (Tried::Answered(502, None), true, false),
-        (Tried::Answered(504, None), false, false),
-        (Tried::Answered(400, None), false, false),
-        (Tried::Answered(409, None), false, false),
-        (Tried::Broken, false, false),
+fn a_request_that_may_have_been_executed_is_retried_only_if_idempotent() {
+    for (outcome, safe, other) in [
+        (AttemptOutcome::NotSent, true, true),
+        (AttemptOutcome::ConnectionLost, true, false),
+        (responded(503, None), true, true),
+        (responded(429, None), true, true),
+        (responded(502, None), true, false),
+        (responded(504, None), false, false),
+        (responded(400, None), false, false),
+        (responded(409, None), false, false),
+        (AttemptOutcome::NotRetryable, false, false),
     ] {
-        assert_eq!(again(tried, Safety::Safe).is_some(), safe, "{tried:?}");
-        assert_eq!(again(tried, Safety::Unsafe).is_some(), other, "{tried:?}");
+        assert_eq!(
+            first_delay(outcome, Idempotency::Idempotent).is_some(),
+            safe,
+            "{outcome:?}"
+        );
+        assert_eq!(
+            first_delay(outcome, Idempotency::NonIdempotent).is_some(),
+            other,
+            "{outcome:?}"
+        );
     }
 }
 
 #[test]
-fn the_services_pause_is_heeded_and_a_deadline_is_not_slept_over() {
-    let asked = |pause| Tried::Answered(503, Some(pause));
+fn retry_after_is_obeyed_unless_it_exceeds_the_deadline_or_the_policy() {
+    let rejected = |delay| responded(503, Some(delay));
     let (short, long) = (Duration::from_millis(700), Duration::from_secs(6));
-    assert_eq!(again(asked(short), Safety::Unsafe), Some(short));
-    assert_eq!(again(asked(long), Safety::Safe), None);
-    let mut retries = Retries::new(Rules::default());
     assert_eq!(
-        retries.again(asked(short), Safety::Safe, 1, short, 0.5),
+        first_delay(rejected(short), Idempotency::NonIdempotent),
+        Some(short)
+    );
+    assert_eq!(first_delay(rejected(long), Idempotency::Idempotent), None);
+    let mut budget = RetryBudget::new(RetryPolicy::default());
+    assert_eq!(
+        budget.next_delay(rejected(short), Idempotency::Idempotent, 1, short, 0.5),
         None
     );
-    let chance = retries
-        .again(asked(short), Safety::Safe, 1, LONG, 1.0)
+    let jittered = budget
+        .next_delay(rejected(short), Idempotency::Idempotent, 1, LONG, 1.0)
         .unwrap();
-    assert!(chance > short);
+    assert!(jittered > short);
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(3), ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        rng_seed: RngSeed::Fixed(3),
+        ..ProptestConfig::default()
+    })]
     #[test]
-    fn repeats_stay_within_the_budget(steps in proptest::collection::vec(any::<bool>(), 0..400)) {
-        let rules = Rules { share: 0.25, saved: 4.0, ..Rules::default() };
-        let mut retries = Retries::new(rules);
-        let (mut successes, mut repeats) = (0, 0);
+    fn retries_stay_within_the_budget(steps in proptest::collection::vec(any::<bool>(), 0..400)) {
+        let policy = RetryPolicy { budget_ratio: 0.25, max_saved: 4.0, ..RetryPolicy::default() };
+        let mut budget = RetryBudget::new(policy);
+        let (mut successes, mut retries) = (0_u32, 0_u32);
         for success in steps {
             if success {
-                retries.succeeded();
+                budget.record_success();
                 successes += 1;
-            } else if retries.again(Tried::NotSent, Safety::Safe, 1, LONG, 0.5).is_some() {
-                repeats += 1;
+            } else {
+                let outcome = AttemptOutcome::NotSent;
+                let delay = budget.next_delay(outcome, Idempotency::Idempotent, 1, LONG, 0.5);
+                retries += u32::from(delay.is_some());
             }
-            prop_assert!(f64::from(repeats) <= 4.0 + 0.25 * f64::from(successes));
+            prop_assert!(f64::from(retries) <= 4.0 + 0.25 * f64::from(successes));
         }
     }
 }
--- a/crates/inference-client/src/stream.rs
+++ b/crates/inference-client/src/stream.rs
@@ -1,4 +1,4 @@
-//! A chat answer as it comes.
+//! A chat response as a stream.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,95 +9,99 @@
 use hyper::body::Incoming;
 use tokio::time::timeout;
 
-use crate::call::{error_of, Error};
-use crate::link::Link;
+use crate::connection::Connection;
+use crate::error::{decode_api_error, Error};
 use crate::types::ChatChunk;
 
-/// A chat answer as it comes. Dropping it closes its connection, which takes the request back.
+/// A chat response as a stream. Dropping it closes its connection, which cancels the request.
 pub struct ChatStream {
     body: Incoming,
-    _link: Link,
-    silence: Duration,
+    _connection: Connection,
+    idle_timeout: Duration,
     events: EventSplitter,
-    waiting: VecDeque<String>,
-    over: bool,
+    pending: VecDeque<String>,
+    ended: bool,
 }
 
 impl ChatStream {
-    pub(crate) fn new(body: Incoming, link: Link, silence: Duration) -> ChatStream {
-        let (events, waiting) = (EventSplitter::default(), VecDeque::new());
+    pub(crate) fn new(
+        body: Incoming,
+        connection: Connection,
+        idle_timeout: Duration,
+    ) -> ChatStream {
         ChatStream {
             body,
-            _link: link,
-            silence,
-            events,
-            waiting,
-            over: false,
+            _connection: connection,
+            idle_timeout,
+            events: EventSplitter::default(),
+            pending: VecDeque::new(),
+            ended: false,
         }
     }
 
-    /// The next event; `None` at the end of a whole answer. After an error nothing comes.
+    /// The next event; `None` at the end of a complete response. Nothing follows an error.
     pub async fn next(&mut self) -> Option<Result<ChatChunk, Error>> {
         loop {
-            if let Some(data) = self.waiting.pop_front() {
-                return Some(self.chunk(&data));
+            if let Some(data) = self.pending.pop_front() {
+                return Some(self.decode_chunk(&data));
             }
-            if self.over {
+            if self.ended {
                 return None;
             }
-            match self.fill().await {
+            match self.read_events().await {
                 Ok(true) => {}
-                Ok(false) => self.over = true,
+                Ok(false) => self.ended = true,
                 Err(error) => {
-                    self.over = true;
+                    self.ended = true;
                     return Some(Err(error));
                 }
             }
         }
     }
 
-    /// Waits for further events; `false` at the end.
-    async fn fill(&mut self) -> Result<bool, Error> {
-        let frame = timeout(self.silence, self.body.frame())
+    /// Reads further events; `false` at the end of the response.
+    async fn read_events(&mut self) -> Result<bool, Error> {
+        let frame = timeout(self.idle_timeout, self.body.frame())
             .await
-            .map_err(|_| Error::Broken)?;
+            .map_err(|_| Error::StreamBroken)?;
         let Some(Ok(frame)) = frame else {
-            // What breaks off after the end has been whole.
+            // The response was complete before its connection broke off.
             return if self.events.is_done() {
                 Ok(false)
             } else {
-                Err(Error::Broken)
+                Err(Error::StreamBroken)
             };
         };
         let Ok(data) = frame.into_data() else {
             return Ok(true);
         };
-        let unreadable = |e: InvalidEventStream| Error::Unreadable(e.to_string());
-        if let Some(whole) = self.events.push(&data).map_err(unreadable)? {
-            self.waiting.extend(event_data(&whole).map_err(unreadable)?);
+        let malformed = |error: InvalidEventStream| Error::Malformed(error.to_string());
+        if let Some(complete) = self.events.push(&data).map_err(malformed)? {
+            self.pending
+                .extend(event_data(&complete).map_err(malformed)?);
         }
         Ok(true)
     }
 
-    fn chunk(&mut self, data: &str) -> Result<ChatChunk, Error> {
+    fn decode_chunk(&mut self, data: &str) -> Result<ChatChunk, Error> {
         #[derive(serde::Deserialize)]
-        struct IsError {
+        struct ErrorEvent {
             #[serde(rename = "error")]
             _error: serde::de::IgnoredAny,
         }
-        if serde_json::from_str::<IsError>(data).is_ok() {
-            self.over = true;
-            self.waiting.clear();
+        if serde_json::from_str::<ErrorEvent>(data).is_ok() {
+            self.ended = true;
+            self.pending.clear();
             return Err(Error::Api {
                 status: 200,
-                error: error_of(data.as_bytes()),
+                error: decode_api_error(data.as_bytes()),
                 retry_after: None,
             });
         }
-        serde_json::from_str(data).map_err(|e| Error::Unreadable(e.to_string()))
+        serde_json::from_str(data).map_err(|error| Error::Malformed(error.to_string()))
     }
 
-    /// The text of the first choice, whole.
+    /// The whole text of the first choice.
     pub async fn text(mut self) -> Result<String, Error> {
         let mut text = String::new();
         while let Some(chunk) = self.next().await {
--- a/crates/inference-client/src/types.rs
+++ b/crates/inference-client/src/types.rs
@@ -1,4 +1,5 @@
-//! What calls take and give. Fields that are not listed can be set through `more` and are found there.
+//! The requests and responses of calls. Fields that are not listed here can be set, and are found,
+//! in `extra`.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
@@ -6,17 +7,17 @@
 /// A message of a chat.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// Who says it: `system`, `user`, `assistant` or `tool`.
+    /// Its author: `system`, `user`, `assistant` or `tool`.
     pub role: String,
-    /// What is said.
+    /// The content.
     #[serde(default)]
     pub content: Option<String>,
-    /// Calls of tools.
+    /// The tool calls.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub tool_calls: Vec<Value>,
     /// Further fields.
     #[serde(flatten)]
-    pub more: Map<String, Value>,
+    pub extra: Map<String, Value>,
 }
 
 impl Message {
@@ -43,14 +44,14 @@
 pub struct ChatRequest {
     /// The model.
     pub model: String,
-    /// What was said so far.
+    /// The conversation so far.
     pub messages: Vec<Message>,
-    /// The most tokens of the answer.
+    /// The most tokens of the response.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_completion_tokens: Option<u64>,
     /// Further fields: `temperature`, `tools` and so on.
     #[serde(flatten)]
-    pub more: Map<String, Value>,
+    pub extra: Map<String, Value>,
 }
 
 impl ChatRequest {
@@ -64,31 +65,31 @@
     }
 }
 
-/// A whole chat answer.
+/// A complete chat response.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct ChatAnswer {
+pub struct ChatResponse {
     /// Its id.
     #[serde(default)]
     pub id: String,
     /// The choices.
     pub choices: Vec<Choice>,
-    /// What it used.
+    /// The tokens used.
     #[serde(default)]
     pub usage: Option<Usage>,
     /// Further fields.
     #[serde(flatten)]
-    pub more: Map<String, Value>,
+    pub extra: Map<String, Value>,
 }
 
-/// One choice of an answer.
+/// One choice of a response.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Choice {
-    /// Its number.
+    /// Its index.
     #[serde(default)]
     pub index: u64,
-    /// What was answered.
+    /// The message.
     pub message: Message,
-    /// Why it ended.
+    /// Why it ended, as the API has it.
     #[serde(default)]
     pub finish_reason: Option<String>,
 }
@@ -96,10 +97,10 @@
 /// One event of a chat stream.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct ChatChunk {
-    /// Its parts of choices, as they come.
+    /// What it adds to the choices.
     #[serde(default)]
     pub choices: Vec<Value>,
-    /// What the answer used, in the last event where that was asked for.
+    /// The tokens used, in the last event if they were requested.
     #[serde(default)]
     pub usage: Option<Usage>,
 }
@@ -117,15 +118,15 @@
     }
 }
 
-/// Tokens used.
+/// The tokens used.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Usage {
     /// Of the prompt, inputs or documents.
     pub prompt_tokens: u64,
-    /// Of the answer.
+    /// Of the response.
     pub completion_tokens: u64,
-    /// Of both.
+    /// Of both together.
     pub total_tokens: u64,
 }
 
@@ -136,20 +137,20 @@
     pub model: String,
     /// The texts.
     pub input: Vec<String>,
-    /// How long vectors are wanted.
+    /// The length of vectors that is wanted.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub dimensions: Option<u64>,
     /// Further fields.
     #[serde(flatten)]
-    pub more: Map<String, Value>,
+    pub extra: Map<String, Value>,
 }
 
-/// Vectors, in the order of the texts.
+/// The vectors, in the order of the texts.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct EmbeddingsAnswer {
+pub struct EmbeddingsResponse {
     /// The vectors.
     pub data: Vec<Embedding>,
-    /// What it used.
+    /// The tokens used.
     #[serde(default)]
     pub usage: Usage,
 }
@@ -157,7 +158,7 @@
 /// A vector.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Embedding {
-    /// The number of its text.
+    /// The index of its text.
     pub index: usize,
     /// The vector.
     pub embedding: Vec<f32>,
@@ -168,32 +169,32 @@
 pub struct RerankRequest {
     /// The model.
     pub model: String,
-    /// What is looked for.
+    /// The query.
     pub query: String,
-    /// Where.
+    /// The documents.
     pub documents: Vec<String>,
     /// How many results are wanted.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub top_n: Option<usize>,
     /// Further fields.
     #[serde(flatten)]
-    pub more: Map<String, Value>,
+    pub extra: Map<String, Value>,
 }
 
-/// Scores, the highest first.
+/// The scores, highest first.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct RerankAnswer {
+pub struct RerankResponse {
     /// The results.
-    pub results: Vec<Scored>,
-    /// What it used.
+    pub results: Vec<RerankResult>,
+    /// The tokens used.
     #[serde(default)]
     pub usage: Usage,
 }
 
 /// A score.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Scored {
-    /// The number of its document.
+pub struct RerankResult {
+    /// The index of its document.
     pub index: usize,
     /// The score.
     pub relevance_score: f64,
@@ -206,26 +207,26 @@
     pub id: String,
     /// Further fields.
     #[serde(flatten)]
-    pub more: Map<String, Value>,
+    pub extra: Map<String, Value>,
 }
 
 /// All models.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Models {
+pub struct ModelList {
     /// The models.
     pub data: Vec<Model>,
 }
 
-/// What the service says is wrong.
+/// An error of the service.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct ApiErrorBody {
-    /// For people.
+    /// The message for people.
     pub message: String,
-    /// For programs.
+    /// The code for programs.
     pub code: Option<String>,
-    /// The field or header.
+    /// The field or header that is wrong.
     pub param: Option<String>,
-    /// Whose fault it is.
+    /// The kind of error.
     pub r#type: Option<String>,
 }
--- a/crates/inference-client/tests/client.rs
+++ b/crates/inference-client/tests/client.rs
@@ -1,12 +1,12 @@
-//! The client against a scripted service: what it sends, tries again, and lets go of.
+//! The client against a scripted service: what it sends, retries and cancels.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
 
-use cranetack_inference_client::retry::Rules;
+use cranetack_inference_client::retry::RetryPolicy;
 use cranetack_inference_client::{
-    ChatRequest, Client, EmbeddingsRequest, Error, Message, Options, RerankRequest, Safety,
+    ChatRequest, Client, EmbeddingsRequest, Error, Idempotency, Message, Options, RerankRequest,
 };
 use cranetack_testkit::{run, run_paused, DONE, EVENT, FINISH};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -16,104 +16,105 @@
 
 /// What the service does with one request.
 #[derive(Clone)]
-enum Does {
-    Answer(String),
-    /// Ends the connection after this much of an answer.
+enum Step {
+    Respond(String),
+    /// Ends the connection after this much of a response.
     Break(String),
-    /// Says nothing.
+    /// Does not respond.
     Hang,
     /// Reads no more than the head, and ends the connection.
-    ReadNot,
+    DoNotRead,
 }
 
 struct Service {
     base: String,
     heads: RefCell<Vec<String>>,
     closed: Cell<usize>,
-    news: Notify,
+    changed: Notify,
 }
 
 impl Service {
-    /// A service that does one thing after the other with requests, the last one for ever.
-    async fn start(does: Vec<Does>) -> Rc<Service> {
+    /// A service that plays one step after the other for each request, and the last one for all
+    /// further ones.
+    async fn start(script: Vec<Step>) -> Rc<Service> {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let base = format!("http://{}", listener.local_addr().unwrap());
         let service = Rc::new(Service {
             base,
             heads: RefCell::default(),
             closed: Cell::default(),
-            news: Notify::new(),
+            changed: Notify::new(),
         });
-        let here = service.clone();
+        let service_of_task = service.clone();
         spawn_local(async move {
-            let does = Rc::new(does);
+            let script = Rc::new(script);
             while let Ok((stream, _)) = listener.accept().await {
-                let (service, does) = (here.clone(), does.clone());
+                let (service, script) = (service_of_task.clone(), script.clone());
                 spawn_local(async move {
-                    service.serve(stream, &does).await;
+                    service.serve(stream, &script).await;
                     service.closed.set(service.closed.get() + 1);
-                    service.news.notify_waiters();
+                    service.changed.notify_waiters();
                 });
             }
         });
         service
     }
 
-    async fn serve(&self, mut stream: TcpStream, does: &[Does]) {
+    async fn serve(&self, mut stream: TcpStream, script: &[Step]) {
         let mut request = Vec::new();
         while stream.read_buf(&mut request).await.is_ok_and(|n| n > 0) {
             let text = String::from_utf8_lossy(&request).into_owned();
             let Some((head, body)) = text.split_once("\r\n\r\n") else {
                 continue;
             };
-            let next = does[self.heads.borrow().len().min(does.len() - 1)].clone();
+            let next = script[self.heads.borrow().len().min(script.len() - 1)].clone();
             let length = head
                 .split_once("content-length: ")
                 .and_then(|(_, l)| l.lines().next());
-            if !matches!(next, Does::ReadNot)
+            if !matches!(next, Step::DoNotRead)
                 && body.len() < length.map_or(0, |l| l.parse().unwrap())
             {
                 continue;
             }
             self.heads.borrow_mut().push(head.to_owned());
-            self.news.notify_waiters();
+            self.changed.notify_waiters();
             match next {
-                Does::Answer(answer) => stream.write_all(answer.as_bytes()).await.unwrap(),
-                Does::Break(part) => {
+                Step::Respond(response) => stream.write_all(response.as_bytes()).await.unwrap(),
+                Step::Break(part) => {
                     stream.write_all(part.as_bytes()).await.unwrap();
                     return;
                 }
-                Does::ReadNot => return,
-                Does::Hang => {}
+                Step::DoNotRead => return,
+                Step::Hang => {}
             }
             request.clear();
         }
     }
 
-    fn tries(&self) -> usize {
+    fn attempts(&self) -> usize {
         self.heads.borrow().len()
     }
 }
 
-fn answer(status: u16, headers: &str, body: &str) -> String {
+fn response(status: u16, headers: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status} X\r\n{headers}content-length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-fn good() -> Does {
-    Does::Answer(answer(
+fn ok() -> Step {
+    Step::Respond(response(
         200,
         "",
         r#"{"choices":[{"message":{"role":"assistant","content":"ok"}}]}"#,
     ))
 }
 
-fn refused(after: &str) -> Does {
+fn overloaded(after: &str) -> Step {
     let body =
         r#"{"error":{"message":"full","code":"overloaded","type":"server_error","param":null}}"#;
-    Does::Answer(answer(503, &format!("retry-after: {after}\r\n"), body))
+    Step::Respond(response(503, &format!("retry-after: {after}\r\n"), body))
 }
 
 fn chat() -> ChatRequest {
@@ -123,60 +124,77 @@
 fn client(service: &Service, change: impl FnOnce(&mut Options)) -> Client {
     let mut options = Options::default();
     change(&mut options);
-    Client::with(&service.base, options).unwrap()
+    Client::with_options(&service.base, options).unwrap()
 }
 
 #[test]
-fn what_may_have_run_is_tried_again_only_where_that_is_safe() {
+fn a_request_that_may_have_been_executed_is_retried_only_if_idempotent() {
     run(async {
-        for (does, safety, tries, served) in [
-            (Does::Break(String::new()), Safety::Safe, 2, true),
-            (Does::Break(String::new()), Safety::Unsafe, 1, false),
+        for (step, idempotency, attempts, served) in [
+            (Step::Break(String::new()), Idempotency::Idempotent, 2, true),
             (
-                Does::Break("HTTP/1.1 200 X\r\ncontent-length: 9\r\n\r\n{".into()),
-                Safety::Safe,
+                Step::Break(String::new()),
+                Idempotency::NonIdempotent,
+                1,
+                false,
+            ),
+            (
+                Step::Break("HTTP/1.1 200 X\r\ncontent-length: 9\r\n\r\n{".into()),
+                Idempotency::Idempotent,
                 2,
                 true,
             ),
             (
-                Does::Break("HTTP/1.1 200 X\r\ncontent-length: 9\r\n\r\n{".into()),
-                Safety::Unsafe,
+                Step::Break("HTTP/1.1 200 X\r\ncontent-length: 9\r\n\r\n{".into()),
+                Idempotency::NonIdempotent,
                 1,
                 false,
             ),
-            (Does::Answer(answer(502, "", "{}")), Safety::Safe, 2, true),
             (
-                Does::Answer(answer(502, "", "{}")),
-                Safety::Unsafe,
+                Step::Respond(response(502, "", "{}")),
+                Idempotency::Idempotent,
+                2,
+                true,
+            ),
+            (
+                Step::Respond(response(502, "", "{}")),
+                Idempotency::NonIdempotent,
+                1,
+                false,
+            ),
+            (overloaded("0.01"), Idempotency::NonIdempotent, 2, true),
+            (
+                Step::Respond(response(400, "", "{}")),
+                Idempotency::Idempotent,
                 1,
                 false,
             ),
-            (refused("0.01"), Safety::Unsafe, 2, true),
-            (Does::Answer(answer(400, "", "{}")), Safety::Safe, 1, false),
         ] {
-            let service = Service::start(vec![does, good()]).await;
-            let client = client(&service, |o| o.safety = safety);
-            let answered = client.chat(&chat()).await;
+            let service = Service::start(vec![step, ok()]).await;
+            let client = client(&service, |options| options.idempotency = idempotency);
+            let result = client.chat(&chat()).await;
             assert_eq!(
-                (service.tries(), answered.is_ok()),
-                (tries, served),
-                "{answered:?}"
+                (service.attempts(), result.is_ok()),
+                (attempts, served),
+                "{result:?}"
             );
         }
     });
 }
 
-/// Guards against a request counted as run though its last byte never left: it is tried again even where it must not
-/// run twice.
+/// A request whose last byte was never written cannot have been executed: it is retried even if it
+/// is not idempotent.
 #[test]
-fn what_was_never_written_whole_has_not_run() {
+fn a_request_that_was_not_written_completely_is_retried() {
     run(async {
-        let service = Service::start(vec![Does::ReadNot, good()]).await;
-        let client = client(&service, |o| o.safety = Safety::Unsafe);
+        let service = Service::start(vec![Step::DoNotRead, ok()]).await;
+        let client = client(&service, |options| {
+            options.idempotency = Idempotency::NonIdempotent
+        });
         let large = ChatRequest::new("m", vec![Message::user("x".repeat(20_000_000))]);
         assert!(client.chat(&large).await.is_ok());
-        assert_eq!(service.tries(), 2);
-        // Nobody listens.
+        assert_eq!(service.attempts(), 2);
+        // No one listens at this address.
         let nobody = TcpListener::bind("127.0.0.1:0")
             .await
             .unwrap()
@@ -188,53 +206,57 @@
 }
 
 #[test]
-fn the_services_pause_is_kept_and_the_deadline_is_not_passed() {
+fn retry_after_is_obeyed_and_the_deadline_is_kept() {
     run(async {
-        let service = Service::start(vec![refused("0.3"), good()]).await;
-        let began = tokio::time::Instant::now();
+        let service = Service::start(vec![overloaded("0.3"), ok()]).await;
+        let start = tokio::time::Instant::now();
         client(&service, |_| ()).chat(&chat()).await.unwrap();
-        assert!(began.elapsed() >= Duration::from_millis(300));
-        // A pause beyond the deadline is not slept over: the refusal is told at once.
-        let service = Service::start(vec![refused("3"), good()]).await;
-        let began = tokio::time::Instant::now();
-        let refused = client(&service, |o| o.deadline = Duration::from_secs(2))
-            .chat(&chat())
-            .await;
+        assert!(start.elapsed() >= Duration::from_millis(300));
+        // If the delay exceeds the deadline, the rejection is returned at once.
+        let service = Service::start(vec![overloaded("3"), ok()]).await;
+        let start = tokio::time::Instant::now();
+        let rejected = client(&service, |options| {
+            options.deadline = Duration::from_secs(2)
+        })
+        .chat(&chat())
+        .await;
         assert!(
             matches!(
-                refused,
+                rejected,
                 Err(Error::Api {
                     status: 503,
                     retry_after: Some(_),
                     ..
                 })
             ),
-            "{refused:?}"
+            "{rejected:?}"
         );
-        assert!(began.elapsed() < Duration::from_secs(1) && service.tries() == 1);
-        let service = Service::start(vec![Does::Hang]).await;
-        let late = client(&service, |o| o.deadline = Duration::from_millis(50))
-            .chat(&chat())
-            .await;
-        assert!(matches!(late, Err(Error::Deadline)));
+        assert!(start.elapsed() < Duration::from_secs(1) && service.attempts() == 1);
+        let service = Service::start(vec![Step::Hang]).await;
+        let late = client(&service, |options| {
+            options.deadline = Duration::from_millis(50)
+        })
+        .chat(&chat())
+        .await;
+        assert!(matches!(late, Err(Error::DeadlineExceeded)));
     });
 }
 
-/// Guards against retries that add to an outage: all calls of a client share one budget.
+/// Retries must not add to an outage: all calls of a client share one budget.
 #[test]
-fn in_an_outage_tries_end_with_the_budget() {
+fn in_an_outage_retries_end_with_the_budget() {
     run_paused(async {
-        let service = Service::start(vec![refused("0.01")]).await;
-        let client = client(&service, |o| {
-            o.retries = Rules {
-                saved: 5.0,
-                ..Rules::default()
+        let service = Service::start(vec![overloaded("0.01")]).await;
+        let client = client(&service, |options| {
+            options.retry_policy = RetryPolicy {
+                max_saved: 5.0,
+                ..RetryPolicy::default()
             }
         });
         for _ in 0..30 {
             assert!(client.chat(&chat()).await.is_err());
         }
-        assert_eq!(service.tries(), 30 + 5);
+        assert_eq!(service.attempts(), 30 + 5);
     });
 }
 
@@ -245,33 +267,34 @@
             "HTTP/1.1 200 X\r\ntransfer-encoding: chunked\r\n\r\n{:x}\r\n{EVENT}\r\n",
             EVENT.len()
         );
-        let service = Service::start(vec![Does::Hang, Does::Answer(begun)]).await;
+        let service = Service::start(vec![Step::Hang, Step::Respond(begun)]).await;
         let client = client(&service, |_| ());
         let call = {
             let client = client.clone();
             spawn_local(async move { client.chat(&chat()).await })
         };
-        while service.tries() == 0 {
-            service.news.notified().await;
+        while service.attempts() == 0 {
+            service.changed.notified().await;
         }
         call.abort();
         while service.closed.get() == 0 {
-            service.news.notified().await;
+            service.changed.notified().await;
         }
         let mut stream = client.chat_stream(&chat()).await.unwrap();
         assert_eq!(stream.next().await.unwrap().unwrap().text(), "oqvh");
         drop(stream);
         while service.closed.get() == 1 {
-            service.news.notified().await;
+            service.changed.notified().await;
         }
     });
 }
 
 #[test]
-fn a_stream_ends_whole_with_the_error_or_broken() {
+fn a_stream_ends_complete_with_an_error_event_or_broken() {
     run(async {
         let part = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
-        let head = "HTTP/1.1 200 X\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
+        let head = "HTTP/1.1 200 X\r\ncontent-type: text/event-stream\r\n\
+            transfer-encoding: chunked\r\n\r\n";
         let error = "data: {\"error\":{\"message\":\"broke\",\"code\":\"upstream_failed\"}}\n\n";
         let whole = format!(
             "{head}{}{}{}0\r\n\r\n",
@@ -280,9 +303,9 @@
             part(DONE)
         );
         let service = Service::start(vec![
-            Does::Answer(whole),
-            Does::Break(format!("{head}{}{}", part(EVENT), part(error))),
-            Does::Break(format!("{head}{}", part(EVENT))),
+            Step::Respond(whole),
+            Step::Break(format!("{head}{}{}", part(EVENT), part(error))),
+            Step::Break(format!("{head}{}", part(EVENT))),
         ])
         .await;
         let client = client(&service, |_| ());
@@ -296,28 +319,31 @@
                 .unwrap(),
             "oqvh"
         );
-        let told = client.chat_stream(&chat()).await.unwrap().text().await;
-        assert!(
-            matches!(told, Err(Error::Api { status: 200, error, .. }) if error.code.as_deref() == Some("upstream_failed"))
-        );
+        let failed = client.chat_stream(&chat()).await.unwrap().text().await;
+        assert!(matches!(
+            failed,
+            Err(Error::Api { status: 200, error, .. })
+                if error.code.as_deref() == Some("upstream_failed")
+        ));
         let broken = client.chat_stream(&chat()).await.unwrap().text().await;
-        assert!(matches!(broken, Err(Error::Broken)));
-        // What was seen of a stream may have been used: it is not tried again.
-        assert_eq!(service.tries(), 3);
+        assert!(matches!(broken, Err(Error::StreamBroken)));
+        // A part of a stream may have been used: it is not retried.
+        assert_eq!(service.attempts(), 3);
     });
 }
 
 #[test]
-fn calls_bear_what_their_options_say_and_ids_of_their_own() {
+fn calls_carry_their_options_and_unique_request_ids() {
     run(async {
         let vectors = r#"{"data":[{"index":0,"embedding":[0.5,1]}],"usage":{"total_tokens":3}}"#;
         let scores = r#"{"results":[{"index":1,"relevance_score":0.5}]}"#;
         let models = r#"{"object":"list","data":[{"id":"a/b"}]}"#;
         let all = [vectors, scores, models, r#"{"id":"a/b"}"#]
-            .map(|body| Does::Answer(answer(200, "", body)));
+            .map(|body| Step::Respond(response(200, "", body)));
         let service = Service::start(all.to_vec()).await;
-        let client = client(&service, |o| {
-            (o.key, o.session) = (Some("k".into()), Some("s".into()))
+        let client = client(&service, |options| {
+            options.api_key = Some("k".into());
+            options.session = Some("s".into());
         });
         let input = vec!["x".to_owned()];
         let embedded = client
@@ -346,6 +372,9 @@
         ids.dedup();
         assert_eq!(ids.len(), 4);
         assert!(heads[3].starts_with("GET /v1/models/a%2Fb HTTP/1.1"));
-        assert!(matches!(Client::new("ftp://x"), Err(Error::Address(_))));
+        assert!(matches!(
+            Client::new("ftp://x"),
+            Err(Error::InvalidAddress(_))
+        ));
     });
 }
