--- a/crates/inference-client/src/write_progress.rs
+++ b/crates/inference-client/src/write_progress.rs
@@ -17,15 +17,12 @@
     /// How many bytes of the head's end the last written bytes match; all if the head is written.
     matched: AtomicU8,
     body_remaining: AtomicUsize,
-    /// How many bytes have been written.
-    written: AtomicUsize,
 }
 
 impl WriteProgress {
     /// Begins a request with a body of so many bytes.
     pub(crate) fn begin(&self, body_length: usize) {
         self.matched.store(0, Ordering::Relaxed);
-        self.written.store(0, Ordering::Relaxed);
         self.body_remaining.store(body_length, Ordering::Relaxed);
     }
 
@@ -45,7 +42,6 @@
         let remaining = self.body_remaining.load(Ordering::Relaxed);
         let remaining = remaining.saturating_sub(written.len() - at);
         self.body_remaining.store(remaining, Ordering::Relaxed);
-        self.written.fetch_add(written.len(), Ordering::Relaxed);
     }
 
     /// Whether the last byte has been written: from then on the request may be executed.
