--- a/crates/router/tests/batches.rs
+++ b/crates/router/tests/batches.rs
@@ -1,5 +1,6 @@
-//! The second front's hard cases on loopback: whatever fails, one final answer, in the API's form; one attempt out;
-//! nothing that may have run sent twice where its class forbids it; and places given back at once.
+//! Faults in batches and streams of the inference API on loopback. Whatever fails, there is one
+//! final response in the form of the API and one attempt in flight; nothing that may have been
+//! executed is sent twice if its class is not idempotent; and slots are released at once.
 
 mod common;
 
@@ -18,20 +19,20 @@
 const EMBEDDINGS: &str = "/v1/embeddings";
 const CHAT: &str = "/v1/chat/completions";
 
-/// The front's file with rerank served as a class that must not run twice.
-const UNSAFE: [(&str, &str); 1] = [("class = \"rerank\"", "class = \"order\"")];
+/// The operator's file with rerank served as a non-idempotent class.
+const NON_IDEMPOTENT_RERANK: [(&str, &str); 1] = [("class = \"rerank\"", "class = \"order\"")];
 
-async fn bed(workers: &[&FakeServer], edits: &[(&str, &str)]) -> Bed {
-    let lines = workers
+async fn start_router(servers: &[&FakeServer], edits: &[(&str, &str)]) -> Bed {
+    let lines = servers
         .iter()
         .map(|w| endpoint_entry(w, "mixed", "up"))
         .collect();
     Bed::start_front(lines, edits).await
 }
 
-/// Posts with headers; gives status, headers and JSON.
+/// Posts with headers; returns the status, headers and JSON of the response.
 async fn post(
-    bed: &Bed,
+    router: &Bed,
     path: &str,
     headers: &[(&str, &str)],
     body: &Value,
@@ -41,7 +42,7 @@
         .iter()
         .fold(request, |r, (name, value)| r.header(*name, *value));
     let request = request.body(body.to_string().into()).unwrap();
-    let (status, headers, body) = Client::connect(bed.inference).await.send(request).await;
+    let (status, headers, body) = Client::connect(router.inference).await.send(request).await;
     (
         status,
         headers,
@@ -49,116 +50,142 @@
     )
 }
 
-/// Nine slices of two documents each, under the bed's first size of 256 tokens.
-fn nine(toy: Value) -> Value {
+/// Nine slices of two documents each, at the initial slice size of 256 tokens.
+fn nine_slices(fault: Value) -> Value {
     let documents: Vec<String> = (0..18)
         .map(|n| format!("{n} {}", "x".repeat(500)))
         .collect();
-    json!({"model": "m", "query": "q", "documents": documents, "toy": toy})
+    json!({"model": "m", "query": "q", "documents": documents, "toy": fault})
 }
 
-/// Keeps slices at their first size.
-const FIXED: [(&str, &str); 1] = [(
+/// Keeps slices at their initial size.
+const FIXED_SLICE_SIZE: [(&str, &str); 1] = [(
     "least_tokens = 16\nmost_tokens = 65536",
     "least_tokens = 256\nmost_tokens = 256",
 )];
 
-fn begun(worker: &FakeServer) -> Vec<String> {
+fn started_ids(server: &FakeServer) -> Vec<String> {
     let of = |s: &Observation| match s {
         Observation::RequestStarted { id, .. } => Some(id.clone()),
         _ => None,
     };
-    worker.observations.borrow().iter().filter_map(of).collect()
+    server.observations.borrow().iter().filter_map(of).collect()
 }
 
-fn scores(answer: &Value) -> usize {
-    answer["results"].as_array().map_or(0, Vec::len)
+fn count_results(response: &Value) -> usize {
+    response["results"].as_array().map_or(0, Vec::len)
 }
 
 #[test]
-fn a_worker_that_dies_in_slice_7_of_9_costs_that_slice_alone() {
+fn a_server_failure_in_slice_7_of_9_repeats_that_slice_alone() {
     run(async {
-        let workers = [
+        let servers = [
             FakeServer::start(4, Behaviour::Answer).await,
             FakeServer::start(4, Behaviour::Answer).await,
         ];
-        let bed = bed(&[&workers[0], &workers[1]], &FIXED).await;
-        // Before its answer it breaks off: the module sends that slice again. In its answer: the front asks again.
-        for toy in [
+        let router = start_router(&[&servers[0], &servers[1]], &FIXED_SLICE_SIZE).await;
+        // If the connection breaks before the response, the policy retries the slice; if the
+        // response is invalid, the batch scheduler does.
+        for fault in [
             json!({"does": "break", "on": 6, "times": 1}),
             json!({"spoils": "missing", "on": 6}),
         ] {
-            workers
+            servers
                 .iter()
                 .for_each(|w| w.observations.borrow_mut().clear());
-            let (status, _, answer) =
-                post(&bed, RERANK, &[("x-request-id", "d7")], &nine(toy)).await;
-            assert_eq!((status, scores(&answer)), (200, 18));
-            let mut ids: Vec<String> = workers.iter().flat_map(|w| begun(w)).collect();
+            let (status, _, response) = post(
+                &router,
+                RERANK,
+                &[("x-request-id", "d7")],
+                &nine_slices(fault),
+            )
+            .await;
+            assert_eq!((status, count_results(&response)), (200, 18));
+            let mut ids: Vec<String> = servers.iter().flat_map(|w| started_ids(w)).collect();
             let sent = ids.len();
             ids.sort();
             ids.dedup();
             assert!(ids.len() >= 9 && sent <= 11, "{sent} sends of {ids:?}");
-            assert!(workers.iter().all(|w| w.max_concurrent_attempts.get() <= 1));
+            assert!(servers.iter().all(|w| w.max_concurrent_attempts.get() <= 1));
         }
     });
 }
 
 #[test]
-fn spoilt_answers_are_never_passed_on_and_repeated_only_where_permitted() {
+fn invalid_responses_are_never_forwarded_and_retried_only_if_idempotent() {
     run(async {
-        let worker = FakeServer::start(4, Behaviour::Answer).await;
-        let safe = bed(&[&worker], &[]).await;
-        let once = bed(&[&worker], &UNSAFE).await;
-        let body = |toy: Value| json!({"model": "m", "query": "q", "documents": ["1 a", "2 b"], "toy": toy});
-        for spoils in ["missing", "doubled", "out_of_range", "nan", "not_json"] {
-            // Once spoilt: asked again, and whole.
-            let (status, _, answer) = post(
-                &safe,
+        let server = FakeServer::start(4, Behaviour::Answer).await;
+        let idempotent = start_router(&[&server], &[]).await;
+        let non_idempotent = start_router(&[&server], &NON_IDEMPOTENT_RERANK).await;
+        let body = |fault: Value| {
+            let documents = json!(["1 a", "2 b"]);
+            json!({"model": "m", "query": "q", "documents": documents, "toy": fault})
+        };
+        for fault_name in ["missing", "doubled", "out_of_range", "nan", "not_json"] {
+            // Invalid in the first attempt only: retried, and complete.
+            let (status, _, response) = post(
+                &idempotent,
                 RERANK,
                 &[],
-                &body(json!({"spoils": spoils, "on": 0})),
+                &body(json!({"spoils": fault_name, "on": 0})),
+            )
+            .await;
+            assert_eq!((status, count_results(&response)), (200, 2), "{fault_name}");
+            // Invalid in every attempt: it fails, and after one attempt if it is not idempotent.
+            server.observations.borrow_mut().clear();
+            let (status, _, response) = post(
+                &non_idempotent,
+                RERANK,
+                &[],
+                &body(json!({"spoils": fault_name})),
             )
             .await;
-            assert_eq!((status, scores(&answer)), (200, 2), "{spoils}");
-            // Always spoilt: a failure in the end, and one attempt alone where it must not run twice.
-            worker.observations.borrow_mut().clear();
-            let (status, _, answer) =
-                post(&once, RERANK, &[], &body(json!({"spoils": spoils}))).await;
             assert_eq!(
-                (status, &answer["error"]["code"]),
+                (status, &response["error"]["code"]),
                 (502, &json!("upstream_failed")),
-                "{spoils}"
+                "{fault_name}"
             );
-            assert_eq!(begun(&worker).len(), 1);
+            assert_eq!(started_ids(&server).len(), 1);
         }
-        let (status, _, answer) = post(&safe, RERANK, &[], &body(json!({"spoils": "nan"}))).await;
+        let (status, _, response) =
+            post(&idempotent, RERANK, &[], &body(json!({"spoils": "nan"}))).await;
         assert_eq!(
-            (status, &answer["error"]["type"]),
+            (status, &response["error"]["type"]),
             (502, &json!("server_error"))
         );
-        // A slice that is refused after others have run makes no refusal of the batch: trying it again is not harmless.
-        let mut fixed = UNSAFE.to_vec();
-        fixed.extend(FIXED);
-        let slices = bed(&[&worker], &fixed).await;
-        let refused = nine(json!({"does": "full", "on": 3}));
-        let (status, _, answer) =
-            post(&slices, RERANK, &[("x-deadline-ms", "3000")], &refused).await;
+        // If a slice is rejected after others were executed, the batch is not rejected: a retry
+        // would not be harmless.
+        let mut fixed = NON_IDEMPOTENT_RERANK.to_vec();
+        fixed.extend(FIXED_SLICE_SIZE);
+        let slices = start_router(&[&server], &fixed).await;
+        let rejected = nine_slices(json!({"does": "full", "on": 3}));
+        let (status, _, response) =
+            post(&slices, RERANK, &[("x-deadline-ms", "3000")], &rejected).await;
         assert_eq!(
-            (status, &answer["error"]["type"]),
+            (status, &response["error"]["type"]),
             (502, &json!("server_error"))
         );
-        // Breaks and failures of an unsafe class are final too.
-        for does in ["break", "error"] {
-            worker.observations.borrow_mut().clear();
-            let (status, ..) = post(&once, RERANK, &[], &body(json!({"does": does}))).await;
-            assert_eq!((status, begun(&worker).len()), (502, 1), "{does}");
+        // Lost connections and errors are final too for a non-idempotent class.
+        for behaviour in ["break", "error"] {
+            server.observations.borrow_mut().clear();
+            let (status, ..) = post(
+                &non_idempotent,
+                RERANK,
+                &[],
+                &body(json!({"does": behaviour})),
+            )
+            .await;
+            assert_eq!(
+                (status, started_ids(&server).len()),
+                (502, 1),
+                "{behaviour}"
+            );
         }
     });
 }
 
 #[test]
-fn a_worker_that_drains_between_two_slices_gets_none_of_the_rest() {
+fn a_server_that_drains_between_two_slices_gets_no_further_ones() {
     run(async {
         let (a, b) = (
             FakeServer::start(4, Behaviour::Answer).await,
@@ -167,13 +194,13 @@
         [&a, &b]
             .iter()
             .for_each(|w| w.service_time.set(Duration::from_millis(60)));
-        let bed = bed(&[&a, &b], &FIXED).await;
-        let asked = {
-            let address = bed.inference;
+        let router = start_router(&[&a, &b], &FIXED_SLICE_SIZE).await;
+        let pending = {
+            let address = router.inference;
             spawn_local(async move {
                 Client::connect(address)
                     .await
-                    .post(RERANK, nine(json!({})))
+                    .post(RERANK, nine_slices(json!({})))
                     .await
             })
         };
@@ -181,58 +208,59 @@
             () = a.wait_until(|seen| seen.len() > 1) => [&a, &b],
             () = b.wait_until(|seen| seen.len() > 1) => [&b, &a],
         };
-        bed.discovery.publish(vec![
+        router.discovery.publish(vec![
             endpoint_entry(first[0], "mixed", "draining"),
             endpoint_entry(first[1], "mixed", "up"),
         ]);
         tokio::time::sleep(Duration::from_millis(250)).await;
-        let before = begun(first[0]).len();
-        let (status, answer) = asked.await.unwrap();
-        assert_eq!((status, scores(&answer)), (200, 18));
-        assert_eq!(begun(first[0]).len(), before);
-        assert!(begun(first[1]).len() > 1);
+        let before = started_ids(first[0]).len();
+        let (status, response) = pending.await.unwrap();
+        assert_eq!((status, count_results(&response)), (200, 18));
+        assert_eq!(started_ids(first[0]).len(), before);
+        assert!(started_ids(first[1]).len() > 1);
     });
 }
 
-/// Guards against a refusal that is held back, and against one that does not say when to come back.
+/// The rejection comes before the deadline, and with a `Retry-After`.
 #[test]
-fn where_every_worker_refuses_a_batch_is_refused_and_told_when_to_come_back() {
+fn a_batch_that_every_server_rejects_is_rejected_with_a_retry_delay() {
     run(async {
-        let worker = FakeServer::start(4, Behaviour::Reject).await;
-        let bed = bed(
-            &[&worker],
+        let server = FakeServer::start(4, Behaviour::Reject).await;
+        let router = start_router(
+            &[&server],
             &[("deadline_ms = 10000", "deadline_ms = 60000")],
         )
         .await;
         let began = Instant::now();
-        let (status, headers, answer) = post(&bed, RERANK, &[], &nine(json!({}))).await;
+        let (status, headers, response) = post(&router, RERANK, &[], &nine_slices(json!({}))).await;
         assert_eq!(
-            (status, &answer["error"]["code"]),
+            (status, &response["error"]["code"]),
             (503, &json!("overloaded"))
         );
-        let pause: f64 = headers["retry-after"].to_str().unwrap().parse().unwrap();
-        assert!(pause > 0.0 && pause <= 1.0, "{pause}");
+        let retry_after: f64 = headers["retry-after"].to_str().unwrap().parse().unwrap();
+        assert!(retry_after > 0.0 && retry_after <= 1.0, "{retry_after}");
         assert!(
             began.elapsed() < Duration::from_secs(15),
-            "it is not held until its deadline"
+            "it is not kept until its deadline"
         );
     });
 }
 
-/// Guards against a turn or place that stays taken for a client that has gone, whatever stage its batch is in. One slice
-/// may be out at a time. The time is a requirement; the best of some tries counts, since a busy machine may stop any one.
+/// A cancelled batch occupies neither a turn nor a slot, whichever stage it is in. One slice may be
+/// in flight at a time. The time is a requirement; the best of several attempts counts, since a
+/// busy machine may delay any one of them.
 #[test]
-fn a_cancel_frees_its_place_within_300_ms_in_every_stage() {
+fn cancelling_a_batch_releases_its_slot_within_300_ms_in_every_stage() {
     run(async {
-        let worker = FakeServer::start(1, Behaviour::Hang).await;
-        worker.service_time.set(Duration::from_millis(30));
-        let bed = bed(&[&worker], &[("at_once = 8", "at_once = 1")]).await;
-        let address = bed.inference;
-        let ask = |id: &'static str, toy: Value| {
+        let server = FakeServer::start(1, Behaviour::Hang).await;
+        server.service_time.set(Duration::from_millis(30));
+        let router = start_router(&[&server], &[("at_once = 8", "at_once = 1")]).await;
+        let address = router.inference;
+        let ask = |id: &'static str, fault: Value| {
             let request = Request::post(RERANK)
                 .header("host", "app")
                 .header("x-request-id", id);
-            let request = request.body(nine(toy).to_string().into()).unwrap();
+            let request = request.body(nine_slices(fault).to_string().into()).unwrap();
             spawn_local(async move { Client::connect(address).await.send(request).await.0 })
         };
         let count = |seen: &[Observation], id: &str| {
@@ -246,52 +274,54 @@
         for stage in ["in a slice", "queued", "between slices"] {
             let mut best = Duration::MAX;
             for _ in 0..4 {
-                worker.observations.borrow_mut().clear();
-                // Between slices: the first of them is answered, and the next waits for the turn of another batch.
+                server.observations.borrow_mut().clear();
+                // Between slices: the first one is answered, and the next one waits for another
+                // batch.
                 let first = if stage == "between slices" {
                     json!({"does": "answer", "on": 0})
                 } else {
                     json!({})
                 };
-                let gone = if stage == "queued" {
+                let cancelled = if stage == "queued" {
                     None
                 } else {
                     Some(ask("gone", first))
                 };
-                if gone.is_some() {
-                    worker.wait_until(|seen| count(seen, "gone") == 1).await;
+                if cancelled.is_some() {
+                    server.wait_until(|seen| count(seen, "gone") == 1).await;
                 }
-                let holds = ask("holds", json!({}));
+                let holder = ask("holds", json!({}));
                 if stage != "in a slice" {
-                    worker.wait_until(|seen| count(seen, "holds") == 1).await;
+                    server.wait_until(|seen| count(seen, "holds") == 1).await;
                 }
-                let gone = gone.unwrap_or_else(|| ask("gone", json!({})));
+                let cancelled = cancelled.unwrap_or_else(|| ask("gone", json!({})));
                 tokio::time::sleep(Duration::from_millis(20)).await;
-                let begun = count(&worker.observations.borrow(), "gone");
+                let begun = count(&server.observations.borrow(), "gone");
                 assert_eq!(begun, usize::from(stage != "queued"), "{stage}");
-                let mut cut = Instant::now();
-                gone.abort();
+                let mut cancelled_at = Instant::now();
+                cancelled.abort();
                 if stage != "in a slice" {
-                    // Its turn comes when the slice that is out is called off: the next batch must have it.
+                    // Its turn would come when the slice in flight is cancelled: the next batch
+                    // must get it.
                     let next = ask("next", json!({}));
                     tokio::time::sleep(Duration::from_millis(20)).await;
-                    cut = Instant::now();
-                    holds.abort();
-                    worker.wait_until(|seen| count(seen, "next") == 1).await;
+                    cancelled_at = Instant::now();
+                    holder.abort();
+                    server.wait_until(|seen| count(seen, "next") == 1).await;
                     next.abort();
                 } else {
-                    worker.wait_until(|seen| count(seen, "holds") == 1).await;
-                    holds.abort();
+                    server.wait_until(|seen| count(seen, "holds") == 1).await;
+                    holder.abort();
                 }
-                best = best.min(cut.elapsed());
+                best = best.min(cancelled_at.elapsed());
                 assert_eq!(
-                    count(&worker.observations.borrow(), "gone"),
+                    count(&server.observations.borrow(), "gone"),
                     begun,
                     "nothing more is sent for it: {stage}"
                 );
                 let began = |s: &&Observation| matches!(s, Observation::RequestStarted { .. });
-                let all = worker.observations.borrow().iter().filter(began).count();
-                worker
+                let all = server.observations.borrow().iter().filter(began).count();
+                server
                     .wait_until(|seen| {
                         seen.iter()
                             .filter(|s| matches!(s, Observation::SlotReleased { .. }))
@@ -305,13 +335,13 @@
     });
 }
 
-/// Guards against a place that stays taken for a stream whose client reads nothing and goes.
+/// The client of the stream reads nothing and disconnects.
 #[test]
-fn a_cancel_while_the_client_reads_nothing_frees_its_place_within_300_ms() {
+fn cancelling_an_unread_stream_releases_its_slot_within_300_ms() {
     run(async {
-        let worker = FakeServer::start(4, Behaviour::StreamEndlessly).await;
-        let bed = bed(&[&worker], &[]).await;
-        let freed = |seen: &[Observation]| {
+        let server = FakeServer::start(4, Behaviour::StreamEndlessly).await;
+        let router = start_router(&[&server], &[]).await;
+        let count_releases = |seen: &[Observation]| {
             seen.iter()
                 .filter(|s| matches!(s, Observation::SlotReleased { .. }))
                 .count()
@@ -321,67 +351,69 @@
                 .to_string();
         let mut best = Duration::MAX;
         for _ in 0..4 {
-            worker.observations.borrow_mut().clear();
-            let mut raw = RawClient::connect(bed.inference).await;
+            server.observations.borrow_mut().clear();
+            let mut raw = RawClient::connect(router.inference).await;
             let length = body.len();
             raw.send(&format!(
                 "POST {CHAT} HTTP/1.1\r\nhost: app\r\ncontent-length: {length}\r\n\r\n{body}"
             ))
             .await;
-            // All buffers on the way are full by then, and the worker waits to go on.
-            worker.wait_until(|seen| freed(seen) == 1).await;
+            // By then all buffers on the way are full, and the server waits to write.
+            server.wait_until(|seen| count_releases(seen) == 1).await;
             tokio::time::sleep(Duration::from_millis(300)).await;
             assert_eq!(
-                freed(&worker.observations.borrow()),
+                count_releases(&server.observations.borrow()),
                 1,
-                "the stream is still there"
+                "the stream still runs"
             );
-            let cut = Instant::now();
+            let cancelled_at = Instant::now();
             drop(raw);
-            worker.wait_until(|seen| freed(seen) == 2).await;
-            best = best.min(cut.elapsed());
+            server.wait_until(|seen| count_releases(seen) == 2).await;
+            best = best.min(cancelled_at.elapsed());
         }
         assert!(best < Duration::from_millis(300), "{best:?}");
     });
 }
 
-/// Guards against bytes that stay claimed: a cancel while the body arrives, and one while its answer is read.
+/// Requests are cancelled while the body arrives, and while the response is read.
 #[test]
-fn what_a_cancelled_request_claims_is_given_back() {
+fn the_byte_reservations_of_cancelled_requests_are_returned() {
     run(async {
-        let worker = FakeServer::start(4, Behaviour::Answer).await;
+        let server = FakeServer::start(4, Behaviour::Answer).await;
         let small = [
             ("held_bytes = 67108864", "held_bytes = 4000000"),
             ("body_bytes = 16777216", "body_bytes = 3000000"),
         ];
-        let bed = bed(&[&worker], &small).await;
+        let router = start_router(&[&server], &small).await;
         let head = format!("POST {RERANK} HTTP/1.1\r\nhost: app\r\ncontent-length: 3000000\r\n");
         for _ in 0..5 {
-            let mut arriving = RawClient::connect(bed.inference).await;
+            let mut arriving = RawClient::connect(router.inference).await;
             arriving.send(&format!("{head}\r\n{{")).await;
             tokio::time::sleep(Duration::from_millis(20)).await;
-            // No room for a second one: told before its body is read, and not told to go on.
-            let mut second = RawClient::connect(bed.inference).await;
+            // The budget has no room for a second one: it is rejected before its body is read, and
+            // gets no `100 Continue`.
+            let mut second = RawClient::connect(router.inference).await;
             second
                 .send(&format!("{head}expect: 100-continue\r\n\r\n"))
                 .await;
-            let said = second.read_until_closed().await;
+            let response = second.read_until_closed().await;
             assert!(
-                said.starts_with("HTTP/1.1 503 ") && said.contains("retry-after: "),
-                "{said}"
+                response.starts_with("HTTP/1.1 503 ") && response.contains("retry-after: "),
+                "{response}"
             );
             drop(arriving);
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        // An answer that its client does not read.
+        // A response that its client does not read.
         for _ in 0..5 {
             let documents: Vec<String> = (0..900)
                 .map(|n| format!("{n} {}", "x".repeat(3_000)))
                 .collect();
-            let body = json!({"model": "m", "query": "q", "documents": documents, "return_documents": true});
+            let mut body = json!({"model": "m", "query": "q", "documents": documents});
+            body["return_documents"] = json!(true);
             let body = body.to_string();
-            let mut reads_not = RawClient::connect(bed.inference).await;
-            reads_not
+            let mut slow_reader = RawClient::connect(router.inference).await;
+            slow_reader
                 .send(&format!(
                     "POST {RERANK} HTTP/1.1\r\nhost: app\r\ncontent-length: {}\r\n\r\n{body}",
                     body.len()
@@ -389,24 +421,27 @@
                 .await;
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
-        let (status, ..) = post(&bed, RERANK, &[], &nine(json!({}))).await;
+        let (status, ..) = post(&router, RERANK, &[], &nine_slices(json!({}))).await;
         assert_eq!(status, 200);
     });
 }
 
-/// Guards against streams that hold memory which nobody counts: where they hold all, the next one is told to come back,
+/// If streams have reserved all of the byte budget, the next one is rejected with a `Retry-After`,
 /// and is served once one has ended.
 #[test]
-fn streams_count_in_the_account_until_they_end() {
+fn streams_hold_their_byte_reservations_until_they_end() {
     run(async {
-        let worker = FakeServer::start(8, Behaviour::Answer).await;
+        let server = FakeServer::start(8, Behaviour::Answer).await;
         let small = [
             ("held_bytes = 67108864", "held_bytes = 140000"),
             ("body_bytes = 16777216", "body_bytes = 100000"),
         ];
-        let bed = bed(&[&worker], &small).await;
-        let chat = |ms: u64| json!({"model": "m", "stream": true, "toy": {"ms": ms}, "messages": [{"role": "user", "content": "x"}]});
-        let address = bed.inference;
+        let router = start_router(&[&server], &small).await;
+        let chat = |ms: u64| {
+            let messages = json!([{"role": "user", "content": "x"}]);
+            json!({"model": "m", "stream": true, "toy": {"ms": ms}, "messages": messages})
+        };
+        let address = router.inference;
         let first: Vec<_> = (0..2)
             .map(|_| {
                 spawn_local(
@@ -414,7 +449,7 @@
                 )
             })
             .collect();
-        worker
+        server
             .wait_until(|seen| {
                 seen.iter()
                     .filter(|s| matches!(s, Observation::RequestStarted { .. }))
@@ -422,31 +457,31 @@
                     == 2
             })
             .await;
-        let (status, headers, answer) = post(&bed, CHAT, &[], &chat(1)).await;
+        let (status, headers, response) = post(&router, CHAT, &[], &chat(1)).await;
         assert_eq!(
-            (status, &answer["error"]["code"]),
+            (status, &response["error"]["code"]),
             (503, &json!("overloaded"))
         );
         assert!(headers.contains_key("retry-after"));
         for one in first {
             assert_eq!(one.await.unwrap(), 200);
         }
-        assert_eq!(post(&bed, CHAT, &[], &chat(1)).await.0, 200);
+        assert_eq!(post(&router, CHAT, &[], &chat(1)).await.0, 200);
     });
 }
 
 #[test]
-fn slow_senders_and_slow_readers_are_cut() {
+fn slow_senders_and_slow_readers_are_disconnected() {
     run(async {
-        let worker = FakeServer::start(4, Behaviour::Answer).await;
+        let server = FakeServer::start(4, Behaviour::Answer).await;
         let waits = [
             ("body_wait_ms = 10000", "body_wait_ms = 400"),
             ("read_wait_ms = 30000", "read_wait_ms = 300"),
             ("slice_tokens = 256", "slice_tokens = 9000000"),
             ("most_tokens = 65536", "most_tokens = 9000000"),
         ];
-        let bed = bed(&[&worker], &waits).await;
-        let mut slow = RawClient::connect(bed.inference).await;
+        let router = start_router(&[&server], &waits).await;
+        let mut slow = RawClient::connect(router.inference).await;
         slow.send(&format!(
             "POST {RERANK} HTTP/1.1\r\nhost: app\r\ncontent-length: 16000000\r\n\r\n"
         ))
@@ -459,39 +494,39 @@
             }
         };
         let _ = tokio::time::timeout(Duration::from_millis(350), dripping).await;
-        let said = slow.read_until_closed().await;
+        let response = slow.read_until_closed().await;
         assert!(
-            said.starts_with("HTTP/1.1 408 ") && said.contains("x-request-id: "),
-            "{said}"
+            response.starts_with("HTTP/1.1 408 ") && response.contains("x-request-id: "),
+            "{response}"
         );
-        // More than the system's buffers hold, and nothing of it is read.
+        // More than the system's buffers hold, none of which is read.
         let documents: Vec<String> = (0..4_000)
             .map(|n| format!("{n} {}", "x".repeat(3_000)))
             .collect();
         let body =
             json!({"model": "m", "query": "q", "documents": documents, "return_documents": true})
                 .to_string();
-        let mut reads_not = RawClient::connect(bed.inference).await;
+        let mut slow_reader = RawClient::connect(router.inference).await;
         let length = body.len();
-        reads_not
+        slow_reader
             .send(&format!(
                 "POST {RERANK} HTTP/1.1\r\nhost: app\r\ncontent-length: {length}\r\n\r\n{body}"
             ))
             .await;
-        worker.wait_until(|seen| seen.len() > 1).await;
+        server.wait_until(|seen| seen.len() > 1).await;
         tokio::time::sleep(Duration::from_millis(1_500)).await;
         assert!(
-            reads_not.read_until_closed().await.len() < length,
-            "it was cut before all was written"
+            slow_reader.read_until_closed().await.len() < length,
+            "it was disconnected before all was written"
         );
     });
 }
 
 #[test]
-fn bodies_are_read_as_they_are_encoded_within_the_bound() {
+fn bodies_are_decompressed_within_the_size_limit() {
     run(async {
-        let worker = FakeServer::start(4, Behaviour::Answer).await;
-        let bed = bed(&[&worker], &[]).await;
+        let server = FakeServer::start(4, Behaviour::Answer).await;
+        let router = start_router(&[&server], &[]).await;
         let gzip = |data: &[u8]| {
             let mut encoder =
                 flate2::write::GzEncoder::new(Vec::new(), flate2::Compression::best());
@@ -504,42 +539,42 @@
                 .iter()
                 .fold(request, |r, (name, value)| r.header(*name, *value));
             let request = request.body(body.into()).unwrap();
-            let (status, _, body) = Client::connect(bed.inference).await.send(request).await;
-            let answer: Value = serde_json::from_slice(&body.unwrap()).unwrap();
+            let (status, _, body) = Client::connect(router.inference).await.send(request).await;
+            let response: Value = serde_json::from_slice(&body.unwrap()).unwrap();
             (
                 status,
-                answer["error"]["code"].as_str().unwrap_or("").to_owned(),
+                response["error"]["code"].as_str().unwrap_or("").to_owned(),
             )
         };
-        let good = json!({"model": "m", "input": ["a"]})
+        let valid = json!({"model": "m", "input": ["a"]})
             .to_string()
             .into_bytes();
         let bomb = gzip(&vec![b' '; 40_000_000]);
         type Case<'a> = (&'a [(&'a str, &'a str)], Vec<u8>, u16, &'a str);
         let cases: [Case; 7] = [
-            (&[("content-encoding", "gzip")], gzip(&good), 200, ""),
+            (&[("content-encoding", "gzip")], gzip(&valid), 200, ""),
             (
                 &[("content-encoding", "gzip")],
-                good.clone(),
+                valid.clone(),
                 400,
                 "invalid_body",
             ),
             (&[("content-encoding", "gzip")], bomb, 413, "invalid_body"),
             (
                 &[("content-encoding", "br")],
-                good.clone(),
+                valid.clone(),
                 415,
                 "invalid_body",
             ),
             (
                 &[("content-type", "text/plain")],
-                good.clone(),
+                valid.clone(),
                 415,
                 "invalid_body",
             ),
             (
                 &[("content-type", "application/json; charset=utf-8")],
-                good,
+                valid,
                 200,
                 "",
             ),
@@ -556,39 +591,42 @@
 }
 
 #[test]
-fn a_batchs_id_is_its_own_while_it_is_open_and_every_answer_bears_one() {
+fn the_id_of_an_open_batch_cannot_be_reused_and_every_response_carries_one() {
     run(async {
-        let worker = FakeServer::start(4, Behaviour::Answer).await;
-        worker.service_time.set(Duration::from_millis(30));
-        let bed = bed(&[&worker], &FIXED).await;
+        let server = FakeServer::start(4, Behaviour::Answer).await;
+        server.service_time.set(Duration::from_millis(30));
+        let router = start_router(&[&server], &FIXED_SLICE_SIZE).await;
         let id = [("x-request-id", "same")];
-        let address = bed.inference;
+        let address = router.inference;
         let first = spawn_local(async move {
             let request = Request::post(RERANK)
                 .header("host", "app")
                 .header("x-request-id", "same");
-            let request = request.body(nine(json!({})).to_string().into()).unwrap();
+            let request = request
+                .body(nine_slices(json!({})).to_string().into())
+                .unwrap();
             Client::connect(address).await.send(request).await.0
         });
-        worker.wait_until(|seen| seen.len() > 6).await;
+        server.wait_until(|seen| seen.len() > 6).await;
         for path in [RERANK, CHAT] {
-            let (status, headers, answer) = post(&bed, path, &id, &nine(json!({}))).await;
+            let (status, headers, response) =
+                post(&router, path, &id, &nine_slices(json!({}))).await;
             assert_eq!(
-                (status, &answer["error"]["code"]),
+                (status, &response["error"]["code"]),
                 (409, &json!("id_in_use"))
             );
             assert_eq!(headers["x-request-id"], "same");
         }
         assert_eq!(first.await.unwrap(), 200);
-        let (status, headers, _) = post(&bed, RERANK, &id, &nine(json!({}))).await;
+        let (status, headers, _) = post(&router, RERANK, &id, &nine_slices(json!({}))).await;
         assert_eq!(
             (status, &headers["x-request-id"]),
             (200, &"same".parse().unwrap())
         );
-        let (status, headers, _) = post(&bed, "/nowhere", &[], &json!({})).await;
+        let (status, headers, _) = post(&router, "/nowhere", &[], &json!({})).await;
         assert!(status == 404 && !headers["x-request-id"].is_empty());
         // A deadline of 1 ms.
-        worker.service_time.set(Duration::from_millis(100));
+        server.service_time.set(Duration::from_millis(100));
         for (path, body) in [
             (EMBEDDINGS, json!({"model": "m", "input": "x"})),
             (
@@ -596,53 +634,61 @@
                 json!({"model": "m", "messages": [{"role": "user", "content": "x"}]}),
             ),
         ] {
-            let (status, headers, answer) = post(
-                &bed,
+            let (status, headers, response) = post(
+                &router,
                 path,
                 &[("x-deadline-ms", "1"), ("x-request-id", "late")],
                 &body,
             )
             .await;
             assert_eq!(
-                (status, &answer["error"]["code"]),
+                (status, &response["error"]["code"]),
                 (504, &json!("deadline_exceeded")),
                 "{path}"
             );
             assert_eq!(headers["x-request-id"], "late");
         }
-        let (status, _, answer) =
-            post(&bed, RERANK, &[("x-request-id", "a/b")], &nine(json!({}))).await;
+        let (status, _, response) = post(
+            &router,
+            RERANK,
+            &[("x-request-id", "a/b")],
+            &nine_slices(json!({})),
+        )
+        .await;
         assert_eq!(
-            (status, &answer["error"]["param"]),
+            (status, &response["error"]["param"]),
             (400, &json!("X-Request-Id"))
         );
     });
 }
 
-/// Guards against half an answer that looks whole.
+/// An incomplete response never looks complete.
 #[test]
-fn a_stream_that_breaks_ends_with_the_error_and_a_whole_answer_is_whole_or_none() {
+fn a_broken_stream_ends_with_an_error_event_and_an_unstreamed_response_fails() {
     run(async {
-        let worker = FakeServer::start(4, Behaviour::Answer).await;
-        let bed = bed(&[&worker], &[]).await;
-        let chat = |stream: bool, toy: Value| json!({"model": "m", "stream": stream, "messages": [{"role": "user", "content": "x"}], "toy": toy});
-        for toy in [
+        let server = FakeServer::start(4, Behaviour::Answer).await;
+        let router = start_router(&[&server], &[]).await;
+        let chat = |stream: bool, fault: Value| {
+            let messages = json!([{"role": "user", "content": "x"}]);
+            json!({"model": "m", "stream": stream, "messages": messages, "toy": fault})
+        };
+        for fault in [
             json!({"does": "break_stream"}),
             json!({"spoils": "missing"}),
         ] {
-            let body = chat(true, toy.clone()).to_string();
-            let mut raw = RawClient::connect(bed.inference).await;
+            let body = chat(true, fault.clone()).to_string();
+            let mut raw = RawClient::connect(router.inference).await;
             raw.send(&format!(
                 "POST {CHAT} HTTP/1.1\r\nhost: app\r\ncontent-length: {}\r\n\r\n{body}",
                 body.len()
             ))
             .await;
-            let said = raw.read_until_closed().await;
+            let response = raw.read_until_closed().await;
             assert!(
-                said.starts_with("HTTP/1.1 200 ") && said.contains(EVENT),
-                "{said}"
+                response.starts_with("HTTP/1.1 200 ") && response.contains(EVENT),
+                "{response}"
             );
-            let last = said
+            let last = response
                 .rsplit("data: ")
                 .next()
                 .unwrap()
@@ -652,65 +698,68 @@
             let error: Value = serde_json::from_str(last).unwrap();
             assert_eq!(error["error"]["code"], json!("upstream_failed"));
             assert!(
-                !said.contains("[DONE]") && !said.ends_with("0\r\n\r\n"),
-                "{said}"
+                !response.contains("[DONE]") && !response.ends_with("0\r\n\r\n"),
+                "{response}"
             );
-            let (status, _, answer) = post(&bed, CHAT, &[], &chat(false, toy)).await;
+            let (status, _, response) = post(&router, CHAT, &[], &chat(false, fault)).await;
             assert_eq!(
-                (status, &answer["error"]["code"]),
+                (status, &response["error"]["code"]),
                 (502, &json!("upstream_failed"))
             );
         }
-        let (status, _, answer) = post(&bed, CHAT, &[], &chat(false, json!({}))).await;
+        let (status, _, response) = post(&router, CHAT, &[], &chat(false, json!({}))).await;
         assert_eq!(
-            (status, &answer["object"]),
+            (status, &response["object"]),
             (200, &json!("chat.completion"))
         );
-        assert_eq!(answer["choices"][0]["message"]["content"], json!("oqvh"));
-        assert_eq!(answer["usage"]["total_tokens"], json!(4));
-        // A stream passes as it is.
+        assert_eq!(response["choices"][0]["message"]["content"], json!("oqvh"));
+        assert_eq!(response["usage"]["total_tokens"], json!(4));
+        // A complete stream is forwarded unchanged.
         let request = Request::post(CHAT)
             .header("host", "app")
             .body(chat(true, json!({})).to_string().into())
             .unwrap();
-        let (_, _, body) = Client::connect(bed.inference).await.send(request).await;
+        let (_, _, body) = Client::connect(router.inference).await.send(request).await;
         assert_eq!(body.unwrap(), format!("{EVENT}{FINISH}data: [DONE]\n\n"));
     });
 }
 
 #[test]
-fn a_router_that_is_told_to_end_finishes_its_batches() {
+fn a_graceful_shutdown_finishes_open_batches() {
     run(async {
-        let worker = FakeServer::start(4, Behaviour::Answer).await;
-        worker.service_time.set(Duration::from_millis(40));
-        let mut bed = bed(&[&worker], &FIXED).await;
-        let address = bed.inference;
-        let asked = spawn_local(async move {
+        let server = FakeServer::start(4, Behaviour::Answer).await;
+        server.service_time.set(Duration::from_millis(40));
+        let mut router = start_router(&[&server], &FIXED_SLICE_SIZE).await;
+        let address = router.inference;
+        let pending = spawn_local(async move {
             Client::connect(address)
                 .await
-                .post(RERANK, nine(json!({})))
+                .post(RERANK, nine_slices(json!({})))
                 .await
         });
-        worker.wait_until(|seen| seen.len() > 4).await;
-        bed.stop.take().unwrap().send(()).unwrap();
-        let (status, answer) = asked.await.unwrap();
-        assert_eq!((status, scores(&answer)), (200, 18));
-        assert_eq!(begun(&worker).len(), 9);
-        bed.stopped.await.unwrap();
+        server.wait_until(|seen| seen.len() > 4).await;
+        router.stop.take().unwrap().send(()).unwrap();
+        let (status, response) = pending.await.unwrap();
+        assert_eq!((status, count_results(&response)), (200, 18));
+        assert_eq!(started_ids(&server).len(), 9);
+        router.stopped.await.unwrap();
     });
 }
 
-/// Guards against a tenant or client with many batches that takes all turns: a short batch is done while tens of
-/// long ones run.
+/// A client with many long batches does not take all turns: a short batch completes while they run.
 #[test]
 fn a_short_batch_is_served_while_long_ones_run() {
     run(async {
-        let worker = FakeServer::start(1, Behaviour::Answer).await;
-        worker.service_time.set(Duration::from_millis(3));
-        // All the time they need: on a busy machine they would be refused by their pace, and so be finished.
-        let edits = [FIXED[0], ("deadline_ms = 10000", "deadline_ms = 600000")];
-        let bed = bed(&[&worker], &edits).await;
-        let address = bed.inference;
+        let server = FakeServer::start(1, Behaviour::Answer).await;
+        server.service_time.set(Duration::from_millis(3));
+        // A long deadline: on a busy machine the long batches would otherwise be rejected as too
+        // slow.
+        let edits = [
+            FIXED_SLICE_SIZE[0],
+            ("deadline_ms = 10000", "deadline_ms = 600000"),
+        ];
+        let router = start_router(&[&server], &edits).await;
+        let address = router.inference;
         let long: Vec<_> = (0..6)
             .map(|_| {
                 spawn_local(async move {
@@ -722,9 +771,9 @@
                 })
             })
             .collect();
-        worker.wait_until(|seen| seen.len() > 40).await;
+        server.wait_until(|seen| seen.len() > 40).await;
         let (status, ..) = post(
-            &bed,
+            &router,
             RERANK,
             &[],
             &json!({"model": "m", "query": "q", "documents": ["1 a"]}),
@@ -733,6 +782,6 @@
         assert_eq!(status, 200);
         assert!(long.iter().all(|l| !l.is_finished()));
         long.iter().for_each(|l| l.abort());
-        let _: Rc<FakeServer> = worker;
+        let _: Rc<FakeServer> = server;
     });
 }
