--- /dev/null
+++ b/crates/router/tests/inference_support/mod.rs
@@ -0,0 +1,68 @@
+//! Helpers of the tests of the inference API.
+#![allow(dead_code)]
+
+use http::{HeaderMap, Request};
+use serde_json::{json, Value};
+
+use crate::common::{endpoint_entry, Bed, Client, FakeServer, Observation};
+
+pub const RERANK: &str = "/v1/rerank";
+pub const EMBEDDINGS: &str = "/v1/embeddings";
+pub const CHAT: &str = "/v1/chat/completions";
+
+/// The operator's file with rerank served as a non-idempotent class.
+pub const NON_IDEMPOTENT_RERANK: [(&str, &str); 1] = [("class = \"rerank\"", "class = \"order\"")];
+
+pub async fn start_router(servers: &[&FakeServer], edits: &[(&str, &str)]) -> Bed {
+    let lines = servers
+        .iter()
+        .map(|w| endpoint_entry(w, "mixed", "up"))
+        .collect();
+    Bed::start_front(lines, edits).await
+}
+
+/// Posts with headers; returns the status, headers and JSON of the response.
+pub async fn post(
+    router: &Bed,
+    path: &str,
+    headers: &[(&str, &str)],
+    body: &Value,
+) -> (u16, HeaderMap, Value) {
+    let request = Request::post(path).header("host", "app");
+    let request = headers
+        .iter()
+        .fold(request, |r, (name, value)| r.header(*name, *value));
+    let request = request.body(body.to_string().into()).unwrap();
+    let (status, headers, body) = Client::connect(router.inference).await.send(request).await;
+    (
+        status,
+        headers,
+        serde_json::from_slice(&body.unwrap_or_default()).unwrap_or(Value::Null),
+    )
+}
+
+/// Nine slices of two documents each, at the initial slice size of 256 tokens.
+pub fn nine_slices(fault: Value) -> Value {
+    let documents: Vec<String> = (0..18)
+        .map(|n| format!("{n} {}", "x".repeat(500)))
+        .collect();
+    json!({"model": "m", "query": "q", "documents": documents, "toy": fault})
+}
+
+/// Keeps slices at their initial size.
+pub const FIXED_SLICE_SIZE: [(&str, &str); 1] = [(
+    "least_tokens = 16\nmost_tokens = 65536",
+    "least_tokens = 256\nmost_tokens = 256",
+)];
+
+pub fn started_ids(server: &FakeServer) -> Vec<String> {
+    let of = |s: &Observation| match s {
+        Observation::RequestStarted { id, .. } => Some(id.clone()),
+        _ => None,
+    };
+    server.observations.borrow().iter().filter_map(of).collect()
+}
+
+pub fn count_results(response: &Value) -> usize {
+    response["results"].as_array().map_or(0, Vec::len)
+}
