--- a/crates/router/src/frontend/connection_state.rs
+++ b/crates/router/src/frontend/connection_state.rs
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Reserves room for `length` more bytes read ahead, if neither this connection nor all of them
+    /// Reserves space for `length` more bytes read ahead, if neither this connection nor all of them
     /// together then hold too much: on one connection, no more than a request holds.
     pub(super) fn reserve_read_ahead(&self, length: usize) -> bool {
         let connection_limit = self.limits.body_bytes + 2 * READ_BUFFER_LIMIT;
@@ -130,7 +130,7 @@
         fits
     }
 
-    /// Returns the room of `length` bytes that were read ahead.
+    /// Releases the space of `length` bytes that were read ahead.
     pub(super) fn release_read_ahead(&self, length: usize) {
         self.read_ahead_total
             .set(self.read_ahead_total.get() - length);
--- a/crates/router/src/frontend/inference/batches.rs
+++ b/crates/router/src/frontend/inference/batches.rs
@@ -118,7 +118,7 @@
             },
             item_tokens: batch.item_tokens.clone(),
             shared_tokens: batch.shared_tokens,
-            initial_slice_tokens: self.setup.endpoint(context.endpoint).slice_tokens,
+            initial_slice_tokens: self.setup.endpoint(context.endpoint).initial_slice_tokens,
             deadline: self.queue.time_of(context.deadline),
             is_idempotent: idempotency == Idempotency::Idempotent,
         }
--- a/crates/router/src/frontend/inference/service.rs
+++ b/crates/router/src/frontend/inference/service.rs
@@ -117,7 +117,7 @@
             catalog: setup.catalog(site).unwrap_or_default(),
             settings: settings.clone(),
             tenants,
-            budget: ByteBudget::new(setup.limits.held_bytes),
+            budget: ByteBudget::new(setup.limits.byte_budget),
             queue: BatchQueue::new(setup.batches.scheduler_config(max_retry_after)),
             setup,
             phase,
@@ -131,8 +131,8 @@
     fn limits(&self) -> ClientLimits {
         let limits = &self.0.setup.limits;
         ClientLimits {
-            request_timeout: limits.body_wait(),
-            unread_timeout: limits.read_wait(),
+            request_timeout: limits.request_timeout(),
+            unread_timeout: limits.unread_timeout(),
             body_bytes: limits.body_bytes,
         }
     }
--- a/crates/router/src/frontend/inference/setup.rs
+++ b/crates/router/src/frontend/inference/setup.rs
@@ -1,5 +1,5 @@
-//! The operator's file that sets the inference API up. The names of fields are the keys of the
-//! file.
+//! The operator's file that sets the inference API up. Keys of the file that are not the code's
+//! terms are renamed where they are decoded; errors name the keys.
 
 mod batches;
 mod limits;
@@ -49,11 +49,11 @@
     /// The time to first byte for clients that give none.
     pub deadline_ms: u32,
     /// The tokens of a batch's slices while too little is known of their times.
-    #[serde(default = "default_slice_tokens")]
-    pub slice_tokens: u64,
+    #[serde(rename = "slice_tokens", default = "default_initial_slice_tokens")]
+    pub initial_slice_tokens: u64,
 }
 
-fn default_slice_tokens() -> u64 {
+fn default_initial_slice_tokens() -> u64 {
     2_048
 }
 
@@ -131,7 +131,7 @@
             if setup.deadline_ms == 0 {
                 return Err(format!("{key}.deadline_ms: must be above 0"));
             }
-            if setup.slice_tokens == 0 {
+            if setup.initial_slice_tokens == 0 {
                 return Err(format!("{key}.slice_tokens: must be above 0"));
             }
         }
--- a/crates/router/src/frontend/inference/setup/batches.rs
+++ b/crates/router/src/frontend/inference/setup/batches.rs
@@ -16,21 +16,29 @@
     /// How long a slice may take.
     pub slice_target_ms: u32,
     /// The fewest tokens of a slice.
-    pub least_tokens: u64,
+    #[serde(rename = "least_tokens")]
+    pub min_slice_tokens: u64,
     /// The most tokens of a slice.
-    pub most_tokens: u64,
+    #[serde(rename = "most_tokens")]
+    pub max_slice_tokens: u64,
     /// The most slices in flight, of all batches.
-    pub at_once: usize,
+    #[serde(rename = "at_once")]
+    pub max_in_flight: usize,
     /// The tokens that each class and tenant gets in a round.
-    pub round_tokens: u64,
+    #[serde(rename = "round_tokens")]
+    pub quantum: u64,
     /// Retries of slices, as a share of the slices that were served.
-    pub repeat_share: f64,
+    #[serde(rename = "repeat_share")]
+    pub retry_ratio: f64,
     /// The most retries that may be saved for later.
-    pub repeat_most: f64,
+    #[serde(rename = "repeat_most")]
+    pub max_saved_retries: f64,
     /// The most attempts at one slice.
-    pub tries: u32,
+    #[serde(rename = "tries")]
+    pub max_attempts: u32,
     /// The most open batches.
-    pub open: usize,
+    #[serde(rename = "open")]
+    pub max_open_batches: usize,
 }
 
 impl Default for BatchSetup {
@@ -39,14 +47,14 @@
         BatchSetup {
             slice_target_ms: u32::try_from(config.slice_target / MICROS_PER_MILLI)
                 .unwrap_or(u32::MAX),
-            least_tokens: config.min_slice_tokens,
-            most_tokens: config.max_slice_tokens,
-            at_once: config.max_in_flight,
-            round_tokens: config.quantum,
-            repeat_share: config.retry_ratio,
-            repeat_most: config.max_saved_retries,
-            tries: config.max_attempts,
-            open: config.max_open_batches,
+            min_slice_tokens: config.min_slice_tokens,
+            max_slice_tokens: config.max_slice_tokens,
+            max_in_flight: config.max_in_flight,
+            quantum: config.quantum,
+            retry_ratio: config.retry_ratio,
+            max_saved_retries: config.max_saved_retries,
+            max_attempts: config.max_attempts,
+            max_open_batches: config.max_open_batches,
         }
     }
 }
@@ -56,14 +64,14 @@
     pub fn scheduler_config(&self, max_retry_after: Duration) -> SchedulerConfig {
         SchedulerConfig {
             slice_target: i64::from(self.slice_target_ms) * MICROS_PER_MILLI,
-            min_slice_tokens: self.least_tokens,
-            max_slice_tokens: self.most_tokens,
-            quantum: self.round_tokens,
-            max_in_flight: self.at_once,
-            retry_ratio: self.repeat_share,
-            max_saved_retries: self.repeat_most,
-            max_attempts: self.tries,
-            max_open_batches: self.open,
+            min_slice_tokens: self.min_slice_tokens,
+            max_slice_tokens: self.max_slice_tokens,
+            quantum: self.quantum,
+            max_in_flight: self.max_in_flight,
+            retry_ratio: self.retry_ratio,
+            max_saved_retries: self.max_saved_retries,
+            max_attempts: self.max_attempts,
+            max_open_batches: self.max_open_batches,
             max_retry_after: to_micros(max_retry_after),
         }
     }
@@ -72,26 +80,26 @@
     pub(super) fn check(&self) -> Result<(), String> {
         for (key, value) in [
             ("slice_target_ms", u64::from(self.slice_target_ms)),
-            ("least_tokens", self.least_tokens),
-            ("at_once", self.at_once as u64),
-            ("round_tokens", self.round_tokens),
-            ("tries", u64::from(self.tries)),
-            ("open", self.open as u64),
+            ("least_tokens", self.min_slice_tokens),
+            ("at_once", self.max_in_flight as u64),
+            ("round_tokens", self.quantum),
+            ("tries", u64::from(self.max_attempts)),
+            ("open", self.max_open_batches as u64),
         ] {
             if value == 0 {
                 return Err(format!("batches.{key}: must be above 0"));
             }
         }
-        if self.most_tokens < self.least_tokens {
+        if self.max_slice_tokens < self.min_slice_tokens {
             return Err(format!(
                 "batches.most_tokens: must be at least least_tokens, {}",
-                self.least_tokens
+                self.min_slice_tokens
             ));
         }
-        if !(0.0..=1.0).contains(&self.repeat_share) {
+        if !(0.0..=1.0).contains(&self.retry_ratio) {
             return Err("batches.repeat_share: must be from 0 to 1".to_owned());
         }
-        if !(0.0..=1e6).contains(&self.repeat_most) {
+        if !(0.0..=1e6).contains(&self.max_saved_retries) {
             return Err("batches.repeat_most: must be from 0 to 1000000".to_owned());
         }
         Ok(())
--- a/crates/router/src/frontend/inference/setup/limits.rs
+++ b/crates/router/src/frontend/inference/setup/limits.rs
@@ -18,17 +18,21 @@
     /// The most bytes of one body, decompressed.
     pub body_bytes: usize,
     /// The most bytes of all bodies in flight, of requests and responses.
-    pub held_bytes: usize,
+    #[serde(rename = "held_bytes")]
+    pub byte_budget: usize,
     /// How long a request may take to arrive.
-    pub body_wait_ms: u64,
+    #[serde(rename = "body_wait_ms")]
+    pub request_timeout_ms: u64,
     /// How long a client may leave response data unread.
-    pub read_wait_ms: u64,
+    #[serde(rename = "read_wait_ms")]
+    pub unread_timeout_ms: u64,
     /// The most lists and objects nested within one another.
     pub depth: usize,
     /// The most items of one list.
     pub items: usize,
     /// The most bytes of one string.
-    pub text_bytes: usize,
+    #[serde(rename = "text_bytes")]
+    pub string_bytes: usize,
 }
 
 impl Default for Limits {
@@ -36,12 +40,12 @@
         let body = BodyLimits::default();
         Limits {
             body_bytes: 16 * MIB,
-            held_bytes: 64 * MIB,
-            body_wait_ms: 10_000,
-            read_wait_ms: 30_000,
+            byte_budget: 64 * MIB,
+            request_timeout_ms: 10_000,
+            unread_timeout_ms: 30_000,
             depth: body.depth,
             items: body.items,
-            text_bytes: body.string_bytes,
+            string_bytes: body.string_bytes,
         }
     }
 }
@@ -51,30 +55,30 @@
     pub fn body_limits(&self) -> BodyLimits {
         BodyLimits {
             depth: self.depth,
-            string_bytes: self.text_bytes,
+            string_bytes: self.string_bytes,
             items: self.items,
         }
     }
 
     /// How long a request may take to arrive.
-    pub fn body_wait(&self) -> Duration {
-        Duration::from_millis(self.body_wait_ms)
+    pub fn request_timeout(&self) -> Duration {
+        Duration::from_millis(self.request_timeout_ms)
     }
 
     /// How long a client may leave response data unread.
-    pub fn read_wait(&self) -> Duration {
-        Duration::from_millis(self.read_wait_ms)
+    pub fn unread_timeout(&self) -> Duration {
+        Duration::from_millis(self.unread_timeout_ms)
     }
 
     /// What is wrong with the values, in one line that names the key.
     pub(super) fn check(&self) -> Result<(), String> {
         for (key, value) in [
             ("body_bytes", self.body_bytes as u64),
-            ("body_wait_ms", self.body_wait_ms),
-            ("read_wait_ms", self.read_wait_ms),
+            ("body_wait_ms", self.request_timeout_ms),
+            ("read_wait_ms", self.unread_timeout_ms),
             ("depth", self.depth as u64),
             ("items", self.items as u64),
-            ("text_bytes", self.text_bytes as u64),
+            ("text_bytes", self.string_bytes as u64),
         ] {
             if value == 0 {
                 return Err(format!("limits.{key}: must be above 0"));
@@ -83,7 +87,7 @@
         if self.body_bytes > MAX_BODY_BYTES {
             return Err("limits.body_bytes: must be at most 1073741824".to_owned());
         }
-        if self.held_bytes < self.body_bytes {
+        if self.byte_budget < self.body_bytes {
             return Err(format!(
                 "limits.held_bytes: must be at least limits.body_bytes, {}",
                 self.body_bytes
