--- a/crates/router/src/frontend/inference/setup/tests.rs
+++ b/crates/router/src/frontend/inference/setup/tests.rs
@@ -30,66 +30,69 @@
         .is_ok());
 }
 
+/// A line of the shipped file, an invalid one in its place, and how the error begins.
+const INVALID_EDITS: [(&str, &str, &str); 16] = [
+    ("class = \"rerank\"", "class = \"other\"", "rerank.class"),
+    ("class = \"chat\"", "classes = \"chat\"", "chat"),
+    ("listen = \"127.0.0.1:8090\"", "listen = 3", "listen"),
+    (
+        "slice_tokens = 4096",
+        "slice_tokens = 0",
+        "embeddings.slice_tokens",
+    ),
+    (
+        "body_bytes = 16777216",
+        "body_bytes = 0",
+        "limits.body_bytes",
+    ),
+    (
+        "held_bytes = 67108864",
+        "held_bytes = 1000",
+        "limits.held_bytes",
+    ),
+    ("depth = 64", "depth = 101", "limits.depth"),
+    (
+        "slice_target_ms = 50",
+        "slice_target_ms = 0",
+        "batches.slice_target_ms",
+    ),
+    (
+        "repeat_share = 0.2",
+        "repeat_share = 2.0",
+        "batches.repeat_share",
+    ),
+    (
+        "most_tokens = 65536",
+        "most_tokens = 1",
+        "batches.most_tokens",
+    ),
+    ("chat = \"chat\"", "chat = \"other\"", "models[0].chat"),
+    (
+        "aliases = [\"parts\"]",
+        "aliases = [\"parts-embed\"]",
+        "models[1].name",
+    ),
+    ("aliases = [\"parts\"]", "alias = \"parts\"", "models[0]"),
+    (
+        "aliases = [\"parts\"]",
+        "kinds = [\"other\"]",
+        "models[0].kinds: the settings have no",
+    ),
+    (
+        "aliases = [\"parts\"]",
+        "kinds = [\"reader\"]",
+        "models[0].kinds: none of them writes",
+    ),
+    (
+        "aliases = [\"parts\"]",
+        "kinds = [\"writer\"]",
+        "models[0].kinds: none of them reads",
+    ),
+];
+
 #[test]
 fn an_invalid_file_is_rejected_with_an_error_that_names_its_key() {
-    for (from, to, key) in [
-        ("class = \"rerank\"", "class = \"other\"", "rerank.class"),
-        ("class = \"chat\"", "classes = \"chat\"", "chat"),
-        ("listen = \"127.0.0.1:8090\"", "listen = 3", "listen"),
-        (
-            "slice_tokens = 4096",
-            "slice_tokens = 0",
-            "embeddings.slice_tokens",
-        ),
-        (
-            "body_bytes = 16777216",
-            "body_bytes = 0",
-            "limits.body_bytes",
-        ),
-        (
-            "held_bytes = 67108864",
-            "held_bytes = 1000",
-            "limits.held_bytes",
-        ),
-        ("depth = 64", "depth = 101", "limits.depth"),
-        (
-            "slice_target_ms = 50",
-            "slice_target_ms = 0",
-            "batches.slice_target_ms",
-        ),
-        (
-            "repeat_share = 0.2",
-            "repeat_share = 2.0",
-            "batches.repeat_share",
-        ),
-        (
-            "most_tokens = 65536",
-            "most_tokens = 1",
-            "batches.most_tokens",
-        ),
-        ("chat = \"chat\"", "chat = \"other\"", "models[0].chat"),
-        (
-            "aliases = [\"parts\"]",
-            "aliases = [\"parts-embed\"]",
-            "models[1].name",
-        ),
-        ("aliases = [\"parts\"]", "alias = \"parts\"", "models[0]"),
-        (
-            "aliases = [\"parts\"]",
-            "kinds = [\"other\"]",
-            "models[0].kinds: the settings have no",
-        ),
-        (
-            "aliases = [\"parts\"]",
-            "kinds = [\"reader\"]",
-            "models[0].kinds: none of them writes",
-        ),
-        (
-            "aliases = [\"parts\"]",
-            "kinds = [\"writer\"]",
-            "models[0].kinds: none of them reads",
-        ),
-    ] {
+    for (from, to, key) in INVALID_EDITS {
         assert!(FILE.contains(from), "{from}");
         let read = parse_toml(&FILE.replace(from, to)).and_then(|s: Setup| s.check(&site()));
         let message = read.expect_err(to);
