--- a/crates/router/src/frontend/inference/batches.rs
+++ b/crates/router/src/frontend/inference/batches.rs
@@ -163,7 +163,9 @@
     /// another router.
     fn failure_during_shutdown(&self, failure: SliceFailure) -> SliceFailure {
         match failure {
-            SliceFailure::OutOfMemory { retry_after } if *self.phase.borrow() >= Phase::Leaving => {
+            SliceFailure::OutOfMemory { retry_after }
+                if *self.phase.borrow() >= Phase::Draining =>
+            {
                 SliceFailure::Rejected { retry_after }
             }
             failure => failure,
--- a/crates/router/src/frontend/inference/service.rs
+++ b/crates/router/src/frontend/inference/service.rs
@@ -244,7 +244,7 @@
         match tenants.bearer(key.trim()) {
             Bearer::Tenant(name) => Ok(Some(name)),
             Bearer::Unknown => Err(invalid_api_key()),
-            Bearer::NotYet => Err(RequestError::tenants_unknown()),
+            Bearer::NotLoaded => Err(RequestError::tenants_unknown()),
         }
     }
 
--- a/crates/router/src/frontend/server.rs
+++ b/crates/router/src/frontend/server.rs
@@ -204,7 +204,7 @@
         let mut response = self.frontend.respond(request).await;
         // A client that learns it now sends its next request elsewhere, and its connection need not
         // be closed later.
-        if *self.phase.borrow() >= Phase::Leaving || self.requests.is_last() {
+        if *self.phase.borrow() >= Phase::Draining || self.requests.is_last() {
             response
                 .headers_mut()
                 .insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/router/tests/client_connections.rs
+++ b/crates/router/tests/client_connections.rs
@@ -263,7 +263,7 @@
             endpoint_entry(&prefill, "reader", "up"),
             endpoint_entry(&decode, "writer", "up"),
         ];
-        let mut router = Bed::start_set(lines, None, set).await;
+        let mut router = Bed::start_with_settings(lines, set).await;
         let ask = |id: &'static str, class: &'static str| {
             let platform = router.platform;
             spawn_local(async move {
--- a/crates/router/tests/inference_support/mod.rs
+++ b/crates/router/tests/inference_support/mod.rs
@@ -18,7 +18,7 @@
         .iter()
         .map(|w| endpoint_entry(w, "mixed", "up"))
         .collect();
-    Bed::start_front(lines, edits).await
+    Bed::start_with_edits(lines, edits).await
 }
 
 /// Posts with headers; returns the status, headers and JSON of the response.
--- a/crates/router/tests/platform.rs
+++ b/crates/router/tests/platform.rs
@@ -287,7 +287,7 @@
             ]
         };
         let new = FakeDiscovery::start(lines("draining")).await;
-        router.moves.send_replace(new.address);
+        router.discovery_address.send_replace(new.address);
         let mut client = Client::connect(router.platform).await;
         // The list is a snapshot: none of its decode servers is active, and the old ones are
         // removed.
