--- /dev/null
+++ b/crates/router/src/frontend/inference/setup/limits.rs
@@ -0,0 +1,101 @@
+//! The limits of requests and responses in the operator's file.
+
+use std::time::Duration;
+
+use cranetack_inference_api::BodyLimits;
+use serde::Deserialize;
+
+const MIB: usize = 1024 * 1024;
+/// The largest `body_bytes`: offsets in a body are kept as 32 bits.
+const MAX_BODY_BYTES: usize = 1 << 30;
+/// The largest `depth`.
+const MAX_DEPTH: usize = 100;
+
+/// The limits of requests and responses: the table `limits`.
+#[derive(Debug, Clone, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct Limits {
+    /// The most bytes of one body, decompressed.
+    pub body_bytes: usize,
+    /// The most bytes of all bodies in flight, of requests and responses.
+    #[serde(rename = "held_bytes")]
+    pub byte_budget: usize,
+    /// How long a request may take to arrive.
+    #[serde(rename = "body_wait_ms")]
+    pub request_timeout_ms: u64,
+    /// How long a client may leave response data unread.
+    #[serde(rename = "read_wait_ms")]
+    pub unread_timeout_ms: u64,
+    /// The most lists and objects nested within one another.
+    pub depth: usize,
+    /// The most items of one list.
+    pub items: usize,
+    /// The most bytes of one string.
+    #[serde(rename = "text_bytes")]
+    pub string_bytes: usize,
+}
+
+impl Default for Limits {
+    fn default() -> Self {
+        let body = BodyLimits::default();
+        Limits {
+            body_bytes: 16 * MIB,
+            byte_budget: 64 * MIB,
+            request_timeout_ms: 10_000,
+            unread_timeout_ms: 30_000,
+            depth: body.depth,
+            items: body.items,
+            string_bytes: body.string_bytes,
+        }
+    }
+}
+
+impl Limits {
+    /// The limits that are checked before a body is decoded.
+    pub fn body_limits(&self) -> BodyLimits {
+        BodyLimits {
+            depth: self.depth,
+            string_bytes: self.string_bytes,
+            items: self.items,
+        }
+    }
+
+    /// How long a request may take to arrive.
+    pub fn request_timeout(&self) -> Duration {
+        Duration::from_millis(self.request_timeout_ms)
+    }
+
+    /// How long a client may leave response data unread.
+    pub fn unread_timeout(&self) -> Duration {
+        Duration::from_millis(self.unread_timeout_ms)
+    }
+
+    /// What is wrong with the values, in one line that names the key.
+    pub(super) fn check(&self) -> Result<(), String> {
+        for (key, value) in [
+            ("body_bytes", self.body_bytes as u64),
+            ("body_wait_ms", self.request_timeout_ms),
+            ("read_wait_ms", self.unread_timeout_ms),
+            ("depth", self.depth as u64),
+            ("items", self.items as u64),
+            ("text_bytes", self.string_bytes as u64),
+        ] {
+            if value == 0 {
+                return Err(format!("limits.{key}: must be above 0"));
+            }
+        }
+        if self.body_bytes > MAX_BODY_BYTES {
+            return Err("limits.body_bytes: must be at most 1073741824".to_owned());
+        }
+        if self.byte_budget < self.body_bytes {
+            return Err(format!(
+                "limits.held_bytes: must be at least limits.body_bytes, {}",
+                self.body_bytes
+            ));
+        }
+        if self.depth > MAX_DEPTH {
+            return Err("limits.depth: must be at most 100".to_owned());
+        }
+        Ok(())
+    }
+}
