--- a/Makefile
+++ b/Makefile
@@ -7,6 +7,7 @@
 lint:
 	cargo fmt --all -- --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
+	.ci/check-docs
 
 test: lint build
 	.ci/test
