--- a/crates/router/src/frontend/inference/chat.rs
+++ b/crates/router/src/frontend/inference/chat.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use cranetack_inference_api::{ApiEndpoint, ChatRequest};
-use http::header::{HeaderName, CONTENT_TYPE};
+use http::header::CONTENT_TYPE;
 use http::{HeaderValue, Response};
 use tokio::time::Instant;
 
@@ -10,7 +10,7 @@
 use super::collect::{collect_body, collect_chat_events, CollectedBody};
 use super::error::{json_response, RequestError};
 use super::event_stream::EventStreamBody;
-use super::request::{RequestContext, ServedModel};
+use super::request::{RequestContext, ServedModel, IDEMPOTENCY_KEY};
 use super::service::{Service, CHAT_PATH};
 use crate::core::IncomingRequest;
 use crate::exchange::{BodyStream, FinalResponse};
@@ -18,8 +18,6 @@
 use crate::frontend::response::streaming_response;
 use crate::frontend::{BodyError, ResponseBody};
 
-/// By which an endpoint discards repeats of a request.
-const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 const EVENT_STREAM: &str = "text/event-stream";
 /// The bytes that are reserved for the chunks of a stream that wait for its client.
 const STREAM_RESERVATION: usize = 64 * 1024;
--- a/crates/router/src/frontend/inference/mod.rs
+++ b/crates/router/src/frontend/inference/mod.rs
@@ -2,7 +2,7 @@
 //! inference services. It is off unless an operator's file sets it up.
 //!
 //! It submits requests to the same core as the platform API. A batch, which is a request with many
-//! items, is sent slice by slice; the scheduler behind the [`batch_queue`] decides on the slices.
+//! items, is sent slice by slice; the scheduler behind the `batch_queue` decides on the slices.
 
 mod batch_queue;
 mod batches;
--- a/crates/router/src/frontend/inference/request.rs
+++ b/crates/router/src/frontend/inference/request.rs
@@ -7,6 +7,7 @@
 use bytes::Bytes;
 use cranetack_inference_api::{ApiEndpoint, ApiError};
 use cranetack_routing_policy::ClassId;
+use http::header::HeaderName;
 use http::request::Parts as RequestHead;
 use http::{HeaderMap, HeaderValue};
 use tokio::time::Instant;
@@ -17,6 +18,8 @@
 use crate::frontend::request_id::is_valid_request_id;
 
 const REQUEST_ID: &str = "X-Request-Id";
+/// By which an endpoint discards repeats of a request.
+pub(super) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 /// The ids of open requests. Cheap to clone: clones share the ids.
 ///
--- a/crates/router/src/frontend/inference/service.rs
+++ b/crates/router/src/frontend/inference/service.rs
@@ -18,6 +18,7 @@
 use super::error::{json_response, RequestError};
 use super::request::{
     client_request_id, header, OpenRequestIds, RequestContext, RequestIdGenerator, ServedModel,
+    IDEMPOTENCY_KEY,
 };
 use super::setup::{EndpointSetup, Setup};
 use crate::core::Handle;
@@ -36,7 +37,6 @@
 const DEADLINE_MS: &str = "X-Deadline-Ms";
 const SESSION: &str = "X-Key";
 const AUTHORIZATION: &str = "authorization";
-const IDEMPOTENCY_KEY: &str = "idempotency-key";
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
 /// The longest time to first byte that a client may ask for.
