--- a/crates/inference-api/src/lib.rs
+++ b/crates/inference-api/src/lib.rs
@@ -23,7 +23,7 @@
 pub use error::{ApiError, ErrorKind};
 pub use events::{EventSplitter, InvalidEventStream};
 pub use merge::merge_results;
-pub use models::{ApiEndpoint, Model, ModelCatalog, PerEndpoint, ResolvedModel};
+pub use models::{ApiEndpoint, CatalogError, Model, ModelCatalog, PerEndpoint, ResolvedModel};
 pub use slice_result::{ResultError, SliceResult};
 
 /// The characters of a text that are taken as one token.
--- a/crates/inference-api/src/models.rs
+++ b/crates/inference-api/src/models.rs
@@ -96,6 +96,33 @@
     pub kinds: Option<u64>,
 }
 
+/// Why models make no catalog. Each text names the key in the operator's file.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+pub enum CatalogError {
+    /// A name is empty, too long or not printable.
+    #[error("{key}: {name:?} is no name")]
+    InvalidName {
+        /// The key.
+        key: String,
+        /// The name.
+        name: String,
+    },
+    /// A name is used twice.
+    #[error("{key}: {name:?} is the name of another model")]
+    DuplicateName {
+        /// The key.
+        key: String,
+        /// The name.
+        name: String,
+    },
+    /// A model has no class at any endpoint.
+    #[error("models[{index}]: serves no endpoint")]
+    NoEndpoint {
+        /// The index of the model.
+        index: usize,
+    },
+}
+
 /// All models. An empty catalog accepts any name.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ModelCatalog(Vec<Model>);
@@ -112,16 +139,16 @@
 }
 
 impl ModelCatalog {
-    /// A catalog, unless a name is invalid or used twice. An error names the key.
-    pub fn new(models: Vec<Model>) -> Result<ModelCatalog, String> {
+    /// A catalog, unless a name is invalid or used twice, or a model serves no endpoint.
+    pub fn new(models: Vec<Model>) -> Result<ModelCatalog, CatalogError> {
         let mut names = HashSet::new();
         for (index, model) in models.iter().enumerate() {
-            check_name(&mut names, &format!("models[{index}].name"), &model.name)?;
+            check_name(&mut names, format!("models[{index}].name"), &model.name)?;
             for alias in &model.aliases {
-                check_name(&mut names, &format!("models[{index}].aliases"), alias)?;
+                check_name(&mut names, format!("models[{index}].aliases"), alias)?;
             }
             if !ApiEndpoint::ALL.iter().any(|e| model.serves(*e)) {
-                return Err(format!("models[{index}]: serves no endpoint"));
+                return Err(CatalogError::NoEndpoint { index });
             }
         }
         Ok(ModelCatalog(models))
@@ -179,14 +206,16 @@
 
 fn check_name<'a>(
     names: &mut HashSet<&'a String>,
-    key: &str,
+    key: String,
     name: &'a String,
-) -> Result<(), String> {
+) -> Result<(), CatalogError> {
     if name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(char::is_control) {
-        return Err(format!("{key}: {name:?} is no name"));
+        let name = name.clone();
+        return Err(CatalogError::InvalidName { key, name });
     }
     if !names.insert(name) {
-        return Err(format!("{key}: {name:?} is the name of another model"));
+        let name = name.clone();
+        return Err(CatalogError::DuplicateName { key, name });
     }
     Ok(())
 }
--- a/crates/inference-api/src/models/tests.rs
+++ b/crates/inference-api/src/models/tests.rs
@@ -72,7 +72,7 @@
             "models[0]: serves no endpoint",
         ),
     ] {
-        let error = ModelCatalog::new(models).unwrap_err();
+        let error = ModelCatalog::new(models).unwrap_err().to_string();
         assert!(error.starts_with(message), "{error}");
     }
 }
--- a/crates/router/src/frontend/inference/setup.rs
+++ b/crates/router/src/frontend/inference/setup.rs
@@ -119,7 +119,7 @@
                 kinds: kinds.map_err(|error| format!("models[{index}].kinds: {error}"))?,
             });
         }
-        ModelCatalog::new(models)
+        ModelCatalog::new(models).map_err(|error| error.to_string())
     }
 
     /// What is wrong with the values beside the settings, in one line that names the key.
