--- a/Makefile
+++ b/Makefile
@@ -7,6 +7,7 @@
 lint:
 	cargo fmt --all -- --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked --quiet
 
 test: lint build
 	.ci/test
--- a/crates/inference-api/src/fields.rs
+++ b/crates/inference-api/src/fields.rs
@@ -17,7 +17,7 @@
 
 /// The fields of an object, in their order.
 #[derive(Debug, Default)]
-pub struct Fields<'a>(Vec<(Cow<'a, str>, &'a RawValue)>);
+pub(crate) struct Fields<'a>(Vec<(Cow<'a, str>, &'a RawValue)>);
 
 impl<'de: 'a, 'a> Deserialize<'de> for Fields<'a> {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
@@ -76,7 +76,7 @@
 
 impl<'a> Fields<'a> {
     /// Decodes a body.
-    pub fn decode(body: &'a [u8]) -> Result<Fields<'a>, ApiError> {
+    pub(crate) fn decode(body: &'a [u8]) -> Result<Fields<'a>, ApiError> {
         serde_json::from_slice(body).map_err(|error| {
             let message = format!("not a JSON object: {error}");
             ApiError::invalid(400, "invalid_json", None, message)
@@ -84,7 +84,7 @@
     }
 
     /// The value of a field; null counts as absent.
-    pub fn get(&self, name: &str) -> Option<&'a RawValue> {
+    pub(crate) fn get(&self, name: &str) -> Option<&'a RawValue> {
         let (_, value) = self.0.iter().find(|(n, _)| n == name)?;
         if value.get() == "null" {
             return None;
@@ -93,7 +93,7 @@
     }
 
     /// Encodes all fields but these, each followed by a comma.
-    pub fn encode_without(&self, excluded: &[&str]) -> String {
+    pub(crate) fn encode_without(&self, excluded: &[&str]) -> String {
         let mut text = String::new();
         for (name, value) in &self.0 {
             if !excluded.contains(&&**name) {
@@ -105,12 +105,12 @@
 }
 
 /// Encodes a string as JSON.
-pub fn json_string(text: &str) -> String {
+pub(crate) fn json_string(text: &str) -> String {
     serde_json::to_string(text).unwrap_or_default()
 }
 
 /// Appends a field and a comma.
-pub fn push_field(text: &mut String, name: &str, value: &str) {
+pub(crate) fn push_field(text: &mut String, name: &str, value: &str) {
     text.push_str(&json_string(name));
     text.push(':');
     text.push_str(value);
@@ -124,14 +124,14 @@
 }
 
 /// Decodes known fields, and collects the problems of all of them.
-pub struct FieldReader<'f, 'a> {
+pub(crate) struct FieldReader<'f, 'a> {
     fields: &'f Fields<'a>,
     problems: Vec<Problem>,
 }
 
 impl<'f, 'a> FieldReader<'f, 'a> {
     /// A reader of these fields.
-    pub fn new(fields: &'f Fields<'a>) -> Self {
+    pub(crate) fn new(fields: &'f Fields<'a>) -> Self {
         FieldReader {
             fields,
             problems: Vec::new(),
@@ -139,7 +139,7 @@
     }
 
     /// Reports a problem with a field.
-    pub fn report(&mut self, param: impl Into<String>, message: impl Into<String>) {
+    pub(crate) fn report(&mut self, param: impl Into<String>, message: impl Into<String>) {
         self.problems.push(Problem {
             param: param.into(),
             message: message.into(),
@@ -147,7 +147,7 @@
     }
 
     /// An optional field. `expected` describes a valid value.
-    pub fn optional<T: Deserialize<'a>>(
+    pub(crate) fn optional<T: Deserialize<'a>>(
         &mut self,
         name: &str,
         expected: &str,
@@ -164,31 +164,31 @@
     }
 
     /// Reports a field that is absent.
-    pub fn require(&mut self, name: &str, expected: &str) {
+    pub(crate) fn require(&mut self, name: &str, expected: &str) {
         if self.fields.get(name).is_none() {
             self.report(name, format!("is needed: {expected}"));
         }
     }
 
     /// A string that must be present and not empty.
-    pub fn required_string(&mut self, name: &str, expected: &str) -> String {
+    pub(crate) fn required_string(&mut self, name: &str, expected: &str) -> String {
         self.require(name, expected);
         self.optional::<String>(name, expected, |text| !text.is_empty())
             .unwrap_or_default()
     }
 
     /// An optional string.
-    pub fn string(&mut self, name: &str) -> Option<String> {
+    pub(crate) fn string(&mut self, name: &str) -> Option<String> {
         self.optional(name, "a text", |_| true)
     }
 
     /// An optional boolean.
-    pub fn boolean(&mut self, name: &str) -> Option<bool> {
+    pub(crate) fn boolean(&mut self, name: &str) -> Option<bool> {
         self.optional(name, "true or false", |_| true)
     }
 
     /// An optional whole number within a range.
-    pub fn integer(&mut self, name: &str, range: RangeInclusive<u64>) -> Option<u64> {
+    pub(crate) fn integer(&mut self, name: &str, range: RangeInclusive<u64>) -> Option<u64> {
         let expected = match (*range.start(), *range.end()) {
             (low, u64::MAX) => format!("a whole number of at least {low}"),
             (low, high) => format!("a whole number from {low} to {high}"),
@@ -197,13 +197,13 @@
     }
 
     /// An optional number within a range.
-    pub fn number(&mut self, name: &str, range: RangeInclusive<f64>) -> Option<f64> {
+    pub(crate) fn number(&mut self, name: &str, range: RangeInclusive<f64>) -> Option<f64> {
         let expected = format!("a number from {} to {}", range.start(), range.end());
         self.optional(name, &expected, |n| range.contains(n))
     }
 
     /// The items of an optional list, at most `limit`; `None` if it is absent or invalid.
-    pub fn list(&mut self, name: &str, limit: usize) -> Option<Vec<&'a RawValue>> {
+    pub(crate) fn list(&mut self, name: &str, limit: usize) -> Option<Vec<&'a RawValue>> {
         let items: Vec<&'a RawValue> = self.optional(name, "a list", |_| true)?;
         if items.len() > limit {
             let message = format!("holds {} items, more than {limit}", items.len());
@@ -214,7 +214,7 @@
     }
 
     /// Returns one error that names every field with a problem, if there are any.
-    pub fn finish(self) -> Result<(), ApiError> {
+    pub(crate) fn finish(self) -> Result<(), ApiError> {
         let Some(first) = self.problems.first() else {
             return Ok(());
         };
--- a/crates/router/src/core/dispatch.rs
+++ b/crates/router/src/core/dispatch.rs
@@ -31,9 +31,8 @@
         };
         let number = request.attempts;
         request.attempts += 1;
-        let target = self.endpoints.get(to);
         let refusal = reason_not_to_send(request, number, self.settings.max_attempts, now);
-        let (target, spec) = match (refusal, target) {
+        let (endpoint, spec) = match (refusal, self.endpoints.get(to)) {
             (None, Some(target)) => target,
             (refusal, _) => {
                 let reason = refusal.unwrap_or(NotSentReason::UnknownEndpoint);
@@ -46,9 +45,6 @@
                 return self.attempt_not_sent(id, number, to);
             }
         };
-        let request_id = &request.incoming.request_id;
-        let name = &target.name;
-        tracing::debug!(%request_id, attempt = number, endpoint = name, "attempt sent");
         request.is_released = false;
         let rule = RetryRule::of(self.settings.classes.get(request.incoming.class.0));
         if let Err(violation) = request.executions.check_send(rule, spec, now) {
@@ -56,42 +52,31 @@
             return self.attempt_not_sent(id, number, to);
         }
         let kind = self.settings.kinds.get(spec.kind.0);
-        let role = kind.and_then(|kind| kind.role).unwrap_or(Role::Mixed);
-        let prefill_only = role == Role::Prefill;
-        request.in_flight = Some(AttemptInFlight {
+        let attempt = AttemptInFlight {
             number,
-            role,
+            role: kind.and_then(|kind| kind.role).unwrap_or(Role::Mixed),
             endpoint: to,
             sent_at: now,
             execution: PossibleExecution::at(spec, now),
             is_streaming: false,
-        });
-        let step = Step::Sent {
-            attempt: number,
-            endpoint: name.as_str().into(),
-            prefill_only,
         };
-        request.trace.note(now, step);
-        let idempotency = rule.idempotency();
-        if idempotency != Idempotency::Idempotent
-            && !prefill_only
-            && request.trace.has_tried_before(number)
-        {
-            tracing::info!(%request_id, trace = %request.trace, "request retried");
-        }
+        request.record_send(&attempt, &endpoint.name, rule);
+        let prefill_only = attempt.role == Role::Prefill;
+        request.in_flight = Some(attempt);
         let deadline = request.deadline;
+        let is_non_idempotent = rule.idempotency() == Idempotency::NonIdempotent;
         self.outbound.send(AttemptSpec {
             attempt: AttemptId {
                 request: id,
                 number,
             },
-            request_id: request_id.clone(),
-            endpoint: target.clone(),
+            request_id: request.incoming.request_id.clone(),
+            endpoint: endpoint.clone(),
             expires_at: self.clock.instant(limit_or_deadline(expires_at, deadline)),
             write_by: self.clock.instant(limit_or_deadline(write_by, deadline)),
             is_live: request.is_live.clone(),
             prefill_only,
-            non_idempotent: idempotency == Idempotency::NonIdempotent && !prefill_only,
+            non_idempotent: is_non_idempotent && !prefill_only,
             message: request.incoming.message.clone(),
         });
     }
--- a/crates/router/src/core/requests.rs
+++ b/crates/router/src/core/requests.rs
@@ -101,6 +101,29 @@
             .filter(|attempt| attempt.is_streaming)
     }
 
+    /// Notes and logs an attempt that is made now.
+    pub(super) fn record_send(
+        &mut self,
+        attempt: &AttemptInFlight,
+        endpoint: &str,
+        rule: RetryRule,
+    ) {
+        let number = attempt.number;
+        let prefill_only = attempt.role == Role::Prefill;
+        let request_id = &self.incoming.request_id;
+        tracing::debug!(%request_id, attempt = number, endpoint, "attempt sent");
+        let step = Step::Sent {
+            attempt: number,
+            endpoint: endpoint.into(),
+            prefill_only,
+        };
+        self.trace.note(attempt.sent_at, step);
+        let is_idempotent = rule.idempotency() == Idempotency::Idempotent;
+        if !is_idempotent && !prefill_only && self.trace.has_tried_before(number) {
+            tracing::info!(%request_id, trace = %self.trace, "request retried");
+        }
+    }
+
     /// Its response is in flight, and no rejection waits for that to end.
     fn expects_stream(&self) -> bool {
         !self.is_over && self.pending_rejection.is_none()
--- a/crates/router/src/frontend/client_stream.rs
+++ b/crates/router/src/frontend/client_stream.rs
@@ -24,7 +24,7 @@
 /// Reads ahead while a request is being answered, so that a client's disconnect is noticed. The
 /// HTTP library stops reading once it has any bytes of a further request, and the end of the stream
 /// stands behind those bytes until the response is complete.
-pub struct ReadAhead {
+pub(crate) struct ReadAhead {
     stream: Rc<RefCell<Socket>>,
     state: Rc<ConnectionState>,
 }
@@ -37,7 +37,7 @@
 
     /// Waits until the client disconnects while one of its requests is being answered. Must be
     /// polled in the task that reads the stream, and after the read: whoever polls last is woken.
-    pub async fn client_disconnected(&self) {
+    pub(crate) async fn client_disconnected(&self) {
         poll_fn(|cx| self.poll_disconnected(cx)).await;
     }
 
@@ -76,7 +76,7 @@
 }
 
 /// A client's stream that keeps the connection's state up to date.
-pub struct TrackedStream {
+pub(crate) struct TrackedStream {
     stream: Rc<RefCell<Socket>>,
     state: Rc<ConnectionState>,
 }
--- a/crates/router/src/frontend/connections.rs
+++ b/crates/router/src/frontend/connections.rs
@@ -24,7 +24,7 @@
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Bounds the number of connections of a frontend.
-pub struct ConnectionLimiter {
+pub(crate) struct ConnectionLimiter {
     permits: Arc<Semaphore>,
     limits: ClientLimits,
     read_ahead_total: Rc<Cell<usize>>,
@@ -34,7 +34,7 @@
 
 impl ConnectionLimiter {
     /// A limiter of at most `connection_limit` connections.
-    pub fn new(connection_limit: usize, limits: ClientLimits) -> Rc<ConnectionLimiter> {
+    pub(crate) fn new(connection_limit: usize, limits: ClientLimits) -> Rc<ConnectionLimiter> {
         Rc::new(ConnectionLimiter {
             permits: Arc::new(Semaphore::new(connection_limit)),
             limits,
@@ -46,7 +46,7 @@
 
     /// Waits for a permit. While there is none, connections that have been idle for longest are
     /// evicted, so that silent clients cannot hold the permits that others need.
-    pub async fn acquire(&self) -> Option<OwnedSemaphorePermit> {
+    pub(crate) async fn acquire(&self) -> Option<OwnedSemaphorePermit> {
         loop {
             if self.permits.available_permits() == 0 {
                 self.evict_longest_idle();
@@ -59,7 +59,10 @@
     }
 
     /// Registers a connection that begins now.
-    pub fn register(self: &Rc<Self>, permit: Option<OwnedSemaphorePermit>) -> ClientConnection {
+    pub(crate) fn register(
+        self: &Rc<Self>,
+        permit: Option<OwnedSemaphorePermit>,
+    ) -> ClientConnection {
         let number = self.next_number.replace(self.next_number.get() + 1);
         let state = ConnectionState::new(self.limits, self.read_ahead_total.clone());
         let state = Rc::new(state);
@@ -73,7 +76,7 @@
     }
 
     /// Closes the connections that have exceeded a timeout.
-    pub fn close_expired(&self) {
+    pub(crate) fn close_expired(&self) {
         let now = Instant::now();
         for state in self.connections.borrow().values() {
             if state.expires_at().is_some_and(|at| at <= now) {
@@ -95,7 +98,7 @@
 }
 
 /// A connection's permit and state, held for as long as the connection lasts.
-pub struct ClientConnection {
+pub(crate) struct ClientConnection {
     limiter: Rc<ConnectionLimiter>,
     number: u64,
     state: Rc<ConnectionState>,
@@ -113,7 +116,7 @@
 impl ClientConnection {
     /// Wraps the connection's stream: the first half is for the HTTP library, the second notices a
     /// client's disconnect while the library does not read.
-    pub fn track(&self, stream: Rc<RefCell<Socket>>) -> (TrackedStream, ReadAhead) {
+    pub(crate) fn track(&self, stream: Rc<RefCell<Socket>>) -> (TrackedStream, ReadAhead) {
         let read_ahead = ReadAhead::new(stream.clone(), self.state.clone());
         (TrackedStream::new(stream, self.state.clone()), read_ahead)
     }
@@ -122,7 +125,7 @@
     /// unread bytes with a reset, and the client would lose what it has not read yet. While there
     /// are permits, the router's side is closed first, and the rest is read until the client closes
     /// its own.
-    pub async fn close_gracefully(&self, stream: Rc<RefCell<Socket>>) {
+    pub(crate) async fn close_gracefully(&self, stream: Rc<RefCell<Socket>>) {
         if self.limiter.permits.available_permits() == 0 {
             return discard_received(&stream).await;
         }
@@ -134,13 +137,13 @@
     }
 
     /// Whether a request head is awaited, and all earlier responses have been written.
-    pub fn is_receiving(&self) -> bool {
+    pub(crate) fn is_receiving(&self) -> bool {
         matches!(self.state.activity.get(), Activity::Receiving(_))
             && self.state.blocked_since.get().is_none()
     }
 
     /// Whether a request has arrived of which nothing has been read yet.
-    pub fn has_unread_request(&self, stream: &RefCell<Socket>) -> bool {
+    pub(crate) fn has_unread_request(&self, stream: &RefCell<Socket>) -> bool {
         let between_requests =
             self.state.framing.borrow().is_between() && self.state.read_ahead.borrow().is_empty();
         let blocked = self.state.blocked_since.get().is_some();
@@ -148,24 +151,24 @@
     }
 
     /// The tracker of the requests on this connection.
-    pub fn requests(&self) -> RequestTracker {
+    pub(crate) fn requests(&self) -> RequestTracker {
         RequestTracker(self.state.clone())
     }
 
     /// Waits until the connection is to be closed.
-    pub async fn close_requested(&self) {
+    pub(crate) async fn close_requested(&self) {
         self.state.close_requested().await;
     }
 }
 
 /// Notes the requests of a connection.
 #[derive(Clone)]
-pub struct RequestTracker(Rc<ConnectionState>);
+pub(crate) struct RequestTracker(Rc<ConnectionState>);
 
 impl RequestTracker {
     /// Notes that the head of a request has arrived. The request counts as being answered until the
     /// guard is dropped.
-    pub fn begin(&self) -> RequestGuard {
+    pub(crate) fn begin(&self) -> RequestGuard {
         let since = match self.0.activity.replace(Activity::Answering) {
             Activity::Receiving(since) => since,
             Activity::Answering | Activity::Idle(_) => Instant::now(),
@@ -177,25 +180,25 @@
     }
 
     /// Whether the end of the current request is ambiguous.
-    pub fn is_ambiguous(&self) -> bool {
+    pub(crate) fn is_ambiguous(&self) -> bool {
         self.0.framing.borrow().is_ambiguous()
     }
 
     /// Whether the connection must end with the current request.
-    pub fn is_last(&self) -> bool {
+    pub(crate) fn is_last(&self) -> bool {
         self.0.framing.borrow().is_last() || self.0.discarded.get() > 0
     }
 }
 
 /// A request that is being answered, until this is dropped.
-pub struct RequestGuard {
+pub(crate) struct RequestGuard {
     state: Rc<ConnectionState>,
     body_deadline: Instant,
 }
 
 impl RequestGuard {
     /// When the whole request must have arrived.
-    pub fn body_deadline(&self) -> Instant {
+    pub(crate) fn body_deadline(&self) -> Instant {
         self.body_deadline
     }
 }
--- a/crates/router/src/frontend/headers.rs
+++ b/crates/router/src/frontend/headers.rs
@@ -28,7 +28,7 @@
 /// The headers that are forwarded unchanged: all but the hop-by-hop ones and those that an attempt
 /// sets itself. They may mean something to the endpoint: an idempotency key, for one, lets it
 /// discard repeated requests.
-pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+pub(crate) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let listed = listed_in_connection(headers);
     headers
         .iter()
--- a/crates/router/src/frontend/response_body.rs
+++ b/crates/router/src/frontend/response_body.rs
@@ -103,14 +103,14 @@
 }
 
 /// A response body that keeps its request noted as being answered until it is dropped.
-pub struct GuardedBody {
+pub(crate) struct GuardedBody {
     body: ResponseBody,
     _guard: RequestGuard,
 }
 
 impl GuardedBody {
     /// A body that holds `guard`.
-    pub fn new(body: ResponseBody, guard: RequestGuard) -> GuardedBody {
+    pub(crate) fn new(body: ResponseBody, guard: RequestGuard) -> GuardedBody {
         GuardedBody {
             body,
             _guard: guard,
--- a/crates/router/tests/inference_support/mod.rs
+++ b/crates/router/tests/inference_support/mod.rs
@@ -6,14 +6,15 @@
 
 use crate::common::{endpoint_entry, Bed, Client, FakeServer, Observation};
 
-pub const RERANK: &str = "/v1/rerank";
-pub const EMBEDDINGS: &str = "/v1/embeddings";
-pub const CHAT: &str = "/v1/chat/completions";
+pub(crate) const RERANK: &str = "/v1/rerank";
+pub(crate) const EMBEDDINGS: &str = "/v1/embeddings";
+pub(crate) const CHAT: &str = "/v1/chat/completions";
 
 /// The operator's file with rerank served as a non-idempotent class.
-pub const NON_IDEMPOTENT_RERANK: [(&str, &str); 1] = [("class = \"rerank\"", "class = \"order\"")];
+pub(crate) const NON_IDEMPOTENT_RERANK: [(&str, &str); 1] =
+    [("class = \"rerank\"", "class = \"order\"")];
 
-pub async fn start_router(servers: &[&FakeServer], edits: &[(&str, &str)]) -> Bed {
+pub(crate) async fn start_router(servers: &[&FakeServer], edits: &[(&str, &str)]) -> Bed {
     let lines = servers
         .iter()
         .map(|w| endpoint_entry(w, "mixed", "up"))
@@ -22,7 +23,7 @@
 }
 
 /// Posts with headers; returns the status, headers and JSON of the response.
-pub async fn post(
+pub(crate) async fn post(
     router: &Bed,
     path: &str,
     headers: &[(&str, &str)],
@@ -42,7 +43,7 @@
 }
 
 /// Nine slices of two documents each, at the initial slice size of 256 tokens.
-pub fn nine_slices(fault: Value) -> Value {
+pub(crate) fn nine_slices(fault: Value) -> Value {
     let documents: Vec<String> = (0..18)
         .map(|n| format!("{n} {}", "x".repeat(500)))
         .collect();
@@ -50,12 +51,12 @@
 }
 
 /// Keeps slices at their initial size.
-pub const FIXED_SLICE_SIZE: [(&str, &str); 1] = [(
+pub(crate) const FIXED_SLICE_SIZE: [(&str, &str); 1] = [(
     "least_tokens = 16\nmost_tokens = 65536",
     "least_tokens = 256\nmost_tokens = 256",
 )];
 
-pub fn started_ids(server: &FakeServer) -> Vec<String> {
+pub(crate) fn started_ids(server: &FakeServer) -> Vec<String> {
     let of = |s: &Observation| match s {
         Observation::RequestStarted { id, .. } => Some(id.clone()),
         _ => None,
@@ -63,6 +64,6 @@
     server.observations.borrow().iter().filter_map(of).collect()
 }
 
-pub fn count_results(response: &Value) -> usize {
+pub(crate) fn count_results(response: &Value) -> usize {
     response["results"].as_array().map_or(0, Vec::len)
 }
--- a/crates/router/tests/platform_support/mod.rs
+++ b/crates/router/tests/platform_support/mod.rs
@@ -5,9 +5,11 @@
 
 use crate::common::{endpoint_entry, Bed, Behaviour, FakeServer, Observation};
 
-pub const CHAT: &str = "/v1/chat/completions";
+pub(crate) const CHAT: &str = "/v1/chat/completions";
 
-pub async fn start_pair(decode_behaviour: Behaviour) -> (Rc<FakeServer>, Rc<FakeServer>, Bed) {
+pub(crate) async fn start_pair(
+    decode_behaviour: Behaviour,
+) -> (Rc<FakeServer>, Rc<FakeServer>, Bed) {
     let prefill = FakeServer::start(8, Behaviour::Prefill).await;
     let decode = FakeServer::start(8, decode_behaviour).await;
     let router = Bed::start(vec![
@@ -18,7 +20,7 @@
     (prefill, decode, router)
 }
 
-pub fn count_slot_calls(server: &FakeServer, method: &str, id: &str) -> usize {
+pub(crate) fn count_slot_calls(server: &FakeServer, method: &str, id: &str) -> usize {
     server
         .observations
         .borrow()
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -22,74 +22,79 @@
     site.policy_settings().err().map(|error| error.to_string())
 }
 
+/// Where a figure stands, its key in errors, and values that it may not have.
+struct BadFigures {
+    pointer: &'static str,
+    key: &'static str,
+    values: &'static [f64],
+}
+
+const fn bad(pointer: &'static str, key: &'static str, values: &'static [f64]) -> BadFigures {
+    BadFigures {
+        pointer,
+        key,
+        values,
+    }
+}
+
+const BAD_FIGURES: [BadFigures; 17] = [
+    bad("/period_us", "period_us", &[0.0, -1.0, 1e30]),
+    bad(
+        "/classes/0/deadline_us",
+        "classes[0].deadline_us",
+        &[0.0, -5.0, 1e18],
+    ),
+    bad(
+        "/classes/0/goal_time_us",
+        "classes[0].goal_time_us",
+        &[-1.0],
+    ),
+    bad(
+        "/classes/0/dedup_window_us",
+        "classes[0].dedup_window_us",
+        &[-1.0, 1e19],
+    ),
+    bad("/classes/0/points", "classes[0].points", &[-2.0]),
+    bad(
+        "/allowed/connect_timeout_us",
+        "allowed.connect_timeout_us",
+        &[0.0, -250.0],
+    ),
+    bad("/allowed/idle_close_us", "allowed.idle_close_us", &[-1.0]),
+    bad(
+        "/allowed/max_retry_after_us",
+        "allowed.max_retry_after_us",
+        &[-1.0],
+    ),
+    bad(
+        "/domain/pin_limit_us",
+        "domain.pin_limit_us",
+        &[0.0, -300.0],
+    ),
+    bad("/domain/token_aim_us/0", "domain.token_aim_us[0]", &[-1.0]),
+    bad("/domain/kv_tokens/1", "domain.kv_tokens[1]", &[-1.0]),
+    bad("/rules/answer_slack_us", "rules.answer_slack_us", &[-1.0]),
+    bad("/rules/ask_within_us", "rules.ask_within_us", &[-1.0]),
+    bad("/rules/fall_multiple", "rules.fall_multiple", &[0.0, -4.0]),
+    bad("/rules/fall_us", "rules.fall_us", &[-1.0, 1e17]),
+    bad(
+        "/rules/start_capacity",
+        "rules.start_capacity",
+        &[-0.1, 1.5],
+    ),
+    bad("/rules/warm_up_us", "rules.warm_up_us", &[-1.0]),
+];
+
 #[test]
 fn each_figure_out_of_range_is_refused_naming_its_key() {
     assert_eq!(refused(settings()), None);
-    let figures = [
-        ("/period_us", "period_us", vec![0.0, -1.0, 1e30]),
-        (
-            "/classes/0/deadline_us",
-            "classes[0].deadline_us",
-            vec![0.0, -5.0, 1e18],
-        ),
-        (
-            "/classes/0/goal_time_us",
-            "classes[0].goal_time_us",
-            vec![-1.0],
-        ),
-        (
-            "/classes/0/dedup_window_us",
-            "classes[0].dedup_window_us",
-            vec![-1.0, 1e19],
-        ),
-        ("/classes/0/points", "classes[0].points", vec![-2.0]),
-        (
-            "/allowed/connect_timeout_us",
-            "allowed.connect_timeout_us",
-            vec![0.0, -250.0],
-        ),
-        (
-            "/allowed/idle_close_us",
-            "allowed.idle_close_us",
-            vec![-1.0],
-        ),
-        (
-            "/allowed/max_retry_after_us",
-            "allowed.max_retry_after_us",
-            vec![-1.0],
-        ),
-        (
-            "/domain/pin_limit_us",
-            "domain.pin_limit_us",
-            vec![0.0, -300.0],
-        ),
-        (
-            "/domain/token_aim_us/0",
-            "domain.token_aim_us[0]",
-            vec![-1.0],
-        ),
-        ("/domain/kv_tokens/1", "domain.kv_tokens[1]", vec![-1.0]),
-        (
-            "/rules/answer_slack_us",
-            "rules.answer_slack_us",
-            vec![-1.0],
-        ),
-        ("/rules/ask_within_us", "rules.ask_within_us", vec![-1.0]),
-        (
-            "/rules/fall_multiple",
-            "rules.fall_multiple",
-            vec![0.0, -4.0],
-        ),
-        ("/rules/fall_us", "rules.fall_us", vec![-1.0, 1e17]),
-        (
-            "/rules/start_capacity",
-            "rules.start_capacity",
-            vec![-0.1, 1.5],
-        ),
-        ("/rules/warm_up_us", "rules.warm_up_us", vec![-1.0]),
-    ];
-    for (pointer, key, absurd) in figures {
-        for figure in absurd {
+    for BadFigures {
+        pointer,
+        key,
+        values,
+    } in BAD_FIGURES
+    {
+        for figure in values {
             let mut settings = settings();
             *settings.pointer_mut(pointer).unwrap() = json!(figure);
             let message = refused(settings).unwrap_or_else(|| panic!("{key}: {figure} is taken"));
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -15,11 +15,11 @@
 use crate::names::stable_hash;
 
 /// The names of catalogs and their entries.
-pub type Catalogs = BTreeMap<u64, Vec<CatalogEntry>>;
+pub(crate) type Catalogs = BTreeMap<u64, Vec<CatalogEntry>>;
 
 /// An entry of a catalog. Its names are resolved by each instance with its own settings.
 #[derive(Clone)]
-pub struct CatalogEntry {
+pub(crate) struct CatalogEntry {
     endpoint: String,
     started_at: Option<Micros>,
     kind: String,
@@ -30,7 +30,7 @@
 }
 
 /// Decodes the entries of a catalog.
-pub fn decode_catalog(fields: &Fields) -> Result<Vec<CatalogEntry>, WireError> {
+pub(crate) fn decode_catalog(fields: &Fields) -> Result<Vec<CatalogEntry>, WireError> {
     let entries = fields
         .opt(1)
         .and_then(Value::as_array)
@@ -86,7 +86,7 @@
 
 impl Instance {
     /// Decodes a message; `None` for a timer that this policy never set.
-    pub fn decode_event(
+    pub(crate) fn decode_event(
         &mut self,
         fields: &Fields,
         catalogs: &Catalogs,
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -4,7 +4,7 @@
 
 /// Why a batch cannot be handled. Each text names the position.
 #[derive(Debug, thiserror::Error)]
-pub enum WireError {
+pub(crate) enum WireError {
     /// The line is no batch.
     #[error("not a batch: {0}")]
     NotABatch(serde_json::Error),
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -10,7 +10,7 @@
 const EXACT_BELOW: f64 = 9e15;
 
 /// The values of one message behind its name.
-pub struct Fields<'a> {
+pub(crate) struct Fields<'a> {
     /// The message's name.
     pub name: &'a str,
     /// Its values.
@@ -19,7 +19,7 @@
 
 impl<'a> Fields<'a> {
     /// The error for a value that is not what it should be.
-    pub fn wrong(&self, index: usize, wanted: &'static str) -> WireError {
+    pub(crate) fn wrong(&self, index: usize, wanted: &'static str) -> WireError {
         let got = self.values.get(index).unwrap_or(&Value::Null);
         WireError::UnexpectedValue {
             message: self.name.to_owned(),
@@ -30,18 +30,18 @@
     }
 
     /// A value that may be absent.
-    pub fn opt(&self, index: usize) -> Option<&'a Value> {
+    pub(crate) fn opt(&self, index: usize) -> Option<&'a Value> {
         self.values.get(index).filter(|value| !value.is_null())
     }
 
-    pub fn text(&self, index: usize) -> Result<&'a str, WireError> {
+    pub(crate) fn text(&self, index: usize) -> Result<&'a str, WireError> {
         self.opt(index)
             .and_then(Value::as_str)
             .ok_or_else(|| self.wrong(index, "text"))
     }
 
     /// Text that may be absent; 0 stands for none too.
-    pub fn opt_text(&self, index: usize) -> Result<Option<&'a str>, WireError> {
+    pub(crate) fn opt_text(&self, index: usize) -> Result<Option<&'a str>, WireError> {
         let Some(value) = self.opt(index) else {
             return Ok(None);
         };
@@ -54,12 +54,12 @@
         }
     }
 
-    pub fn int(&self, index: usize) -> Result<i64, WireError> {
+    pub(crate) fn int(&self, index: usize) -> Result<i64, WireError> {
         self.opt_int(index)?
             .ok_or_else(|| self.wrong(index, "a whole number"))
     }
 
-    pub fn opt_int(&self, index: usize) -> Result<Option<i64>, WireError> {
+    pub(crate) fn opt_int(&self, index: usize) -> Result<Option<i64>, WireError> {
         let Some(value) = self.opt(index) else {
             return Ok(None);
         };
@@ -70,17 +70,17 @@
     }
 
     /// A whole number of 0 or more; absent for 0.
-    pub fn count(&self, index: usize) -> Result<u64, WireError> {
+    pub(crate) fn count(&self, index: usize) -> Result<u64, WireError> {
         let value = self.opt_int(index)?.unwrap_or(0);
         u64::try_from(value).map_err(|_| self.wrong(index, "a number of 0 or more"))
     }
 
-    pub fn small(&self, index: usize) -> Result<u32, WireError> {
+    pub(crate) fn small(&self, index: usize) -> Result<u32, WireError> {
         u32::try_from(self.int(index)?).map_err(|_| self.wrong(index, "a small number"))
     }
 
     /// True or false; absent for false.
-    pub fn flag(&self, index: usize) -> Result<bool, WireError> {
+    pub(crate) fn flag(&self, index: usize) -> Result<bool, WireError> {
         let Some(value) = self.opt(index) else {
             return Ok(false);
         };
@@ -90,7 +90,7 @@
     }
 
     /// Bytes as hex digits.
-    pub fn bytes(&self, index: usize) -> Result<Vec<u8>, WireError> {
+    pub(crate) fn bytes(&self, index: usize) -> Result<Vec<u8>, WireError> {
         let text = self.text(index)?;
         let mut bytes = Vec::with_capacity(text.len() / 2);
         for at in (0..text.len()).step_by(2) {
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -12,7 +12,7 @@
 use crate::names::{stable_hash, Names};
 
 /// A policy, and what its wire values stand for.
-pub struct Instance {
+pub(crate) struct Instance {
     policy: Policy,
     pub(crate) site: SiteSettings,
     pub(crate) endpoints: HashMap<EndpointId, String>,
@@ -21,7 +21,7 @@
 
 impl Instance {
     /// An instance with the seed and the settings of its first message.
-    pub fn attach(now: Micros, fields: &Fields) -> Result<Instance, WireError> {
+    pub(crate) fn attach(now: Micros, fields: &Fields) -> Result<Instance, WireError> {
         let seed = fields.opt(0).and_then(any_64_bits);
         let seed = seed.ok_or_else(|| fields.wrong(0, "a whole number"))?;
         let site = fields.opt(1).cloned();
@@ -38,7 +38,7 @@
     }
 
     /// Delivers an event to the policy; a panic there is reported on the wire.
-    pub fn decide(&mut self, now: Micros, event: Event, decisions: &mut Vec<Value>) {
+    pub(crate) fn decide(&mut self, now: Micros, event: Event, decisions: &mut Vec<Value>) {
         let mut actions = Vec::new();
         let handled = catch_unwind(AssertUnwindSafe(|| {
             self.policy.handle(now, event, &mut actions);
--- a/crates/simulator-adapter/src/names.rs
+++ b/crates/simulator-adapter/src/names.rs
@@ -4,14 +4,14 @@
 
 /// Request names, numbered in the order of their first use.
 #[derive(Default)]
-pub struct Names {
+pub(crate) struct Names {
     ids: HashMap<String, u32>,
     names: Vec<String>,
 }
 
 impl Names {
     /// The number of a name.
-    pub fn id(&mut self, name: &str) -> u32 {
+    pub(crate) fn id(&mut self, name: &str) -> u32 {
         if let Some(id) = self.ids.get(name) {
             return *id;
         }
@@ -22,13 +22,13 @@
     }
 
     /// The name with a number.
-    pub fn name(&self, id: u32) -> &str {
+    pub(crate) fn name(&self, id: u32) -> &str {
         self.names.get(id as usize).map_or("", String::as_str)
     }
 }
 
 /// A number for a name that is the same in every process: FNV-1a.
-pub fn stable_hash(name: &str) -> u64 {
+pub(crate) fn stable_hash(name: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
     name.bytes().fold(OFFSET_BASIS, |hash, byte| {
--- a/crates/simulator-adapter/src/process.rs
+++ b/crates/simulator-adapter/src/process.rs
@@ -26,14 +26,14 @@
 
 /// Everything that lives in this process.
 #[derive(Default)]
-pub struct Process {
+pub(crate) struct Process {
     instances: BTreeMap<u64, Instance>,
     catalogs: BTreeMap<u64, Vec<CatalogEntry>>,
 }
 
 impl Process {
     /// Answers one line with one line.
-    pub fn batch(&mut self, line: &[u8]) -> Result<String, WireError> {
+    pub(crate) fn batch(&mut self, line: &[u8]) -> Result<String, WireError> {
         let batch: Batch = serde_json::from_slice(line).map_err(WireError::NotABatch)?;
         let mut replies = Vec::new();
         for part in batch.parts {
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -169,11 +169,10 @@
     assert_eq!(run(&lines).stdout, run(&lines).stdout);
 }
 
-#[test]
-fn malformed_input_is_told_by_line_and_ends_the_program() {
-    let good = batch(1_000_000, json!([part(0, start(0, "r:1"))]));
+/// Malformed lines, and what the error about each says.
+fn malformed_lines() -> Vec<(String, &'static str)> {
     let bad = |message: Value| batch(1_010_000, json!([part(0, vec![message])]));
-    let cases = [
+    vec![
         ("{\"at_time_us\":".to_owned(), "not a batch"),
         ("[]".to_owned(), "not a batch"),
         (bad(json!([])), "begin with its name"),
@@ -223,14 +222,19 @@
         ),
         (bad(json!(["peer_data", 1, "abc"])), "hex"),
         (bad(json!(["peer_data", 1, "ä!"])), "hex"),
-    ];
-    for (line, wanted) in cases {
+    ]
+}
+
+#[test]
+fn malformed_input_is_reported_by_line_and_ends_the_program() {
+    let good = batch(1_000_000, json!([part(0, start(0, "r:1"))]));
+    for (line, wanted) in malformed_lines() {
         let output = run(&[good.clone(), line.clone()]);
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
+        let error = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(1), "{line}");
         assert!(
-            said.contains("line 2") && said.contains(wanted),
-            "{line}: {said}"
+            error.contains("line 2") && error.contains(wanted),
+            "{line}: {error}"
         );
         assert_eq!(
             String::from_utf8_lossy(&output.stdout).lines().count(),
