--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -247,7 +247,7 @@
             return Err(InvalidConfig::TooFewSockets(file.limits.sockets));
         }
         let mut site = file.settings;
-        site.name_columns();
+        site.resolve_report_columns();
         let settings = Settings {
             // Discovery is always watched here, so the policy never has to poll the list.
             endpoints_are_polled: false,
--- a/crates/router/src/frontend/inference/setup.rs
+++ b/crates/router/src/frontend/inference/setup.rs
@@ -154,7 +154,7 @@
     if names.is_empty() {
         return Ok(None);
     }
-    let settings = site.policy_settings()?;
+    let settings = site.policy_settings().map_err(|error| error.to_string())?;
     let mut kinds = 0;
     let mut can_prefill = false;
     let mut can_decode = false;
--- a/crates/router/tests/client_connections.rs
+++ b/crates/router/tests/client_connections.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use common::{
-    endpoint_entry, run, settings, Bed, Behaviour, Client, FakeServer, Observation, RawClient,
+    endpoint_entry, run, settings, Behaviour, Client, FakeServer, Observation, RawClient,
+    TestRouter,
 };
 use platform_support::{count_slot_calls, start_pair, CHAT};
 use tokio::task::spawn_local;
@@ -263,7 +264,7 @@
             endpoint_entry(&prefill, "reader", "up"),
             endpoint_entry(&decode, "writer", "up"),
         ];
-        let mut router = Bed::start_with_settings(lines, set).await;
+        let mut router = TestRouter::start_with_settings(lines, set).await;
         let ask = |id: &'static str, class: &'static str| {
             let platform = router.platform;
             spawn_local(async move {
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -32,9 +32,6 @@
     pub stopped: tokio::task::JoinHandle<()>,
 }
 
-/// The name that tests still use which have not been renamed yet.
-pub type Bed = TestRouter;
-
 const SHIPPED_FILE: &str = include_str!("../../../../deploy/inference.toml");
 
 /// The file of the inference API for most tests: small slices, and any name of a model is valid.
--- a/crates/router/tests/conform.rs
+++ b/crates/router/tests/conform.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{endpoint_entry, Bed, Behaviour, FakeServer};
+use common::{endpoint_entry, Behaviour, FakeServer, TestRouter};
 use cranetack_conformance::{cases, run, Base, CASES};
 
 /// Longer than any single test may take: these are hundreds.
@@ -21,14 +21,14 @@
             FakeServer::start(4, Behaviour::Answer).await,
             FakeServer::start(4, Behaviour::Answer).await,
         ];
-        let bed = Bed::start_shipped(
+        let router = TestRouter::start_shipped(
             workers
                 .iter()
                 .map(|w| endpoint_entry(w, "mixed", "up"))
                 .collect(),
         )
         .await;
-        let base = Base::new(&format!("http://{}", bed.inference), None).unwrap();
+        let base = Base::new(&format!("http://{}", router.inference), None).unwrap();
         let cases = cases(CASES).unwrap();
         let ran = tokio::time::timeout(ALL, run(&base, &cases, |_| ()))
             .await
--- a/crates/router/tests/inference.rs
+++ b/crates/router/tests/inference.rs
@@ -5,7 +5,8 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    endpoint_entry, run, Bed, Behaviour, Client, FakeServer, Observation, DONE, EVENT, FINISH,
+    endpoint_entry, run, Behaviour, Client, FakeServer, Observation, TestRouter, DONE, EVENT,
+    FINISH,
 };
 use serde_json::{json, Value};
 
@@ -21,7 +22,7 @@
     run(async {
         let server = FakeServer::start(1, Behaviour::Answer).await;
         server.service_time_per_kib.set(Duration::from_millis(12));
-        let router = Bed::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
+        let router = TestRouter::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
         let documents: Vec<String> = (0..400)
             .map(|i| format!("{} {}", (i * 7) % 400, "x".repeat(76)))
             .collect();
@@ -79,7 +80,7 @@
 fn cancelling_an_embeddings_batch_releases_its_slot_within_300_ms() {
     run(async {
         let server = FakeServer::start(1, Behaviour::Hang).await;
-        let router = Bed::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
+        let router = TestRouter::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
         let mut best = Duration::MAX;
         for n in 1..=5 {
             let mut client = Client::connect(router.inference).await;
@@ -131,7 +132,7 @@
             FakeServer::start(8, Behaviour::Answer).await,
             FakeServer::start(8, Behaviour::Answer).await,
         );
-        let router = Bed::start(vec![
+        let router = TestRouter::start(vec![
             endpoint_entry(&a, "mixed", "up"),
             endpoint_entry(&b, "mixed", "up"),
         ])
@@ -169,7 +170,7 @@
 fn errors_have_the_form_of_the_api() {
     run(async {
         let server = FakeServer::start(1, Behaviour::Reject).await;
-        let router = Bed::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
+        let router = TestRouter::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
         let mut client = Client::connect(router.inference).await;
         let valid = json!({"model": "any", "input": "a"});
         for (path, body, status, code, param) in [
@@ -200,7 +201,7 @@
         );
         // A server that does not respond by the deadline.
         let server = FakeServer::start(1, Behaviour::Hang).await;
-        let router = Bed::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
+        let router = TestRouter::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
         let mut client = Client::connect(router.inference).await;
         let request = http::Request::post("/v1/embeddings")
             .header("host", "app")
--- a/crates/router/tests/inference_support/mod.rs
+++ b/crates/router/tests/inference_support/mod.rs
@@ -4,7 +4,7 @@
 use http::{HeaderMap, Request};
 use serde_json::{json, Value};
 
-use crate::common::{endpoint_entry, Bed, Client, FakeServer, Observation};
+use crate::common::{endpoint_entry, Client, FakeServer, Observation, TestRouter};
 
 pub(crate) const RERANK: &str = "/v1/rerank";
 pub(crate) const EMBEDDINGS: &str = "/v1/embeddings";
@@ -14,17 +14,17 @@
 pub(crate) const NON_IDEMPOTENT_RERANK: [(&str, &str); 1] =
     [("class = \"rerank\"", "class = \"order\"")];
 
-pub(crate) async fn start_router(servers: &[&FakeServer], edits: &[(&str, &str)]) -> Bed {
+pub(crate) async fn start_router(servers: &[&FakeServer], edits: &[(&str, &str)]) -> TestRouter {
     let lines = servers
         .iter()
         .map(|w| endpoint_entry(w, "mixed", "up"))
         .collect();
-    Bed::start_with_edits(lines, edits).await
+    TestRouter::start_with_edits(lines, edits).await
 }
 
 /// Posts with headers; returns the status, headers and JSON of the response.
 pub(crate) async fn post(
-    router: &Bed,
+    router: &TestRouter,
     path: &str,
     headers: &[(&str, &str)],
     body: &Value,
--- a/crates/router/tests/platform.rs
+++ b/crates/router/tests/platform.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use common::{
-    endpoint_entry, run, start_scripted_server, Bed, Behaviour, Client, FakeDiscovery, FakeServer,
-    Observation, ScriptedServer, DONE, EVENT, FINISH,
+    endpoint_entry, run, start_scripted_server, Behaviour, Client, FakeDiscovery, FakeServer,
+    Observation, ScriptedServer, TestRouter, DONE, EVENT, FINISH,
 };
 use platform_support::{count_slot_calls, start_pair, CHAT};
 use tokio::task::spawn_local;
@@ -91,7 +91,8 @@
                 entry: decode,
                 request_count,
             } = start_scripted_server("writer", vec![script.clone()]).await;
-            let router = Bed::start(vec![endpoint_entry(&prefill, "reader", "up"), decode]).await;
+            let router =
+                TestRouter::start(vec![endpoint_entry(&prefill, "reader", "up"), decode]).await;
             let mut client = Client::connect(router.platform).await;
             let (status, ..) = client.send_chat("n1", "order", 60_000).await;
             assert_eq!((status, request_count.get()), (502, 1), "{script:.60?}");
@@ -119,7 +120,8 @@
                 vec![chunked_response(&[EVENT]), corrupt.to_owned()],
             )
             .await;
-            let router = Bed::start(vec![endpoint_entry(&prefill, "reader", "up"), decode]).await;
+            let router =
+                TestRouter::start(vec![endpoint_entry(&prefill, "reader", "up"), decode]).await;
             let mut client = Client::connect(router.platform).await;
             let (status, _, body) = client.send_chat("o1", "chat", 60_000).await;
             assert_eq!(
@@ -147,7 +149,8 @@
             entry: decode,
             request_count,
         } = start_scripted_server("writer", vec![format!("{answer}{behind}")]).await;
-        let router = Bed::start(vec![endpoint_entry(&prefill, "reader", "up"), decode]).await;
+        let router =
+            TestRouter::start(vec![endpoint_entry(&prefill, "reader", "up"), decode]).await;
         let mut client = Client::connect(router.platform).await;
         for n in 1..4 {
             let (status, _, body) = client.send_chat(&format!("p{n}"), "order", 5_000).await;
@@ -210,7 +213,7 @@
         let mut down = endpoint_entry(&prefill, "writer", "up");
         down["name"] = "down".into();
         down["address"] = "127.0.0.1:1".into();
-        let router = Bed::start(vec![endpoint_entry(&prefill, "reader", "up"), down]).await;
+        let router = TestRouter::start(vec![endpoint_entry(&prefill, "reader", "up"), down]).await;
         for n in 0..4 {
             let id = format!("h{n}");
             let mut client = Client::connect(router.platform).await;
--- a/crates/router/tests/platform_support/mod.rs
+++ b/crates/router/tests/platform_support/mod.rs
@@ -3,16 +3,16 @@
 
 use std::rc::Rc;
 
-use crate::common::{endpoint_entry, Bed, Behaviour, FakeServer, Observation};
+use crate::common::{endpoint_entry, Behaviour, FakeServer, Observation, TestRouter};
 
 pub(crate) const CHAT: &str = "/v1/chat/completions";
 
 pub(crate) async fn start_pair(
     decode_behaviour: Behaviour,
-) -> (Rc<FakeServer>, Rc<FakeServer>, Bed) {
+) -> (Rc<FakeServer>, Rc<FakeServer>, TestRouter) {
     let prefill = FakeServer::start(8, Behaviour::Prefill).await;
     let decode = FakeServer::start(8, decode_behaviour).await;
-    let router = Bed::start(vec![
+    let router = TestRouter::start(vec![
         endpoint_entry(&prefill, "reader", "up"),
         endpoint_entry(&decode, "writer", "up"),
     ])
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -42,10 +42,3 @@
     #[error("unknown stage {0:?}")]
     UnknownRole(String),
 }
-
-/// For callers whose errors are texts.
-impl From<SettingsError> for String {
-    fn from(error: SettingsError) -> String {
-        error.to_string()
-    }
-}
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -156,7 +156,7 @@
 impl SiteSettings {
     /// Notes which columns of load reports contain memory and waiting tokens, by the meaning that
     /// the settings give.
-    pub fn name_columns(&mut self) {
+    pub fn resolve_report_columns(&mut self) {
         self.report.memory_column = self.column_that_means("memory");
         self.report.pending_column = self.column_that_means("tokens waiting");
     }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -28,7 +28,7 @@
         let site = site.ok_or_else(|| fields.wrong(1, "the settings"))?;
         let mut site: SiteSettings =
             serde_json::from_value(site).map_err(WireError::SettingsForm)?;
-        site.name_columns();
+        site.resolve_report_columns();
         Ok(Instance {
             policy: Policy::new(site.policy_settings()?, seed, now),
             site,
