--- a/crates/routing-policy/src/lane_selection/mod.rs
+++ b/crates/routing-policy/src/lane_selection/mod.rs
@@ -57,7 +57,7 @@
             return Some(reserved);
         }
         let fleet = self.fleet_view();
-        let neutral = score::Parts::default();
+        let neutral = score::Contribution::default();
         let prefill_side = LaneCandidate {
             is_fresh: true,
             serves_alone: false,
--- a/crates/routing-policy/src/lane_selection/score.rs
+++ b/crates/routing-policy/src/lane_selection/score.rs
@@ -59,7 +59,7 @@
 
 /// What an endpoint contributes to a lane.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Parts {
+pub(crate) struct Contribution {
     pub(crate) score: f64,
     pub(crate) load: f64,
     /// The requests of this router there.
@@ -87,12 +87,12 @@
         let queue = with_mean.unwrap_or(0.0).max(own_share);
         let bounded_queue = without_mean.unwrap_or(0.0).max(own_share);
         let cached = self.cached_share(spec, endpoint, affinity_target == Some(id));
-        let parts = Parts {
+        let contribution = Contribution {
             score: CACHE_WEIGHT * cached + QUEUE_WEIGHT * (1.0 - queue.min(1.0)),
             load: QUEUE_LOAD_FACTOR * bounded_queue,
             requests: in_flight * PREFILLS_FIRST,
         };
-        self.candidate(id, endpoint, parts, tie_breaker)
+        self.candidate(id, endpoint, contribution, tie_breaker)
     }
 
     /// The decode side: 0.1 (1 - M) + 0.2 (1 - L), and M/100 of the bound. Where nothing is
@@ -116,19 +116,19 @@
             .unwrap_or(own_share);
         let is_full = self.now < endpoint.slot_refused_at + SLOT_REFUSAL_SPAN;
         let full = if is_full { 1.0 } else { 0.0 };
-        let parts = Parts {
+        let contribution = Contribution {
             score: MEMORY_WEIGHT * (1.0 - memory) + SLOT_WEIGHT * (1.0 - slots),
             load: memory / MEMORY_LOAD_DIVISOR + full,
             requests: streams,
         };
-        self.candidate(id, endpoint, parts, tie_breaker)
+        self.candidate(id, endpoint, contribution, tie_breaker)
     }
 
     pub(crate) fn candidate(
         &self,
         id: EndpointId,
         endpoint: &Endpoint,
-        parts: Parts,
+        contribution: Contribution,
         tie_breaker: u32,
     ) -> LaneCandidate {
         let cell = endpoint.spec.cell;
@@ -137,9 +137,9 @@
             serves_alone: self.role_of(endpoint) == crate::config::Role::Mixed,
             group: PairingGroup::Cell(cell),
             cell,
-            score: parts.score,
-            load: parts.load,
-            spare: -parts.requests,
+            score: contribution.score,
+            load: contribution.load,
+            spare: -contribution.requests,
             is_fresh: self.is_fresh(endpoint),
             tie_breaker,
         }
--- a/crates/routing-policy/tests/decision_trace.rs
+++ b/crates/routing-policy/tests/decision_trace.rs
@@ -6,9 +6,13 @@
 //! number of lines and a digest for each course. Where a course differs, its lines are written to a
 //! file under the target folder; compare it with that of the version before.
 
+#[path = "decision_trace/attempt_key.rs"]
+mod attempt_key;
 mod common;
 #[path = "decision_trace/course.rs"]
 mod course;
+#[path = "decision_trace/rendering.rs"]
+mod rendering;
 #[path = "decision_trace/scenarios.rs"]
 mod scenarios;
 
--- a/crates/routing-policy/tests/decision_trace/course.rs
+++ b/crates/routing-policy/tests/decision_trace/course.rs
@@ -6,7 +6,9 @@
 use rand_core::RngCore;
 use rand_pcg::Pcg32;
 
+use crate::attempt_key::AttemptKey;
 use crate::common::{with_detail, CONNECTION_RESET, OVERLOADED, PREFILLED, UNREACHABLE};
+use crate::rendering::render;
 
 pub(crate) const MILLISECOND: Micros = 1_000;
 pub(crate) const SECOND: Micros = 1_000_000;
@@ -64,39 +66,6 @@
     pub(crate) lines: Vec<String>,
 }
 
-/// An attempt at an endpoint.
-#[derive(Clone, Copy, PartialEq)]
-struct AttemptKey {
-    id: RequestId,
-    number: u32,
-    endpoint: EndpointId,
-}
-
-impl AttemptKey {
-    /// The attempt that an event is of.
-    fn of(event: &Event) -> Option<AttemptKey> {
-        match event {
-            Event::AttemptEnded {
-                id,
-                attempt,
-                endpoint,
-                ..
-            }
-            | Event::StreamStarted {
-                id,
-                attempt,
-                endpoint,
-                ..
-            } => Some(AttemptKey {
-                id: *id,
-                number: *attempt,
-                endpoint: *endpoint,
-            }),
-            _ => None,
-        }
-    }
-}
-
 impl Course {
     pub(crate) fn new(settings: Settings, servers: Vec<EndpointSpec>, seed: u64) -> Course {
         let mut course = Course {
@@ -276,49 +245,13 @@
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
         for action in actions {
-            self.render(&action);
+            self.record(&action);
             self.react(action);
         }
     }
 
-    /// The one place that knows how the policy names its actions.
-    fn render(&mut self, action: &Action) {
-        let line = match action {
-            Action::Send {
-                id,
-                endpoint,
-                expires_at,
-                write_by,
-            } => {
-                let by = if *write_by == Micros::MAX {
-                    "none".to_owned()
-                } else {
-                    (write_by - START).to_string()
-                };
-                format!(
-                    "send request={} server={} expire={} write_by={by}",
-                    id.0,
-                    endpoint.0,
-                    expires_at - START
-                )
-            }
-            Action::ReserveSlot { id, endpoint } => {
-                format!("reserve request={} server={}", id.0, endpoint.0)
-            }
-            Action::ReleaseState(id) => format!("release request={}", id.0),
-            Action::CancelAttempt { id, attempt } => {
-                format!("cancel request={} attempt={attempt}", id.0)
-            }
-            Action::Reject { id, retry_after } => {
-                format!("reject request={} retry_after={retry_after}", id.0)
-            }
-            Action::Fail(id) => format!("fail request={}", id.0),
-            Action::Migrate(id) => format!("migrate request={}", id.0),
-            Action::SetTimer { at, key } => format!("timer at={} key={}", at - START, key.encode()),
-            Action::HealthCheck(endpoint) => format!("probe server={}", endpoint.0),
-            Action::Gossip { to, payload } => format!("gossip to={to:?} bytes={payload:?}"),
-            Action::SubscribeEndpoints(wanted) => format!("subscribe wanted={wanted}"),
-        };
+    fn record(&mut self, action: &Action) {
+        let line = render(action, START);
         self.note(line);
     }
 
--- /dev/null
+++ b/crates/routing-policy/tests/rules/model.rs
@@ -0,0 +1,374 @@
+//! What the rules allow, as a model of all requests and endpoints of one router.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use cranetack_routing_policy::*;
+
+use crate::common::*;
+
+pub(crate) const ENDPOINTS: u64 = 7;
+const COLD: u64 = 3;
+const SLACK: Micros = 8_000;
+/// The span by which time passes at once.
+pub(crate) const TIME_STEP: Micros = 10_000;
+
+/// A request that arrives.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct Arrival {
+    pub(crate) time_left: Micros,
+    pub(crate) tokens: u64,
+    pub(crate) session: u64,
+}
+
+#[derive(Debug, Clone)]
+pub(crate) enum Step {
+    Arrive(Arrival),
+    Pass(Micros),
+    Finish {
+        pick: usize,
+        outcome: Outcome,
+        detail: u64,
+    },
+    StartStream {
+        pick: usize,
+    },
+    Disconnect {
+        pick: usize,
+    },
+    AnswerReservation {
+        pick: usize,
+        granted: bool,
+    },
+    UpdateEndpoint {
+        endpoint: u64,
+        state: EndpointState,
+        restart: bool,
+    },
+}
+
+/// What the settings bound; those that are missing have the policy's defaults.
+#[derive(Debug, Clone)]
+pub(crate) struct Bounds {
+    pub(crate) attempts: u32,
+    pub(crate) window: Micros,
+    pub(crate) kv_lease: Micros,
+}
+
+impl Default for Bounds {
+    fn default() -> Self {
+        Bounds::of(&settings(Idempotency::Idempotent))
+    }
+}
+
+impl Bounds {
+    pub(crate) fn of(settings: &Settings) -> Bounds {
+        Bounds {
+            attempts: settings.max_attempts.unwrap_or(4),
+            window: settings.classes[0].dedup_window.unwrap_or(0),
+            kv_lease: settings.kv_lease_timeout.unwrap_or(SECOND / 2),
+        }
+    }
+}
+
+/// An open request.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct OpenRequest {
+    pub(crate) deadline: Micros,
+    pub(crate) is_answered: bool,
+}
+
+/// An attempt in flight.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct Attempt {
+    pub(crate) number: u32,
+    pub(crate) endpoint: u64,
+    pub(crate) sent_at: Micros,
+    pub(crate) is_streaming: bool,
+}
+
+/// The first attempt that may have been executed.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct Execution {
+    pub(crate) endpoint: u64,
+    pub(crate) sent_at: Micros,
+}
+
+#[derive(Debug, Default, Clone)]
+pub(crate) struct Model {
+    pub(crate) bounds: Bounds,
+    pub(crate) idempotency: Idempotency,
+    pub(crate) requests: BTreeMap<u32, OpenRequest>,
+    pub(crate) attempts_made: BTreeMap<u32, u32>,
+    pub(crate) in_flight: BTreeMap<u32, Attempt>,
+    /// Since when something is held with nothing in flight.
+    pub(crate) held_since: BTreeMap<u32, Micros>,
+    pub(crate) executions: BTreeMap<u32, Execution>,
+    pub(crate) draining: BTreeSet<u64>,
+    pub(crate) cold_sends: Vec<Micros>,
+    pub(crate) served: usize,
+}
+
+pub(crate) fn kind_of(endpoint: u64) -> usize {
+    (endpoint % 3) as usize
+}
+
+pub(crate) fn cell(endpoint: u64) -> i64 {
+    (endpoint / 3) as i64
+}
+
+impl Model {
+    pub(crate) fn check(&mut self, now: Micros, actions: &[Action]) {
+        for action in actions {
+            match action {
+                Action::Send {
+                    id,
+                    endpoint,
+                    expires_at,
+                    write_by,
+                } => self.check_send(now, id.0, endpoint.0, *expires_at, *write_by),
+                Action::ReserveSlot { endpoint, .. } => {
+                    let is_draining = self.draining.contains(&endpoint.0);
+                    assert!(!is_draining, "slot reserved at a draining endpoint");
+                }
+                Action::ReleaseState(id) => {
+                    self.held_since.remove(&id.0);
+                }
+                Action::Reject { id, .. } => {
+                    self.check_rejection(id.0);
+                    self.answer(now, id.0);
+                }
+                Action::Fail(id) => self.answer(now, id.0),
+                _ => {}
+            }
+        }
+        self.check_time(now);
+    }
+
+    fn check_send(
+        &mut self,
+        now: Micros,
+        id: u32,
+        endpoint: u64,
+        expires_at: Micros,
+        write_by: Micros,
+    ) {
+        let request = self.requests[&id];
+        let is_open = !request.is_answered && now <= request.deadline;
+        assert!(is_open, "sent after its end");
+        assert!(expires_at == 0 || expires_at <= request.deadline);
+        assert!(!self.in_flight.contains_key(&id), "two attempts in flight");
+        let is_draining = self.draining.contains(&endpoint);
+        assert!(!is_draining, "sent to a draining endpoint");
+        let number = *self.attempts_made.entry(id).or_default();
+        assert!(number < self.bounds.attempts, "too many attempts");
+        if let Some(execution) = self.executions.get(&id) {
+            self.check_retry(*execution, endpoint, write_by);
+        }
+        let attempt = Attempt {
+            number,
+            endpoint,
+            sent_at: now,
+            is_streaming: false,
+        };
+        self.in_flight.insert(id, attempt);
+        self.attempts_made.insert(id, number + 1);
+        self.held_since.remove(&id);
+        if endpoint == COLD {
+            self.cold_sends.push(now);
+        }
+    }
+
+    /// Prefills too: a retry goes to the group of the endpoint where it may have been executed.
+    fn check_retry(&self, execution: Execution, endpoint: u64, write_by: Micros) {
+        let may_repeat = self.idempotency != Idempotency::NonIdempotent;
+        assert!(may_repeat, "a non-idempotent request may be executed twice");
+        let Idempotency::Keyed(scope) = self.idempotency else {
+            return;
+        };
+        let is_in_group = cell(execution.endpoint) == cell(endpoint);
+        assert!(scope == KeyScope::All || is_in_group, "wrong group");
+        // It is written once a connection is up, by `write_by` at the latest, and has a way to go.
+        let write_by = if write_by == 0 { Micros::MAX } else { write_by };
+        let window_end = execution.sent_at + self.bounds.window;
+        assert!(write_by + SECOND / 20 < window_end, "too late for the key");
+    }
+
+    fn check_rejection(&self, id: u32) {
+        let has_run = self.executions.contains_key(&id);
+        let attempt = self.in_flight.get(&id);
+        let may_be_running = attempt.is_some_and(|attempt| kind_of(attempt.endpoint) != 0);
+        let is_harmless = matches!(
+            self.idempotency,
+            Idempotency::Idempotent | Idempotency::Keyed(KeyScope::All)
+        );
+        assert!(
+            is_harmless || !(has_run || may_be_running),
+            "rejected though it may have been executed"
+        );
+    }
+
+    fn is_streaming(&self, id: u32) -> bool {
+        let attempt = self.in_flight.get(&id);
+        attempt.is_some_and(|attempt| attempt.is_streaming)
+    }
+
+    fn answer(&mut self, now: Micros, id: u32) {
+        assert!(!self.is_streaming(id), "answered while its stream runs");
+        let request = self.requests.get_mut(&id).unwrap();
+        assert!(!request.is_answered, "answered twice");
+        assert!(now <= request.deadline + SLACK, "answered too late");
+        request.is_answered = true;
+    }
+
+    pub(crate) fn check_time(&self, now: Micros) {
+        for (id, request) in &self.requests {
+            let is_in_time = now <= request.deadline + SLACK;
+            let is_served = request.is_answered || self.is_streaming(*id);
+            assert!(is_served || is_in_time, "request {id} was lost");
+        }
+        for (id, since) in &self.held_since {
+            let is_in_time = now <= since + self.bounds.kv_lease;
+            assert!(is_in_time, "the state of request {id} was not released");
+        }
+        let is_recent = |at: &&Micros| **at > now - 2 * SECOND;
+        let recent = self.cold_sends.iter().filter(is_recent).count();
+        assert!(
+            recent <= 1 + self.served,
+            "the cold endpoint got {recent} sends after {} served",
+            self.served
+        );
+    }
+
+    /// An attempt ends; returns the event if it is legal.
+    pub(crate) fn finish(&mut self, now: Micros, id: u32, outcome: Outcome, detail: u64) -> Event {
+        let attempt = self.in_flight.remove(&id).unwrap();
+        let is_prefill = kind_of(attempt.endpoint) == 0;
+        let outcome = match outcome {
+            Outcome::Completed if is_prefill => PREFILLED,
+            PREFILLED if !is_prefill => Outcome::Completed,
+            OVERLOADED | UNREACHABLE | Outcome::NotSent if attempt.is_streaming => CONNECTION_RESET,
+            other => other,
+        };
+        let request = self.requests.get_mut(&id).unwrap();
+        let client_done =
+            request.is_answered || outcome == Outcome::Completed || attempt.is_streaming;
+        request.is_answered = client_done;
+        let was_not_executed = matches!(outcome, OVERLOADED | UNREACHABLE | Outcome::NotSent);
+        if !was_not_executed && !is_prefill {
+            self.executions.entry(id).or_insert(Execution {
+                endpoint: attempt.endpoint,
+                sent_at: attempt.sent_at,
+            });
+        }
+        if !attempt.is_streaming && outcome != Outcome::Completed {
+            self.held_since.insert(id, now);
+        }
+        self.served += usize::from(matches!(outcome, Outcome::Completed | PREFILLED));
+        let detail = if outcome == OVERLOADED {
+            detail % 2
+        } else {
+            detail
+        };
+        Event::AttemptEnded {
+            id: RequestId(id),
+            attempt: attempt.number,
+            endpoint: EndpointId(attempt.endpoint),
+            outcome: with_detail(outcome, detail),
+            client_done,
+            elapsed: now - attempt.sent_at,
+            load: None,
+        }
+    }
+
+    /// One of the requests with an attempt in flight.
+    pub(crate) fn pick(&self, pick: usize, include_streaming: bool) -> Option<u32> {
+        let is_included = |attempt: &Attempt| include_streaming || !attempt.is_streaming;
+        let in_flight = self.in_flight.iter();
+        let ids: Vec<u32> = in_flight
+            .filter(|(_, attempt)| is_included(attempt))
+            .map(|(id, _)| *id)
+            .collect();
+        if ids.is_empty() {
+            return None;
+        }
+        Some(ids[pick % ids.len()])
+    }
+
+    pub(crate) fn arrive(&mut self, id: u32, now: Micros, step: Arrival) -> Event {
+        let request = OpenRequest {
+            deadline: now + step.time_left,
+            is_answered: false,
+        };
+        self.requests.insert(id, request);
+        Event::RequestArrived(RequestSpec {
+            deadline: request.deadline,
+            prompt_tokens: step.tokens,
+            session: Some(SessionId(step.session)),
+            ..request_spec(id, now)
+        })
+    }
+
+    pub(crate) fn start_stream(&mut self, id: u32) -> Option<Event> {
+        let is_answered = self.requests[&id].is_answered;
+        let attempt = self.in_flight.get_mut(&id)?;
+        if kind_of(attempt.endpoint) == 0 || is_answered {
+            return None;
+        }
+        attempt.is_streaming = true;
+        Some(Event::StreamStarted {
+            id: RequestId(id),
+            attempt: attempt.number,
+            endpoint: EndpointId(attempt.endpoint),
+            elapsed: 1,
+        })
+    }
+
+    pub(crate) fn disconnect(&mut self, id: u32) -> Event {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.is_answered = true;
+        }
+        Event::ClientDisconnected(RequestId(id))
+    }
+
+    pub(crate) fn answer_reservation(&self, id: u32, granted: bool) -> Event {
+        Event::SlotReservationAnswered {
+            id: RequestId(id),
+            endpoint: EndpointId(self.in_flight[&id].endpoint),
+            granted,
+        }
+    }
+
+    pub(crate) fn update_endpoint(
+        &mut self,
+        endpoint: u64,
+        state: EndpointState,
+        restart: bool,
+        now: Micros,
+    ) -> Event {
+        let mut spec = EndpointSpec {
+            state,
+            ..listed(endpoint)
+        };
+        if restart && endpoint != COLD {
+            spec.started_at = Some(now - 60 * SECOND);
+        }
+        if state == EndpointState::Active {
+            self.draining.remove(&endpoint);
+        } else {
+            self.draining.insert(endpoint);
+        }
+        Event::EndpointsUpdated(EndpointUpdate::Delta(vec![spec]))
+    }
+}
+
+/// The entry of an endpoint. The cold one stays cold for the whole course.
+pub(crate) fn listed(endpoint: u64) -> EndpointSpec {
+    let spec = endpoint_spec(endpoint, kind_of(endpoint), cell(endpoint));
+    if endpoint != COLD {
+        return spec;
+    }
+    EndpointSpec {
+        started_at: Some(START + 3_600 * SECOND),
+        ..spec
+    }
+}
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -9,10 +9,10 @@
     #[error("not a batch: {0}")]
     NotABatch(serde_json::Error),
     /// A message of an inbox cannot be handled.
-    #[error("dispatcher {dispatcher}, message {number} of its inbox: {error}")]
+    #[error("dispatcher {router}, message {number} of its inbox: {error}")]
     InMessage {
         /// The instance.
-        dispatcher: u64,
+        router: u64,
         /// The message's position in the inbox, from 1.
         number: usize,
         /// What is wrong with it.
--- a/crates/simulator-adapter/src/process.rs
+++ b/crates/simulator-adapter/src/process.rs
@@ -20,7 +20,8 @@
 
 #[derive(Deserialize)]
 struct Part {
-    dispatcher_id: u64,
+    #[serde(rename = "dispatcher_id")]
+    router: u64,
     inbox: Vec<Vec<Value>>,
 }
 
@@ -37,18 +38,18 @@
         let batch: Batch = serde_json::from_slice(line).map_err(WireError::NotABatch)?;
         let mut replies = Vec::new();
         for part in batch.parts {
-            let dispatcher = part.dispatcher_id;
+            let router = part.router;
             let mut decisions = Vec::new();
             for (index, message) in part.inbox.iter().enumerate() {
-                self.message(batch.at, dispatcher, message, &mut decisions)
+                self.message(batch.at, router, message, &mut decisions)
                     .map_err(|error| WireError::InMessage {
-                        dispatcher,
+                        router,
                         number: index + 1,
                         error: Box::new(error),
                     })?;
             }
             if !decisions.is_empty() {
-                replies.push(json!({"dispatcher_id": dispatcher, "decisions": decisions}));
+                replies.push(json!({"dispatcher_id": router, "decisions": decisions}));
             }
         }
         Ok(format!("{}\n", json!({ "parts": replies })))
@@ -57,7 +58,7 @@
     fn message(
         &mut self,
         now: Micros,
-        dispatcher: u64,
+        router: u64,
         message: &[Value],
         decisions: &mut Vec<Value>,
     ) -> Result<(), WireError> {
@@ -70,10 +71,10 @@
         match name {
             "attach" => {
                 let instance = Instance::attach(now, &fields)?;
-                self.instances.insert(dispatcher, instance);
+                self.instances.insert(router, instance);
             }
             "killed" => {
-                self.instances.remove(&dispatcher);
+                self.instances.remove(&router);
             }
             "catalog" => {
                 let number = fields.count(0)?;
@@ -82,7 +83,7 @@
             _ => {
                 let instance = self
                     .instances
-                    .get_mut(&dispatcher)
+                    .get_mut(&router)
                     .ok_or_else(|| WireError::NotAttached(name.to_owned()))?;
                 if let Some(event) = instance.decode_event(&fields, &self.catalogs)? {
                     instance.decide(now, event, decisions);
