--- a/Makefile
+++ b/Makefile
@@ -8,6 +8,7 @@
 	cargo fmt --all -- --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
 	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked --quiet
+	.ci/check-docs
 
 test: lint build
 	.ci/test
