--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # What people do with this repository. `make test` is what CI runs.
-.PHONY: build test lint run toy conform measure-front soak
+.PHONY: build test lint run example-servers conform measure-front soak
 
 build:
 	cargo build --release --locked
@@ -13,23 +13,23 @@
 test: lint build
 	.ci/test
 
-# A router with the example configuration; `make toy` in another terminal gives it workers.
+# A router with the example configuration; `make example-servers` in another terminal gives it servers.
 run: build
 	target/release/cranetack serve --config examples/config.json --inference deploy/inference.toml
 
-toy:
-	cargo run --release --locked -p cranetack-router --example toy
+example-servers:
+	cargo run --release --locked -p cranetack-router --example example_servers
 
-# The conformance suite, against `make toy` and `make run`.
+# The conformance suite, against `make example-servers` and `make run`.
 conform: build
 	target/release/cranetack conform --base http://127.0.0.1:8090
 
-# The second front beside the version before it was built anew. Builds that version once, under target/.
+# The inference API beside an earlier version, which is built once under target/.
 measure-front: build
 	cargo build --release --locked -p cranetack-bench
 	target/release/measure-front --baseline "$$(crates/bench/baseline.sh 3d14c4c)"
 
-# Real routers on loopback, through overlapping troubles drawn from seeds; the rules are the oracle. Bounded: two minutes.
+# Real routers on loopback, through overlapping faults drawn from seeds; the rules are the oracle. Bounded: two minutes.
 soak: build
 	cargo build --release --locked -p cranetack-soak -p cranetack-syscall-fault-shim
 	target/release/soak --seeds 4
--- a/crates/inference-client/examples/ask.rs
+++ b/crates/inference-client/examples/ask.rs
@@ -1,5 +1,5 @@
-//! Calls the models of the example service through a router (`make toy` and `make run` in other
-//! terminals).
+//! Calls the models of the example service through a router (`make example-servers` and `make run`
+//! in other terminals).
 
 use cranetack_inference_client::{ChatRequest, Client, EmbeddingsRequest, Message, RerankRequest};
 
