--- a/crates/router/src/upstream/calls/tests.rs
+++ b/crates/router/src/upstream/calls/tests.rs
@@ -43,15 +43,15 @@
             endpoints.push(Rc::new(Endpoint::new(&name, server.address)));
             silent_servers.push(server);
         }
-        let worker = FakeServer::start(1, Behaviour::Answer).await;
-        endpoints.push(Rc::new(Endpoint::new("worker", worker.address)));
+        let server = FakeServer::start(1, Behaviour::Answer).await;
+        endpoints.push(Rc::new(Endpoint::new("server", server.address)));
         let started = Instant::now();
         shared().release("q1".into(), endpoints).await;
         let release = Observation::SlotCall {
             method: "DELETE".to_owned(),
             id: "q1".to_owned(),
         };
-        assert!(worker.observations.borrow().contains(&release));
+        assert!(server.observations.borrow().contains(&release));
         assert!(started.elapsed() <= 250 * MS, "{:?}", started.elapsed());
     });
 }
--- a/crates/router/src/upstream/pool/tests.rs
+++ b/crates/router/src/upstream/pool/tests.rs
@@ -11,8 +11,8 @@
 #[test]
 fn few_idle_connections_to_an_endpoint_stay_open() {
     run(async {
-        let worker = FakeServer::start(1, Behaviour::Answer).await;
-        let endpoint = Endpoint::new("a", worker.address);
+        let server = FakeServer::start(1, Behaviour::Answer).await;
+        let endpoint = Endpoint::new("a", server.address);
         let pool = ConnectionPool::new(9, Duration::from_secs(1), Duration::from_secs(60));
         let until = Instant::now() + Duration::from_secs(9);
         let mut connections = Vec::new();
--- a/crates/router/src/upstream/pool/tests/model.rs
+++ b/crates/router/src/upstream/pool/tests/model.rs
@@ -70,7 +70,7 @@
 struct PoolUnderTest {
     pool: ConnectionPool,
     endpoints: [Endpoint; 2],
-    workers: [Rc<FakeServer>; 2],
+    servers: [Rc<FakeServer>; 2],
     in_use: Vec<(PooledConnection, ModelConnection)>,
     idle: Vec<ModelConnection>,
 }
@@ -129,7 +129,7 @@
     }
 
     fn close_at_endpoint(&mut self, endpoint: usize) {
-        self.workers[endpoint].close_connections();
+        self.servers[endpoint].close_connections();
         let in_use = self.in_use.iter_mut().map(|(_, model)| model);
         for model in in_use.chain(&mut self.idle) {
             if model.endpoint == endpoint {
@@ -206,7 +206,7 @@
                     2 * IDLE_TIMEOUT,
                 ),
                 endpoints: [Endpoint::new("a", a.address), Endpoint::new("b", b.address)],
-                workers: [a, b],
+                servers: [a, b],
                 in_use: Vec::new(),
                 idle: Vec::new(),
             };
--- a/crates/router/src/upstream/tests.rs
+++ b/crates/router/src/upstream/tests.rs
@@ -17,7 +17,7 @@
 #[test]
 fn an_attempt_without_a_connection_ends_at_write_by() {
     run_paused(async {
-        let worker = FakeServer::start(1, Behaviour::Answer).await;
+        let server = FakeServer::start(1, Behaviour::Answer).await;
         let tasks = TaskGroup::default();
         let (handle, mut events) = Handle::new();
         let options = Options {
@@ -28,7 +28,7 @@
             report: Report::default(),
         };
         let mut upstream = Upstream::new(handle, options, None, tasks.spawner());
-        let endpoint = Rc::new(Endpoint::new("a", worker.address));
+        let endpoint = Rc::new(Endpoint::new("a", server.address));
         let now = Instant::now();
         let _only_connection = upstream
             .shared
--- a/crates/router/tests/conform.rs
+++ b/crates/router/tests/conform.rs
@@ -17,12 +17,12 @@
         .build()
         .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let workers = [
+        let servers = [
             FakeServer::start(4, Behaviour::Answer).await,
             FakeServer::start(4, Behaviour::Answer).await,
         ];
         let router = TestRouter::start_shipped(
-            workers
+            servers
                 .iter()
                 .map(|w| endpoint_entry(w, "mixed", "up"))
                 .collect(),
--- a/crates/router/tests/control.rs
+++ b/crates/router/tests/control.rs
@@ -112,7 +112,7 @@
             endpoint_entry(&b, "mixed", "up"),
         ])
         .await;
-        let [a_port, b_port] = [&a, &b].map(|worker| u32::from(worker.address.port()));
+        let [a_port, b_port] = [&a, &b].map(|server| u32::from(server.address.port()));
         let mut proxy = Proxy::connect(&router).await;
         let clusters = proxy.next().await;
         assert_eq!(
--- a/crates/router/tests/discovery.rs
+++ b/crates/router/tests/discovery.rs
@@ -24,9 +24,9 @@
 #[test]
 fn a_restarted_router_asks_for_the_changes_since_its_last_list() {
     run(async {
-        let worker = FakeServer::start(4, Behaviour::Answer).await;
-        let discovery = FakeDiscovery::start(vec![endpoint_entry(&worker, "mixed", "up")]).await;
-        let known = json!({"index": 1, "snapshot": true, "endpoints": [endpoint_entry(&worker, "mixed", "up")]});
+        let server = FakeServer::start(4, Behaviour::Answer).await;
+        let discovery = FakeDiscovery::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
+        let known = json!({"index": 1, "snapshot": true, "endpoints": [endpoint_entry(&server, "mixed", "up")]});
         let router = Router::bind(config(&discovery, 100, &known), Extras::default())
             .await
             .unwrap();
--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -91,9 +91,9 @@
 #[test]
 fn a_batch_is_served_across_a_hangup_and_finished_after_a_termination() {
     run(async {
-        let worker = FakeServer::start(4, Behaviour::Answer).await;
-        worker.service_time.set(Duration::from_millis(50));
-        let discovery = FakeDiscovery::start(vec![endpoint_entry(&worker, "mixed", "up")]).await;
+        let server = FakeServer::start(4, Behaviour::Answer).await;
+        server.service_time.set(Duration::from_millis(50));
+        let discovery = FakeDiscovery::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
         let folder = std::env::temp_dir().join(format!("cranetack-batch-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let [config_path, inference_path] =
@@ -127,16 +127,16 @@
                 .post("/v1/rerank", body)
                 .await
         });
-        worker.wait_until(|seen| seen.len() > 2).await;
+        server.wait_until(|seen| seen.len() > 2).await;
         program.signal("-HUP");
-        worker.wait_until(|seen| seen.len() > 6).await;
+        server.wait_until(|seen| seen.len() > 6).await;
         program.signal("-TERM");
         let (status, answer) = call.await.unwrap();
         assert_eq!(
             (status, answer["results"].as_array().map(Vec::len)),
             (200, Some(18))
         );
-        assert_eq!(worker.count_started("/v1/rerank"), 9);
+        assert_eq!(server.count_started("/v1/rerank"), 9);
         program.assert_succeeds().await;
         std::fs::remove_dir_all(&folder).unwrap();
     });
--- a/crates/router/tests/races.rs
+++ b/crates/router/tests/races.rs
@@ -224,8 +224,8 @@
 #[test]
 fn a_request_on_an_idle_connection_at_the_shutdown_is_answered_or_not_accepted() {
     run(async {
-        let worker = FakeServer::start(64, Behaviour::Answer).await;
-        let mut router = TestRouter::start(vec![endpoint_entry(&worker, "mixed", "up")]).await;
+        let server = FakeServer::start(64, Behaviour::Answer).await;
+        let mut router = TestRouter::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
         let mut clients = Vec::new();
         for number in 0..7 {
             let mut client = ManualConnection::connect(router.platform).await;
@@ -258,7 +258,7 @@
             assert_eq!(end, ConnectionEnd::Closed);
             answered += usize::from(!received.is_empty());
         }
-        assert_eq!(worker.count_started("/v1/chat/completions"), 7 + answered);
+        assert_eq!(server.count_started("/v1/chat/completions"), 7 + answered);
         router.stopped.await.unwrap();
     });
 }
@@ -378,9 +378,9 @@
 #[test]
 fn a_request_on_a_connection_that_was_to_be_evicted_is_answered() {
     run(async {
-        let worker = FakeServer::start(8, Behaviour::Answer).await;
+        let server = FakeServer::start(8, Behaviour::Answer).await;
         let router = TestRouter::start_with_settings(
-            vec![endpoint_entry(&worker, "mixed", "up")],
+            vec![endpoint_entry(&server, "mixed", "up")],
             plain_settings(),
         )
         .await;
--- a/crates/router/tests/tenants.rs
+++ b/crates/router/tests/tenants.rs
@@ -125,10 +125,10 @@
 fn only_keys_of_tenants_are_served_also_while_the_directory_is_down() {
     run(async {
         let directory = Directory::start(&["k1"]).await;
-        let worker = FakeServer::start(1, Behaviour::Answer).await;
+        let server = FakeServer::start(1, Behaviour::Answer).await;
         let tenants = Tenants::start(directory.setup("secret"));
         let router = TestRouter::start_with_tenants(
-            vec![endpoint_entry(&worker, "mixed", "up")],
+            vec![endpoint_entry(&server, "mixed", "up")],
             Some(tenants),
         )
         .await;
@@ -142,7 +142,7 @@
                 (401, &json!("invalid_api_key"))
             );
         }
-        assert_eq!(worker.count_started("/v1/embeddings"), 1);
+        assert_eq!(server.count_started("/v1/embeddings"), 1);
         // A new key is known after the next reading.
         directory.keys.borrow_mut().push("k2".to_owned());
         while embed(&router, Some("k2")).await.0 != 200 {
@@ -163,10 +163,10 @@
 fn nobody_is_served_before_the_directory_has_been_read() {
     run(async {
         let directory = Directory::start(&["k1"]).await;
-        let worker = FakeServer::start(1, Behaviour::Answer).await;
+        let server = FakeServer::start(1, Behaviour::Answer).await;
         let tenants = Tenants::start(directory.setup("wrong"));
         let router = TestRouter::start_with_tenants(
-            vec![endpoint_entry(&worker, "mixed", "up")],
+            vec![endpoint_entry(&server, "mixed", "up")],
             Some(tenants),
         )
         .await;
@@ -178,7 +178,7 @@
         );
         assert_eq!(
             (
-                worker.count_started("/v1/embeddings"),
+                server.count_started("/v1/embeddings"),
                 directory.searches.get()
             ),
             (0, 0)
--- a/crates/routing-policy/tests/affinity.rs
+++ b/crates/routing-policy/tests/affinity.rs
@@ -5,8 +5,8 @@
 use common::*;
 use cranetack_routing_policy::*;
 
-/// The share of new sessions that read away from our zone, where a read takes so long in our zone
-/// and elsewhere.
+/// The share of new sessions whose prefill is outside our zone, where a prefill takes so long in our
+/// zone and elsewhere.
 fn share_in_other_zones(near: Micros, far: Micros) -> f64 {
     let line = |endpoint: u64, kind, zone: usize| EndpointSpec {
         zone: ZoneId(zone),
@@ -21,7 +21,7 @@
         ..settings(Idempotency::Idempotent)
     };
     let (mut driver, _) = Driver::new(settings, specs);
-    let mut away = 0;
+    let mut elsewhere = 0;
     for id in 0..150 {
         let session = Some(SessionId(u64::from(id) * 7919));
         let sent = routes(&driver.arrive(RequestSpec {
@@ -40,26 +40,29 @@
         driver.on(started);
         driver.on(result(id, 1, decode, Outcome::Completed));
         driver.pass(SECOND / 10);
-        away += u32::from(id >= 50 && prefill >= 10);
+        elsewhere += u32::from(id >= 50 && prefill >= 10);
     }
-    f64::from(away) / 100.0
+    f64::from(elsewhere) / 100.0
 }
 
 #[test]
 fn sessions_leave_a_zone_whose_prefills_are_late_while_others_are_quick() {
-    let away = share_in_other_zones(SECOND, SECOND / 50);
-    assert!(away > 0.3, "a share of {away} reads elsewhere");
+    let elsewhere = share_in_other_zones(SECOND, SECOND / 50);
+    assert!(elsewhere > 0.3, "a share of {elsewhere} prefills elsewhere");
 }
 
 #[test]
 fn sessions_stay_in_a_zone_that_is_quick_or_when_all_are_late() {
     for (near, far) in [(SECOND / 50, SECOND / 50), (SECOND / 50, SECOND)] {
-        let away = share_in_other_zones(near, far);
-        assert!(away < 0.05, "a share of {away} reads elsewhere");
+        let elsewhere = share_in_other_zones(near, far);
+        assert!(
+            elsewhere < 0.05,
+            "a share of {elsewhere} prefills elsewhere"
+        );
     }
 }
 
-/// The share of new sessions that go to mixed endpoints, where a read takes so long at prefill
+/// The share of new sessions that go to mixed endpoints, where a prefill takes so long at prefill
 /// endpoints and there.
 fn share_at_mixed_endpoints(at_readers: Micros, at_mixed: Micros) -> f64 {
     let specs = (0..12)
@@ -124,7 +127,7 @@
     let specs: Vec<EndpointSpec> = (0..3)
         .flat_map(|z| (0..6).map(move |h| line(h, usize::from(h > 2), z)))
         .collect();
-    let away = |seed: u64| {
+    let elsewhere = |seed: u64| {
         let settings = Settings {
             zone: Some(ZoneId(0)),
             router_count: Some(100),
@@ -138,23 +141,23 @@
         }));
         sent.iter().filter(|(_, prefill)| *prefill >= 10).count() as f64
     };
-    (0..200).map(away).sum::<f64>() / 200.0
+    (0..200).map(elsewhere).sum::<f64>() / 200.0
 }
 
 /// Where all endpoints of a zone have just been replaced, its routers would otherwise keep its
 /// traffic there.
 #[test]
 fn sessions_leave_a_zone_as_far_as_it_is_colder_than_all() {
-    let away = share_in_other_zones_with([true, false, false]);
+    let elsewhere = share_in_other_zones_with([true, false, false]);
     assert!(
-        (0.4..0.9).contains(&away),
-        "a share of {away} reads elsewhere"
+        (0.4..0.9).contains(&elsewhere),
+        "a share of {elsewhere} prefills elsewhere"
     );
     for cold in [[true; 3], [false; 3], [false, true, true]] {
-        let away = share_in_other_zones_with(cold);
+        let elsewhere = share_in_other_zones_with(cold);
         assert!(
-            away < 0.05,
-            "a share of {away} reads elsewhere though {cold:?} are cold"
+            elsewhere < 0.05,
+            "a share of {elsewhere} prefills elsewhere though {cold:?} are cold"
         );
     }
 }
--- a/crates/routing-policy/tests/common/fleet.rs
+++ b/crates/routing-policy/tests/common/fleet.rs
@@ -40,7 +40,7 @@
 
 enum Due {
     Ended(usize, Event),
-    Established(usize, Event),
+    StreamStarted(usize, Event),
 }
 
 pub(crate) struct Fleet {
@@ -200,7 +200,7 @@
                 endpoint,
                 elapsed: 1,
             };
-            self.schedule(self.now + STEP, Due::Established(router, begun));
+            self.schedule(self.now + STEP, Due::StreamStarted(router, begun));
             let ended = result(id, attempt, server, Outcome::Completed);
             self.schedule(self.now + STREAM, Due::Ended(router, ended));
         }
@@ -225,7 +225,7 @@
             .filter(|entry| entry.key().0 <= self.now)
         {
             match entry.remove() {
-                Due::Established(router, event) => {
+                Due::StreamStarted(router, event) => {
                     if let Event::StreamStarted { id, .. } = &event {
                         self.records[id.0 as usize].answered = true;
                     }
--- a/crates/routing-policy/tests/decision_trace/course.rs
+++ b/crates/routing-policy/tests/decision_trace/course.rs
@@ -282,7 +282,7 @@
             Action::SetTimer { at, key } => {
                 self.timers.insert((at, key));
             }
-            Action::HealthCheck(endpoint) => self.probe(endpoint),
+            Action::HealthCheck(endpoint) => self.check_health(endpoint),
             Action::SubscribeEndpoints(_) => {
                 let after = self.millis(5, 40);
                 let update = if self.below(5) == 0 {
@@ -299,7 +299,7 @@
         }
     }
 
-    fn probe(&mut self, endpoint: EndpointId) {
+    fn check_health(&mut self, endpoint: EndpointId) {
         let (outcome, after) = match self.behaviour(endpoint) {
             Behaviour::Silent => (Outcome::TimedOut, SECOND),
             Behaviour::Failing => (Outcome::ServerError, 3 * MILLISECOND),
--- a/crates/routing-policy/tests/decision_trace/scenarios.rs
+++ b/crates/routing-policy/tests/decision_trace/scenarios.rs
@@ -5,14 +5,14 @@
 use crate::common;
 use crate::course::{Behaviour, Change, Course, MILLISECOND, SECOND};
 
-fn class(idempotency: Idempotency, aim: Micros, worth: f64) -> Class {
+fn class(idempotency: Idempotency, latency_objective: Micros, priority_weight: f64) -> Class {
     Class {
-        latency_objective: Some(aim),
+        latency_objective: Some(latency_objective),
         latency_objective_per_1000_tokens: Some(120_000.0),
         token_interval_objective: Some(70_000),
         idempotency,
         dedup_window: Some(2 * SECOND),
-        priority_weight: Some(worth),
+        priority_weight: Some(priority_weight),
     }
 }
 
--- a/crates/routing-policy/tests/lane_choice.rs
+++ b/crates/routing-policy/tests/lane_choice.rs
@@ -116,7 +116,7 @@
             endpoint_spec(3, 0, 0),
         ]
     };
-    let home = |seed: u64, session: u64| {
+    let target = |seed: u64, session: u64| {
         let mut policy = Policy::new(settings(Idempotency::Idempotent), seed, START);
         let mut out = Vec::new();
         policy.handle(
@@ -131,13 +131,13 @@
         policy.handle(START, Event::RequestArrived(spec), &mut out);
         routes(&out)[0].1
     };
-    let homes: Vec<u64> = (0..32).map(|s| home(1, s * 7919)).collect();
+    let targets: Vec<u64> = (0..32).map(|s| target(1, s * 7919)).collect();
     assert_eq!(
-        homes,
-        (0..32).map(|s| home(2, s * 7919)).collect::<Vec<_>>()
+        targets,
+        (0..32).map(|s| target(2, s * 7919)).collect::<Vec<_>>()
     );
     assert!(
-        homes.contains(&1) && homes.contains(&3),
+        targets.contains(&1) && targets.contains(&3),
         "sessions are spread"
     );
 }
--- a/crates/routing-policy/tests/lanes.rs
+++ b/crates/routing-policy/tests/lanes.rs
@@ -132,13 +132,13 @@
             ..request_spec(1, driver.now)
         });
         assert_eq!(routes(&actions), vec![], "it waits for the report");
-        let home = touched(&actions).unwrap_or(0);
+        let target = touched(&actions).unwrap_or(0);
         let pending = if jammed { 100.0 } else { 0.0 };
-        let sent = routes(&driver.on(health_checked(home, load(pending, 0.0, 0.0))));
-        assert_eq!(sent, vec![(1, if jammed { 3 - home } else { home })]);
+        let sent = routes(&driver.on(health_checked(target, load(pending, 0.0, 0.0))));
+        assert_eq!(sent, vec![(1, if jammed { 3 - target } else { target })]);
     }
     let (mut driver, _) = Driver::new(settings, specs);
-    let home = touched(&driver.arrive(request_spec(1, driver.now))).unwrap_or(0);
+    let target = touched(&driver.arrive(request_spec(1, driver.now))).unwrap_or(0);
     let later: Vec<Action> = driver
         .pass(SECOND / 10)
         .into_iter()
@@ -146,7 +146,7 @@
         .collect();
     assert_eq!(
         routes(&later),
-        vec![(1, 3 - home)],
+        vec![(1, 3 - target)],
         "an endpoint that does not respond soon is avoided"
     );
 }
--- a/crates/routing-policy/tests/many_routers.rs
+++ b/crates/routing-policy/tests/many_routers.rs
@@ -56,7 +56,7 @@
             ..settings(Idempotency::Idempotent)
         };
         let (mut driver, _) = Driver::seeded(settings, specs.clone(), seed);
-        let mut home = |session: u32| {
+        let mut target = |session: u32| {
             let turn = request_spec(session, driver.now);
             let sent = routes(&driver.arrive(RequestSpec {
                 session: Some(SessionId(u64::from(session))),
@@ -66,10 +66,13 @@
             driver.on(Event::ClientDisconnected(RequestId(session)));
             sent[0].1
         };
-        (0..40).map(&mut home).collect::<Vec<u64>>()
+        (0..40).map(&mut target).collect::<Vec<u64>>()
     };
     let first = targets(1);
-    assert!([3, 5].iter().all(|home| first.contains(home)), "{first:?}");
+    assert!(
+        [3, 5].iter().all(|target| first.contains(target)),
+        "{first:?}"
+    );
     for seed in 2..20 {
         let others = targets(seed);
         let differ = first
--- a/crates/routing-policy/tests/shared_prefixes.rs
+++ b/crates/routing-policy/tests/shared_prefixes.rs
@@ -16,7 +16,7 @@
 /// they have read.
 struct Fleet {
     drivers: Vec<Driver>,
-    kept: BTreeMap<u64, BTreeSet<u64>>,
+    cached: BTreeMap<u64, BTreeSet<u64>>,
     asked: u32,
     /// Tokens that were read, and those of them that belong to shared prefixes.
     read: u64,
@@ -34,17 +34,17 @@
         let specs: Vec<EndpointSpec> = prefill_endpoints
             .chain([endpoint_spec(100, 1, 0)])
             .collect();
-        let driver = |me: u32| {
+        let driver = |router_index: u32| {
             let settings = Settings {
                 router_count: Some(routers),
-                router_index: Some(me),
+                router_index: Some(router_index),
                 ..settings(Idempotency::Idempotent)
             };
-            Driver::seeded(settings, specs.clone(), u64::from(me) + 1).0
+            Driver::seeded(settings, specs.clone(), u64::from(router_index) + 1).0
         };
         Fleet {
             drivers: (0..routers).map(driver).collect(),
-            kept: BTreeMap::new(),
+            cached: BTreeMap::new(),
             asked: 0,
             read: 0,
             of_prefixes: 0,
@@ -67,7 +67,7 @@
         };
         let sent = routes(&driver.arrive(asked));
         let prefill = sent[0].1;
-        let known = !self.kept.entry(prefill).or_default().insert(prefix);
+        let known = !self.cached.entry(prefill).or_default().insert(prefix);
         self.of_prefixes += if known { 0 } else { PREFIX_TOKENS };
         self.read += TURN_TOKENS + if known { 0 } else { PREFIX_TOKENS };
         driver.pass(10_000);
@@ -85,7 +85,7 @@
     }
 
     fn endpoints_with(&self, prefix: u64) -> usize {
-        self.kept
+        self.cached
             .values()
             .filter(|prefixes| prefixes.contains(&prefix))
             .count()
--- a/crates/routing-policy/tests/shutdown.rs
+++ b/crates/routing-policy/tests/shutdown.rs
@@ -159,41 +159,44 @@
 }
 
 /// Messages from all to all would cost more than the requests: 300 routers that are restarted in
-/// turn told each of the others 46 times each.
+/// turn notified each of the others 46 times each.
 #[test]
 fn shutdown_gossip_grows_linearly_with_the_fleet_and_is_spread_evenly() {
     for (all, each) in [(2, 1), (3, 2), (4, 3), (5, 3), (30, 3), (100, 3), (300, 3)] {
         let mut heard = vec![0; all as usize];
-        for me in 0..all {
+        for router_index in 0..all {
             let settings = Settings {
                 router_count: Some(all),
-                router_index: Some(me),
+                router_index: Some(router_index),
                 resumable_streams: true,
                 gossip: true,
                 ..settings(Idempotency::Idempotent)
             };
-            let (mut driver, _) =
-                Driver::seeded(settings, vec![endpoint_spec(PREFILL, 0, 0)], me.into());
+            let (mut driver, _) = Driver::seeded(
+                settings,
+                vec![endpoint_spec(PREFILL, 0, 0)],
+                router_index.into(),
+            );
             driver.on(Event::ShutdownStarted {
                 migrate_from: driver.now + FROM,
                 answer_by: driver.now + BY,
             });
-            let mut told: Vec<u32> = Vec::new();
+            let mut notified: Vec<u32> = Vec::new();
             for (_, action) in driver.pass(BY) {
                 match action {
-                    Action::Gossip { to: Some(to), .. } => told.push(to),
-                    Action::Gossip { to: None, .. } => panic!("all are told"),
+                    Action::Gossip { to: Some(to), .. } => notified.push(to),
+                    Action::Gossip { to: None, .. } => panic!("all are notified"),
                     _ => {}
                 }
             }
-            assert_eq!(told.len(), 2 * each, "twice, as any may be lost");
-            told.sort_unstable();
-            told.dedup();
+            assert_eq!(notified.len(), 2 * each, "twice, as any may be lost");
+            notified.sort_unstable();
+            notified.dedup();
             assert!(
-                told.len() == each && !told.contains(&me),
-                "{all}: {me} told {told:?}"
+                notified.len() == each && !notified.contains(&router_index),
+                "{all}: {router_index} notified {notified:?}"
             );
-            told.iter().for_each(|to| heard[*to as usize] += 1);
+            notified.iter().for_each(|to| heard[*to as usize] += 1);
         }
         assert!(heard.iter().all(|n| *n == each), "{all}: {heard:?}");
     }
--- a/crates/routing-policy/tests/slow_start.rs
+++ b/crates/routing-policy/tests/slow_start.rs
@@ -13,10 +13,10 @@
 /// endpoints before.
 fn most_sends_to_a_cold_endpoint(router_count: u32) -> (usize, f64) {
     let mut times = Vec::new();
-    for me in 0..router_count {
+    for router_index in 0..router_count {
         let settings = Settings {
             router_count: Some(router_count),
-            router_index: Some(me),
+            router_index: Some(router_index),
             ..settings(Idempotency::Idempotent)
         };
         let specs = vec![
@@ -25,7 +25,7 @@
             endpoint_spec(4, 0, 0),
             endpoint_spec(DECODE, 1, 0),
         ];
-        let (mut driver, _) = Driver::seeded(settings, specs, u64::from(me) + 1);
+        let (mut driver, _) = Driver::seeded(settings, specs, u64::from(router_index) + 1);
         let served = |driver: &mut Driver, id: u32| {
             let sent = routes(&driver.arrive(request_spec(id, driver.now)));
             for (id, endpoint) in &sent {
