--- a/crates/routing-policy/src/events.rs
+++ b/crates/routing-policy/src/events.rs
@@ -1,159 +1,162 @@
-//! What the driver tells a [`crate::Policy`].
+//! The events that the driver delivers to a [`crate::Policy`].
 
 use crate::ids::{
     CellId, ClassId, EndpointId, KindId, Micros, PrefixId, RequestId, SessionId, TimerKey, ZoneId,
 };
 
-/// Whether an endpoint takes requests.
+/// The state of an endpoint on the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// The endpoint takes requests.
     Active,
-    /// It completes the requests that it has and takes no new ones.
+    /// The endpoint completes the requests that it has and takes no new ones.
     Draining,
-    /// It has been removed.
+    /// The endpoint has been removed.
     Removed,
 }
 
 /// An entry of the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EndpointSpec {
-    /// The endpoint.
+    /// The endpoint that the entry describes.
     pub id: EndpointId,
-    /// When its present process started; absent for long ago.
+    /// The time at which the endpoint's present process started; `None` if that was long ago.
     pub started_at: Option<Micros>,
-    /// Its kind.
+    /// The kind of the endpoint.
     pub kind: KindId,
-    /// Whether it takes requests.
+    /// Whether the endpoint takes requests.
     pub state: EndpointState,
-    /// Its cell.
+    /// The cell that the endpoint belongs to.
     pub cell: CellId,
-    /// Its size relative to other endpoints of its role.
+    /// The size of the endpoint relative to others of its role.
     pub weight: f64,
-    /// Its zone.
+    /// The zone that the endpoint runs in.
     pub zone: ZoneId,
 }
 
 /// An update of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EndpointUpdate {
-    /// The entries that have changed.
+    /// The changed entries.
     Delta(Vec<EndpointSpec>),
-    /// All entries; an endpoint that is missing has been removed.
+    /// All entries. An endpoint without an entry has been removed.
     Snapshot(Vec<EndpointSpec>),
-    /// All entries as this router last had them before its restart; they may be out of date.
+    /// All entries as this router had them before its restart; they may be out of date.
     Restored(Vec<EndpointSpec>),
-    /// A poll has failed; what was known stays valid.
+    /// A failed poll. The entries that are known stay valid.
     PollFailed,
 }
 
 /// A request as it arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct RequestSpec {
-    /// Its id.
+    /// The number of the request.
     pub id: RequestId,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// Its session, if it has one.
+    /// The session that the request belongs to, if any.
     pub session: Option<SessionId>,
-    /// The prompt prefix that it shares with other sessions.
+    /// The prefix that the prompt shares with those of other sessions, if any.
     pub shared_prefix: Option<PrefixId>,
-    /// The client stops waiting at this point in time.
+    /// The time at which the client stops waiting.
     pub deadline: Micros,
-    /// The rough duration of the response at the class's token interval.
+    /// The approximate duration of the response at the class's token interval.
     pub expected_duration: Option<Micros>,
     /// The number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// How many of these belong to the shared prefix.
+    /// The number of prompt tokens that belong to the shared prefix.
     pub shared_prefix_tokens: u64,
-    /// The most tokens of the response.
+    /// The maximum number of tokens in the response.
     pub max_tokens: u64,
-    /// The client says that it is trying again.
+    /// Whether the client says that it is trying again.
     pub is_retry: bool,
-    /// The client resumes a stream that broke or was migrated.
+    /// Whether the client resumes a stream that broke or was migrated.
     pub is_resumed: bool,
-    /// The kinds of endpoint that may serve it, a bit for each of the first 64; absent for all
-    /// kinds.
+    /// The kinds of endpoint that may serve the request, as a bit mask of the first 64; `None` for
+    /// all kinds.
     pub allowed_kinds: Option<u64>,
 }
 
 impl RequestSpec {
-    /// Whether an endpoint of this kind may serve the request.
+    /// Whether an endpoint of a kind may serve the request.
     pub fn allows(&self, kind: KindId) -> bool {
         self.allowed_kinds
             .is_none_or(|kinds| kind.0 < 64 && kinds >> kind.0 & 1 == 1)
     }
 }
 
-/// An endpoint's load report. What it does not contain is `None`.
+/// The load report of an endpoint. Values that the report does not contain are `None`.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
-    /// The requests in flight there, KV state that waits included.
+    /// The number of requests in flight at the endpoint, including those whose KV state waits
+    /// there.
     pub in_flight: Option<f64>,
-    /// The requests that are queued there.
+    /// The number of requests that are queued at the endpoint.
     pub queued: Option<f64>,
-    /// The share of its slots in use.
+    /// The share of the endpoint's slots that is in use.
     pub slot_utilization: Option<f64>,
-    /// The share of its memory in use.
+    /// The share of the endpoint's memory that is in use.
     pub memory_utilization: Option<f64>,
-    /// Thousands of prompt tokens that wait to be processed or fetched.
+    /// The prompt tokens that wait to be processed or fetched, in thousands.
     pub pending_kilotokens: Option<f64>,
 }
 
-/// How an attempt or a health check ended.
+/// The outcome of an attempt or of a health check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The request was served, or the health check succeeded.
     Completed,
     /// The endpoint responded with an error; the request may have been executed.
     ServerError,
-    /// The endpoint rejected it; it was not executed.
+    /// The endpoint rejected the request, which was not executed.
     Rejected(RejectReason),
-    /// No response in time; the request may have been executed.
+    /// There was no response in time; the request may have been executed.
     TimedOut,
-    /// No connection came up; it was not executed.
+    /// No connection was established; the request was not executed.
     ConnectFailed(ConnectFailure),
-    /// The connection broke; the request may have been executed.
+    /// The connection was closed or reset before the end of the response; the request may have been
+    /// executed.
     ConnectionReset(ResetCause),
-    /// Cancelled; the request may have been executed.
+    /// The attempt was cancelled; the request may have been executed.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
-    /// The prompt has been processed and its KV state waits at the endpoint.
+    /// The prompt was processed, and its KV state waits at the endpoint.
     Prefilled {
-        /// The prompt tokens that were found in the endpoint's prefix cache.
+        /// The number of prompt tokens that were found in the endpoint's prefix cache.
         cached_tokens: u64,
     },
 }
 
-/// Why an endpoint rejected an attempt.
+/// The reason why an endpoint rejected an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectReason {
-    /// Its slots and its queue are full.
+    /// The endpoint's slots and queue are full.
     Overloaded,
-    /// There was no KV state to fetch.
+    /// There was no KV state for the endpoint to fetch.
     NoKvState,
 }
 
-/// Why no connection came up.
+/// The reason why no connection was established.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectFailure {
     /// The endpoint could not be reached.
     Unreachable,
-    /// This machine had no connection to give, which says nothing of the endpoint.
+    /// This router had no resources for another connection, which says nothing about the endpoint.
     LocalResources,
 }
 
-/// Which connection was reset.
+/// The kind of connection that was reset.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResetCause {
-    /// One that was known to work.
+    /// A connection that was known to work.
     InUse,
-    /// One that had been idle and was dropped unseen, which says nothing of the endpoint.
+    /// A connection that had been idle and was closed without the router noticing, which says
+    /// nothing about the endpoint.
     StaleIdle,
 }
 
-/// An event, delivered with the point in time at which it happened.
+/// An event, which is delivered with the time at which it happened.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// The endpoint list has changed.
@@ -162,66 +165,66 @@
     RequestArrived(RequestSpec),
     /// The response to an attempt has begun to stream.
     StreamStarted {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// The attempt's number.
+        /// The number of the attempt among those of the request, from 0.
         attempt: u32,
-        /// The endpoint.
+        /// The endpoint that the attempt was sent to.
         endpoint: EndpointId,
-        /// Time since the attempt was sent.
+        /// The time since the attempt was sent.
         elapsed: Micros,
     },
     /// An attempt has ended.
     AttemptEnded {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// The attempt's number.
+        /// The number of the attempt among those of the request, from 0.
         attempt: u32,
-        /// The endpoint.
+        /// The endpoint that the attempt was sent to.
         endpoint: EndpointId,
-        /// How it ended.
+        /// The outcome of the attempt.
         outcome: Outcome,
-        /// The client has its final response or is gone.
+        /// Whether the client has its final response or has disconnected.
         client_done: bool,
-        /// Time since the attempt was sent.
+        /// The time since the attempt was sent.
         elapsed: Micros,
-        /// The endpoint's load report, if one came along.
+        /// The endpoint's load report, if one came with the outcome.
         load: Option<LoadReport>,
     },
-    /// The response to a slot reservation.
+    /// An endpoint has responded to a slot reservation.
     SlotReservationAnswered {
-        /// The request.
+        /// The request that the slot is for.
         id: RequestId,
-        /// The endpoint of the prefill attempt for which the slot was asked for.
+        /// The endpoint of the prefill attempt during which the slot was requested.
         endpoint: EndpointId,
-        /// The slot is reserved.
+        /// Whether the slot is reserved.
         granted: bool,
     },
-    /// The client has disconnected or was answered too late.
+    /// The client of a request has disconnected, or its response was too late.
     ClientDisconnected(RequestId),
     /// A timer has fired.
     TimerFired(TimerKey),
     /// A health check has ended.
     HealthChecked {
-        /// The endpoint.
+        /// The endpoint that was checked.
         endpoint: EndpointId,
-        /// How it ended.
+        /// The outcome of the health check.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// The time since the health check was sent.
         elapsed: Micros,
-        /// The endpoint's load report.
+        /// The load report in the response, if any.
         load: Option<LoadReport>,
     },
-    /// This router shuts down, and takes no new requests from now on or soon.
+    /// This router is shutting down, and takes no new requests from now on or soon after.
     ShutdownStarted {
-        /// From then on clients that ask again reach another router, if there is one.
+        /// The time from which clients that connect again reach another router, if there is one.
         migrate_from: Micros,
-        /// All requests must have their final response by then.
+        /// The time by which all requests must have their final response.
         answer_by: Micros,
     },
-    /// Gossip from another router.
+    /// A gossip message from another router has arrived.
     GossipReceived {
-        /// Its number.
+        /// The number of the router that sent the message.
         from: u32,
         /// The message.
         payload: Vec<u8>,
--- a/crates/routing-policy/src/idempotency.rs
+++ b/crates/routing-policy/src/idempotency.rs
@@ -1,30 +1,30 @@
-//! The rule on idempotency: what an outcome proves, and whether a request may then be sent again or
-//! rejected.
+//! The rule on idempotency: whether a request may have been executed, and whether it may then be
+//! sent again or rejected.
 //!
-//! This is the one place that decides it. The policy asks before each send and each final response,
-//! the driver once more when it carries them out.
+//! No other module decides this. The policy applies the rule before each send and each final
+//! response, and the driver applies it again when it carries them out.
 
 use crate::config::{Class, Idempotency, KeyScope, Role};
 use crate::events::{EndpointSpec, Outcome};
 use crate::ids::{CellId, Micros, ZoneId};
 
-/// The span between the latest write of a retry and the end of its deduplication window (us): the
-/// request must arrive in time.
+/// The time from the latest write of a retry to the end of its deduplication window, in
+/// microseconds: the request must arrive at the endpoint before the window ends.
 const RETRY_MARGIN: Micros = 100_000;
 
 /// The first attempt of a request that may have been executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PossibleExecution {
-    /// The zone of its endpoint.
+    /// The zone of the endpoint that the attempt was sent to.
     pub zone: ZoneId,
-    /// The cell of its endpoint.
+    /// The cell of the endpoint that the attempt was sent to.
     pub cell: CellId,
-    /// When it was sent.
+    /// The time at which the attempt was sent.
     pub sent_at: Micros,
 }
 
 impl PossibleExecution {
-    /// An attempt that was sent at that time to an endpoint with this entry of the list.
+    /// The record of an attempt that was sent to `endpoint` at `sent_at`.
     pub fn at(endpoint: &EndpointSpec, sent_at: Micros) -> PossibleExecution {
         PossibleExecution {
             zone: endpoint.zone,
@@ -34,8 +34,9 @@
     }
 }
 
-/// Whether an outcome leaves it open that the request has been executed. A prefill has no effect.
-/// Anything that an endpoint may not say in its role proves nothing: it counts as executed.
+/// Whether a request may have been executed by an attempt with this role and outcome. Prefills have
+/// no effect and are not executions. Any other attempt counts as executed unless its outcome shows
+/// that it was not; an outcome that the role does not allow shows nothing.
 pub fn may_have_executed(role: Role, outcome: Outcome) -> bool {
     match outcome {
         Outcome::Rejected(_) | Outcome::ConnectFailed(_) | Outcome::NotSent => false,
@@ -43,7 +44,8 @@
     }
 }
 
-/// What may be done with a request of one class once it may have been executed.
+/// The rule for requests of one class: whether they may be sent again or rejected once they may
+/// have been executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetryRule {
     idempotency: Idempotency,
@@ -51,7 +53,7 @@
 }
 
 impl RetryRule {
-    /// The rule for a class; the most careful one where the class is not known.
+    /// The rule for a class, or the safest one if the class is not known.
     pub fn of(class: Option<&Class>) -> RetryRule {
         RetryRule {
             idempotency: class.map(|class| class.idempotency).unwrap_or_default(),
@@ -59,13 +61,14 @@
         }
     }
 
-    /// What it means to execute a request of the class more than once.
+    /// Whether a request of the class may be executed more than once.
     pub fn idempotency(&self) -> Idempotency {
         self.idempotency
     }
 
-    /// By when another attempt must be written so that it cannot be executed twice; `None` if none
-    /// may be made. At endpoint `to`, a prefill endpoint too, or anywhere if that is not given.
+    /// The time by which another attempt must be written so that the request is not executed twice;
+    /// `None` if no attempt may be made. With `to`, of whatever role, the attempt is one at that
+    /// endpoint; without it, at any endpoint.
     pub fn retry_deadline(
         &self,
         executed: Option<PossibleExecution>,
@@ -90,7 +93,8 @@
         Some(executed.sent_at.saturating_add(self.dedup_window) - RETRY_MARGIN)
     }
 
-    /// Whether it is true that trying again is harmless, which is what a rejection says.
+    /// Whether a request may be rejected. A rejection tells the client that it is harmless to try
+    /// again.
     pub fn may_reject(&self, may_have_executed: bool) -> bool {
         let repetition_is_harmless = matches!(
             self.idempotency,
--- a/crates/routing-policy/src/ids.rs
+++ b/crates/routing-policy/src/ids.rs
@@ -1,19 +1,20 @@
-//! Identifiers and the unit of time that events, actions and settings share.
+//! Identifiers and the unit of time in events, actions and settings.
 
-/// A point on the driver's clock, or a span, in microseconds. The clock may start anywhere and only
-/// advances.
+/// A point in time on the driver's clock, or a duration, in microseconds. The clock may start at
+/// any value and never goes back.
 pub type Micros = i64;
 
-/// A request, numbered by the driver; never reused within the life of a [`crate::Policy`].
+/// A request, numbered by the driver. A number is not reused within the life of a
+/// [`crate::Policy`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct RequestId(pub u32);
 
-/// A model server. Every router uses the same number for it (a hash of its name, say), also after
-/// it restarts.
+/// An endpoint, which is a model server. Every router uses the same number for it, such as a hash
+/// of its name, and the number stays the same after a restart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u64);
 
-/// A session of prompts that build on one another. Every router uses the same number for it.
+/// A session, whose prompts each extend the one before. Every router uses the same number for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
@@ -33,18 +34,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub usize);
 
-/// A cell: endpoints close to one another, between which KV state moves fast.
+/// A cell: a group of endpoints that transfer KV state to one another quickly.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub i64);
 
-/// What a timer is for. The driver gives it back in [`crate::Event::TimerFired`].
+/// The purpose of a timer. The driver returns it in [`crate::Event::TimerFired`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TimerKey {
-    /// The periodic check of everything that waits.
+    /// The periodic check of timeouts, endpoints and queued requests.
     Tick,
     /// The next poll of the endpoint list.
     PollEndpoints,
-    /// A deadline of one request.
+    /// A point in time at which one request may need an action.
     Request(RequestId),
 }
 
@@ -53,7 +54,7 @@
     const POLL_ENDPOINTS: u64 = 1;
     const FIRST_REQUEST: u64 = 2;
 
-    /// The number that stands for the key on a wire.
+    /// Encodes the key as a number for a wire format.
     pub fn encode(self) -> u64 {
         match self {
             TimerKey::Tick => Self::TICK,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// The key that a number stands for; `None` if it is no key of this module.
+    /// Decodes a number to a key; `None` if no key has that number.
     pub fn decode(number: u64) -> Option<TimerKey> {
         match number {
             Self::TICK => Some(TimerKey::Tick),
--- a/crates/routing-policy/src/lib.rs
+++ b/crates/routing-policy/src/lib.rs
@@ -1,7 +1,7 @@
-//! The decisions of a router for a language-model service with prefill and decode servers.
+//! The routing policy of a router for a language-model service with prefill and decode endpoints.
 //!
-//! The crate does no I/O and owns no clock: its driver delivers [`Event`]s to a [`Policy`] and
-//! carries out the [`Action`]s that it returns.
+//! The crate does no I/O and reads no clock. A driver delivers [`Event`]s with their times to a
+//! [`Policy`] and carries out the [`Action`]s that the policy returns.
 //!
 //! ```
 //! use cranetack_routing_policy::{
@@ -30,12 +30,12 @@
 //! };
 //! let mut actions = Vec::new();
 //!
-//! // 1. The endpoint list that the router had before its restart comes first.
+//! // 1. The driver first delivers the endpoint list that the router had before its restart.
 //! let entries = vec![entry(1, 0), entry(2, 1)];
 //! let restored = Event::EndpointsUpdated(EndpointUpdate::Restored(entries));
 //! policy.handle(now, restored, &mut actions);
 //!
-//! // 2. Then whatever happens, with its time. All actions are carried out in order.
+//! // 2. It then delivers each event with its time, and carries out all actions in order.
 //! let request = RequestSpec {
 //!     id: RequestId(7),
 //!     deadline: now + 5_000_000,
@@ -51,7 +51,7 @@
 //! };
 //! assert!(actions.iter().any(sent_to(1)), "the prompt goes to the prefill endpoint first");
 //!
-//! // 3. Each attempt has one end: here the KV state waits for a decode endpoint.
+//! // 3. Each attempt ends once. This prefill leaves KV state that a decode endpoint fetches.
 //! actions.clear();
 //! now += 80_000;
 //! let prefilled = Event::AttemptEnded {
