--- a/crates/routing-policy/src/admission.rs
+++ b/crates/routing-policy/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: arrivals, the order of the queue, and when a request is rejected.
+//! Admission: the arrival of requests, the order in which queued ones are sent, and rejections.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -11,20 +11,22 @@
 use crate::policy::Policy;
 use crate::requests::Request;
 
-/// The share of the mean time to first token under which no fair chance is left: few are that
-/// quick.
-const FAIR_CHANCE_SHARE: f64 = 0.5;
-/// Priority weights are compared in thousandths.
+/// The share of the mean time to first token that a queued request needs at least to respond in
+/// time: few responses start sooner.
+const MIN_FIRST_TOKEN_SHARE: f64 = 0.5;
+/// The factor that turns a priority weight into an integer: weights are compared in thousandths.
 const PRIORITY_RESOLUTION: f64 = 1000.0;
 
-/// The order of the queue: requests with KV state first, then those with the highest priority that
-/// can be in time, the oldest first, then late ones, the newest first.
+/// The rank of a request in the queue; the lowest is sent first. Requests with KV state come before
+/// others, those that can meet their latency objective and deadline before late ones, and higher
+/// priorities before lower ones. Then the oldest of the requests in time comes first, and the
+/// newest of the late ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueRank {
     needs_prefill: bool,
     is_late: bool,
     priority: Reverse<i64>,
-    turn: i64,
+    arrival_rank: i64,
     id: RequestId,
 }
 
@@ -47,13 +49,14 @@
         self.advance_queue();
     }
 
-    /// Advances what is queued in its order. A request that cannot be sent blocks its class, and is
-    /// rejected if it has no fair chance to be in time.
+    /// Makes the next attempt of each queued request, in the order of their ranks. A request
+    /// without KV state that cannot be sent blocks later ones of its class that have none either,
+    /// and gets its final response now if the queue leaves it too little time.
     pub(crate) fn advance_queue(&mut self) {
         let mut order: Vec<QueueRank> = self.queue.iter().map(|id| self.queue_rank(*id)).collect();
         order.sort_unstable();
         let mut blocked_classes = BTreeSet::new();
-        let mut ahead = 0;
+        let mut position = 0;
         for rank in order {
             let id = rank.id;
             let Some(spec) = self.requests.get(&id).map(|request| request.spec) else {
@@ -64,9 +67,9 @@
             }
             if rank.needs_prefill && self.queue.contains(&id) {
                 blocked_classes.insert(spec.class);
-                ahead += 1;
-                if !self.has_fair_chance(&spec, ahead) {
-                    self.give_up(id);
+                position += 1;
+                if !self.can_respond_in_time(&spec, position) {
+                    self.reject_or_fail(id);
                 }
             }
         }
@@ -76,31 +79,35 @@
         let request = &self.requests[&id];
         let spec = &request.spec;
         let class = self.parameters.class(spec.class);
-        let wanted_by = request.arrived_at + class.latency_objective(spec.prompt_tokens);
+        let first_token_due = request.arrived_at + class.latency_objective(spec.prompt_tokens);
         let first_token_at = self.now + self.traffic.likely_time_to_first_token();
-        let is_late = first_token_at > spec.deadline.min(wanted_by);
-        let age_order = i64::from(id.0);
+        let is_late = first_token_at > spec.deadline.min(first_token_due);
+        let arrival_order = i64::from(id.0);
         QueueRank {
             needs_prefill: request.state.lease().is_none(),
             is_late,
             priority: Reverse((class.priority_weight * PRIORITY_RESOLUTION) as i64),
-            turn: if is_late { -age_order } else { age_order },
+            arrival_rank: if is_late {
+                -arrival_order
+            } else {
+                arrival_order
+            },
             id,
         }
     }
 
-    /// Whether the request at a position of the queue may still be answered in time: else its
-    /// client could ask elsewhere.
-    fn has_fair_chance(&self, spec: &RequestSpec, position: usize) -> bool {
+    /// Whether a request at a position of the queue, counted from 1, can still be served before its
+    /// deadline. If not, an early rejection lets its client try elsewhere.
+    fn can_respond_in_time(&self, spec: &RequestSpec, position: usize) -> bool {
         let queue_wait = self.traffic.queue_wait(position, self.now) as f64;
-        let service = self.traffic.mean_time_to_first_token() * FAIR_CHANCE_SHARE;
+        let service_time = self.traffic.mean_time_to_first_token() * MIN_FIRST_TOKEN_SHARE;
         let respond_by = self.parameters.respond_by(spec.deadline);
-        self.now as f64 + (queue_wait + service) < respond_by as f64
+        self.now as f64 + (queue_wait + service_time) < respond_by as f64
     }
 
-    /// The final response of this router: a rejection where it is true that trying again is
-    /// harmless.
-    pub(crate) fn give_up(&mut self, id: RequestId) {
+    /// Gives a request its final response without serving it: a rejection if it is harmless to try
+    /// again, else a failure.
+    pub(crate) fn reject_or_fail(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -117,10 +124,10 @@
             Action::Fail(id)
         };
         self.actions.push(action);
-        self.close(id);
+        self.close_request(id);
     }
 
-    /// The advice to a rejected client: when the present queue will have been served.
+    /// The time that a rejected client should wait: until the present queue has been served.
     fn retry_after(&self) -> Micros {
         let max = self.parameters.max_retry_after;
         let queue_wait = self.traffic.queue_wait(self.queue.len().max(1), self.now);
--- a/crates/routing-policy/src/dispatch.rs
+++ b/crates/routing-policy/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: the next attempt of a request, and slot reservations for it.
+//! Dispatch: sends the next attempt of a request and reserves slots for it.
 
 use crate::actions::Action;
 use crate::config::Role;
@@ -10,12 +10,12 @@
 use crate::requests::{Attempt, Overdue, Request, RequestState};
 use crate::slow_start::{SendKind, SendTurns};
 
-/// Slot reservations during a prefill, at most.
+/// The number of slot reservations for a request after which a refused one is not replaced.
 const MAX_SLOT_RESERVATIONS: u32 = 3;
 
 impl Policy {
-    /// Makes the next attempt of a request if there is a lane for it, or gives its final response
-    /// if there can be no further attempt.
+    /// Makes the next attempt of a request if there is a lane for it, or gives the request its
+    /// final response if no further attempt is possible.
     pub(crate) fn advance(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -28,7 +28,7 @@
             || !self.has_attempts_left(request)
             || self.retry_deadline(request, None).is_none()
         {
-            self.give_up(id);
+            self.reject_or_fail(id);
             return;
         }
         match request.state.lease() {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Whether an attempt or a health check is to be waited for.
+    /// Whether a request must wait for the outcome of an attempt or of a health check.
     fn must_wait(&self, request: &Request, must_respond: bool) -> bool {
         match &request.state {
             RequestState::Streaming(_) => true,
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Without KV state a request needs two attempts, unless one endpoint does both.
+    /// Whether a request has enough attempts left to be served. Without KV state it needs two, one
+    /// for the prefill and one for the decode, unless one endpoint can do both.
     fn has_attempts_left(&self, request: &Request) -> bool {
         let max = self.parameters.max_attempts;
         if request.attempts >= max {
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Sends a request to an endpoint that takes this role for it. Fails if it may not be sent
-    /// there.
+    /// Sends a request to an endpoint that takes this role for it. Returns false if the request may
+    /// not be sent there.
     fn send(
         &mut self,
         id: RequestId,
@@ -118,10 +119,11 @@
             execution: PossibleExecution::at(&endpoint.spec, now),
             overdue: Overdue::No,
         };
-        let work_share = self.work.of_class(role, spec.class, 1.0) / self.work.overall(role, 1.0);
-        self.add_to_in_flight(&attempt, work_share);
+        let relative_work =
+            self.work.of_class(role, spec.class, 1.0) / self.work.overall(role, 1.0);
+        self.add_to_in_flight(&attempt, relative_work);
         let write_by = match lease {
-            Some(lease) => retry_deadline.min(self.half_of_lease_left(lease)),
+            Some(lease) => retry_deadline.min(self.midpoint_to_lease_end(lease)),
             None => retry_deadline,
         };
         if let Some(request) = self.requests.get_mut(&id) {
@@ -132,8 +134,8 @@
             request.attempts += 1;
             request.first_sent_at.get_or_insert(now);
             request.holds_state = true;
-            request.released_unfetched = false;
-            // The lane's decode endpoint, also where no slot can be reserved.
+            request.released_while_fetching = false;
+            // The lane's decode endpoint is kept even if no slot can be reserved there.
             request.reserved_slot = decode_endpoint.or(request.reserved_slot);
         }
         self.queue.remove(&id);
@@ -151,14 +153,15 @@
         true
     }
 
-    /// Half of what is left of a lease, so that another endpoint can be tried.
-    fn half_of_lease_left(&self, lease: KvLease) -> Micros {
+    /// The point in time halfway to the end of a lease. An attempt that is not written by then
+    /// leaves the other half for an attempt at another endpoint.
+    fn midpoint_to_lease_end(&self, lease: KvLease) -> Micros {
         self.now + (lease.since + self.parameters.kv_lease - self.now) / 2
     }
 
-    fn add_to_in_flight(&mut self, attempt: &Attempt, work_share: f64) {
+    fn add_to_in_flight(&mut self, attempt: &Attempt, relative_work: f64) {
         if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
-            endpoint.send_turns = SendTurns::after_send(attempt.sent_at, work_share);
+            endpoint.send_turns = SendTurns::after_send(attempt.sent_at, relative_work);
             endpoint.in_flight.prefill_weight += attempt.prefill_weight;
             if attempt.role != Role::Prefill {
                 endpoint.in_flight.streams += 1.0;
@@ -186,8 +189,8 @@
         });
     }
 
-    /// A decode endpoint that refused a slot counts as full; another one is asked while the prompt
-    /// is processed.
+    /// Records a decode endpoint that has refused a slot as full, and asks another one for a slot
+    /// if the prompt is still being processed.
     pub(crate) fn on_slot_reservation_answered(&mut self, id: RequestId, granted: bool) {
         if granted {
             return;
@@ -216,10 +219,10 @@
         }
     }
 
-    /// Whether an endpoint is open, of a kind that the request may go to, not ejected, and in reach
-    /// of a retry.
+    /// Whether a request may be sent to an endpoint: the endpoint is open, not ejected and of an
+    /// allowed kind, and a retry is permitted there.
     pub(crate) fn accepts(&self, id: EndpointId, request: &Request, kind: SendKind) -> bool {
-        // One that was chosen before may have left the list since.
+        // An endpoint that was chosen earlier may have left the endpoint list since.
         let Some(endpoint) = self.endpoints.get(id) else {
             return false;
         };
@@ -229,8 +232,9 @@
             && !endpoint.ejections.apply_to(request.spec.class, self.now)
     }
 
-    /// By when another attempt at endpoint `to`, a prefill endpoint too, must be written so that it
-    /// cannot repeat an effect; `None` if none may be made.
+    /// The time by which another attempt of the request must be written so that it cannot repeat an
+    /// effect; `None` if no attempt may be made. With `to`, of whatever role, the attempt is one at
+    /// that endpoint; without it, at any endpoint.
     pub(crate) fn retry_deadline(
         &self,
         request: &Request,
--- a/crates/routing-policy/src/endpoints.rs
+++ b/crates/routing-policy/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The table of endpoints and the updates of the endpoint list.
+//! The table of endpoints, and its updates from the endpoint list and from load reports.
 
 use std::collections::BTreeMap;
 
@@ -16,32 +16,34 @@
 use crate::slow_start::SendTurns;
 use crate::start_clock::StartClock;
 
-/// The span after a failed poll of the endpoint list until the next one (us).
+/// The delay from a failed poll of the endpoint list to the next one, in microseconds.
 const POLL_RETRY_INTERVAL: Micros = 500_000;
-/// What is in flight at an endpoint if it is any: sums of floats may leave a remainder.
+/// The sum of weights above which an endpoint has anything in flight: adding and subtracting
+/// floating-point weights may leave a remainder.
 const MIN_IN_FLIGHT: f64 = 0.01;
-/// A point in time long before any clock starts, from which spans can still be subtracted.
+/// A point in time before any on the driver's clock, from which a duration can still be subtracted
+/// without overflow.
 const LONG_AGO: Micros = Micros::MIN / 2;
 
-/// What this router has in flight at an endpoint.
+/// The work that this router has in flight at an endpoint.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct InFlight {
-    /// Prefills without a response, each weighted by its work.
+    /// The sum of the weights of prefills without a response; a prefill is weighted by its work.
     pub(crate) prefill_weight: f64,
-    /// Streams, and attempts that are to become streams.
+    /// The number of streams, and of attempts whose response is to be streamed but has not begun.
     pub(crate) streams: f64,
-    /// Prefills elsewhere whose KV state is to come here.
+    /// The number of prefills in flight at other endpoints whose lane has this decode endpoint.
     pub(crate) expected_decodes: f64,
 }
 
 impl InFlight {
-    /// Streams there and those to come.
+    /// The number of streams at the endpoint, including those that are expected from prefills.
     pub(crate) fn all_streams(&self) -> f64 {
         self.streams + self.expected_decodes
     }
 }
 
-/// The limits on what this router has in flight at an endpoint.
+/// The concurrency limits of this router at an endpoint.
 #[derive(Debug)]
 pub(crate) struct EndpointLimits {
     pub(crate) prefill: ConcurrencyLimit,
@@ -57,17 +59,18 @@
     }
 }
 
-/// A load report, and when it was received.
+/// A load report and the time at which it was received.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ReceivedLoad {
     pub(crate) at: Micros,
     pub(crate) report: LoadReport,
 }
 
-/// An endpoint with all that is known of it.
+/// An endpoint and what this router knows of it.
 #[derive(Debug)]
 pub(crate) struct Endpoint {
     pub(crate) spec: EndpointSpec,
+    /// Whether the endpoint is on the endpoint list and takes requests.
     pub(crate) is_listed: bool,
     pub(crate) in_flight: InFlight,
     pub(crate) limits: EndpointLimits,
@@ -77,10 +80,10 @@
     pub(crate) send_turns: SendTurns,
     pub(crate) last_health_check: Micros,
     pub(crate) slot_refused_at: Micros,
-    /// When the latest attempt that it has responded to was sent.
+    /// The latest send time among the attempts that the endpoint has responded to.
     pub(crate) last_answered_send: Micros,
-    /// Since when a health check has had no response, nor anything else; `Micros::MAX` if none
-    /// waits.
+    /// The time at which the oldest health check that waits for a response was sent; `Micros::MAX`
+    /// if none waits. A successful health check or a response to an attempt clears it.
     pub(crate) unresponsive_since: Micros,
 }
 
@@ -102,27 +105,28 @@
         }
     }
 
-    /// It has responded to an attempt that was sent then.
-    pub(crate) fn responded(&mut self, sent_at: Micros) {
+    /// Records that the endpoint has responded to an attempt that was sent at `sent_at`.
+    pub(crate) fn mark_responsive(&mut self, sent_at: Micros) {
         self.last_answered_send = self.last_answered_send.max(sent_at);
         self.unresponsive_since = Micros::MAX;
     }
 
-    /// What belonged to the process before its restart is of no use.
-    fn restarted(&mut self, now: Micros, first_turn: f64) {
+    /// Discards what was known of an earlier process of the endpoint. If the endpoint is in slow
+    /// start, the first send to it waits for the fraction `first_wait` of a send interval.
+    fn reset_after_start(&mut self, now: Micros, first_wait: f64) {
         self.prefix_cache = PrefixCache::default();
         self.load = None;
         self.ejections = Ejections::default();
-        self.send_turns = SendTurns::after_start(now, first_turn);
+        self.send_turns = SendTurns::after_start(now, first_wait);
     }
 
-    fn is_in_use(&self) -> bool {
+    fn has_work_in_flight(&self) -> bool {
         let in_flight = &self.in_flight;
         in_flight.prefill_weight + in_flight.streams + in_flight.expected_decodes > MIN_IN_FLIGHT
     }
 }
 
-/// All endpoints, by their ids.
+/// All known endpoints by their ids, including removed ones with work in flight.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointTable {
     pub(crate) entries: BTreeMap<EndpointId, Endpoint>,
@@ -138,7 +142,7 @@
         self.entries.get_mut(&id)
     }
 
-    /// What is in flight at all endpoints together.
+    /// The work in flight at all endpoints together; `streams` includes expected decodes.
     pub(crate) fn total_in_flight(&self) -> InFlight {
         let mut total = InFlight::default();
         for endpoint in self.entries.values() {
@@ -149,14 +153,14 @@
         total
     }
 
-    fn remove_all_entries(&mut self) {
+    fn mark_all_removed(&mut self) {
         for endpoint in self.entries.values_mut() {
             endpoint.is_listed = false;
             endpoint.spec.state = EndpointState::Removed;
         }
     }
 
-    /// Learns from the starts that were not known.
+    /// Passes the start times that were not known yet to the start clock.
     fn observe_starts(&mut self, specs: &[EndpointSpec], now: Micros) {
         for spec in specs {
             let is_known = self
@@ -168,7 +172,7 @@
         }
     }
 
-    fn store(&mut self, specs: Vec<EndpointSpec>, now: Micros, rng: &mut impl RngCore) {
+    fn store_entries(&mut self, specs: Vec<EndpointSpec>, now: Micros, rng: &mut impl RngCore) {
         for spec in specs {
             let known_start = self.get(spec.id).map(|known| known.spec.started_at);
             let endpoint = self
@@ -178,16 +182,16 @@
             endpoint.spec = spec;
             endpoint.is_listed = spec.state == EndpointState::Active;
             if known_start != Some(spec.started_at) {
-                endpoint.restarted(now, uniform(rng.next_u64()));
+                endpoint.reset_after_start(now, uniform(rng.next_u64()));
             }
         }
     }
 
-    /// Machines are replaced by others for as long as the router runs: an endpoint that was removed
-    /// remains only while it is in use.
-    fn forget_removed(&mut self) {
+    /// Drops removed endpoints that have nothing in flight. Endpoints are replaced by others for as
+    /// long as the router runs, so the table would grow without bound.
+    fn drop_removed_endpoints(&mut self) {
         self.entries.retain(|_, endpoint| {
-            endpoint.spec.state != EndpointState::Removed || endpoint.is_in_use()
+            endpoint.spec.state != EndpointState::Removed || endpoint.has_work_in_flight()
         });
     }
 }
@@ -199,18 +203,18 @@
             EndpointUpdate::Delta(specs) => {
                 self.endpoints.observe_starts(&specs, now);
                 self.endpoints.start_clock.list_received(now);
-                self.endpoints.store(specs, now, &mut self.rng);
+                self.endpoints.store_entries(specs, now, &mut self.rng);
             }
             EndpointUpdate::Snapshot(specs) => {
-                self.endpoints.remove_all_entries();
+                self.endpoints.mark_all_removed();
                 self.endpoints.observe_starts(&specs, now);
                 self.endpoints.start_clock.list_received(now);
-                self.endpoints.store(specs, now, &mut self.rng);
+                self.endpoints.store_entries(specs, now, &mut self.rng);
             }
             EndpointUpdate::Restored(specs) => {
-                self.endpoints.remove_all_entries();
+                self.endpoints.mark_all_removed();
                 self.endpoints.observe_starts(&specs, now);
-                self.endpoints.store(specs, now, &mut self.rng);
+                self.endpoints.store_entries(specs, now, &mut self.rng);
             }
             EndpointUpdate::PollFailed => {
                 if self.parameters.endpoints_are_polled {
@@ -218,7 +222,7 @@
                 }
             }
         }
-        self.endpoints.forget_removed();
+        self.endpoints.drop_removed_endpoints();
         self.advance_queue();
     }
 
@@ -234,7 +238,7 @@
         self.parameters.role(endpoint.spec.kind)
     }
 
-    /// A load report has come with a response.
+    /// Stores the load report that came with a response, if any, for a listed endpoint.
     pub(crate) fn receive_load(&mut self, id: EndpointId, load: Option<LoadReport>) {
         let now = self.now;
         let (Some(endpoint), Some(report)) = (self.endpoints.get_mut(id), load) else {
--- a/crates/routing-policy/src/gossip.rs
+++ b/crates/routing-policy/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip between routers: which of them are shutting down.
+//! Gossip between routers, by which a router that shuts down notifies others.
 
 use std::collections::BTreeMap;
 
@@ -6,16 +6,18 @@
 use crate::ids::Micros;
 use crate::policy::Policy;
 
-/// The message of a router that shuts down.
+/// The gossip message of a router that is shutting down.
 const SHUTTING_DOWN: u8 = 1;
-/// The span from a router's first message until clients are sent to it again (us).
+/// The time from the first message of a peer's shutdown until clients are sent to the peer again,
+/// in microseconds.
 const UNAVAILABLE_FOR: Micros = 5_500_000;
-/// Peers that are notified of a shutdown: the messages of a fleet must not grow with its square.
+/// The maximum number of peers that are notified of a shutdown. If each router notified all others,
+/// the number of messages would grow with the square of the number of routers.
 const MAX_PEERS_NOTIFIED: u32 = 3;
-/// How often they are notified, as any message may be lost.
-pub(crate) const ANNOUNCEMENTS: u32 = 2;
+/// The number of times that each of these peers is notified, as any message may be lost.
+pub(crate) const ANNOUNCEMENT_COUNT: u32 = 2;
 
-/// The routers that shut down, and until when they serve no clients.
+/// The peers that are shutting down, each with the time until which it serves no clients.
 #[derive(Debug, Default)]
 pub(crate) struct PeerTable {
     unavailable_until: BTreeMap<u32, Micros>,
@@ -44,23 +46,24 @@
         self.parameters.peer_count.min(MAX_PEERS_NOTIFIED)
     }
 
-    /// Whether one of the routers whose shutdown this one would have been notified of still serves.
-    pub(crate) fn some_peer_serves(&self) -> bool {
+    /// Whether at least one of the peers that notify this router of their shutdown still serves
+    /// clients.
+    pub(crate) fn has_available_peer(&self) -> bool {
         self.peers.unavailable_count(self.now) < self.peers_to_notify() as usize
     }
 
-    /// Notifies some of the other routers, spread evenly over all, that this one shuts down.
+    /// Notifies some peers, spread evenly over all of them, that this router is shutting down.
     pub(crate) fn announce_shutdown(&mut self) {
-        let notified = self.peers_to_notify();
-        if notified == 0 {
+        let notified_count = self.peers_to_notify();
+        if notified_count == 0 {
             return;
         }
         let peers = self.parameters.peer_count;
-        let own = u64::from(self.parameters.router_index.unwrap_or(0));
-        let distance = peers / notified;
-        let routers = u64::from(peers) + 1;
-        for number in 0..notified {
-            let to = (own + 1 + u64::from(number * distance)) % routers;
+        let own_index = u64::from(self.parameters.router_index.unwrap_or(0));
+        let distance = peers / notified_count;
+        let router_count = u64::from(peers) + 1;
+        for number in 0..notified_count {
+            let to = (own_index + 1 + u64::from(number * distance)) % router_count;
             self.actions.push(Action::Gossip {
                 to: Some(to as u32),
                 payload: vec![SHUTTING_DOWN],
--- a/crates/routing-policy/src/kv_lease.rs
+++ b/crates/routing-policy/src/kv_lease.rs
@@ -1,4 +1,4 @@
-//! KV leases: state that an endpoint holds for a request for a limited span, and its release.
+//! KV leases: KV state that an endpoint holds for a request for a limited time, and its release.
 
 use crate::actions::Action;
 use crate::ids::{EndpointId, Micros, RequestId};
@@ -8,35 +8,37 @@
 /// KV state that waits at a prefill endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct KvLease {
-    /// The endpoint that holds it.
+    /// The endpoint that holds the KV state.
     pub(crate) endpoint: EndpointId,
-    /// Since when no attempt to fetch it is in flight.
+    /// The time at which the lease began: the end of the prefill, or of a later attempt to fetch
+    /// the KV state for which a connection was established.
     pub(crate) since: Micros,
 }
 
 impl Policy {
-    pub(crate) fn lease_has_ended(&self, since: Micros) -> bool {
+    /// Whether KV state that has waited since `since` is due for release.
+    pub(crate) fn is_lease_over(&self, since: Micros) -> bool {
         self.now >= since + self.parameters.kv_lease
     }
 
-    /// A timer of a request has fired: what it holds may be due for release.
-    pub(crate) fn check_lease(&mut self, id: RequestId) {
+    /// Releases the KV state of a request if its lease has ended.
+    pub(crate) fn release_if_lease_ended(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
         match &request.state {
-            RequestState::Prefilled(lease) if self.lease_has_ended(lease.since) => {
-                self.release(id);
+            RequestState::Prefilled(lease) if self.is_lease_over(lease.since) => {
+                self.release_state(id);
             }
-            RequestState::Decoding { attempt, .. } if self.lease_has_ended(attempt.sent_at) => {
-                self.release_unfetched(id);
+            RequestState::Decoding { attempt, .. } if self.is_lease_over(attempt.sent_at) => {
+                self.release_while_fetching(id);
             }
             _ => {}
         }
     }
 
     /// Releases the KV state and the slot that are held for a request without an attempt in flight.
-    pub(crate) fn release(&mut self, id: RequestId) {
+    pub(crate) fn release_state(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -51,15 +53,16 @@
         self.actions.push(Action::ReleaseState(id));
     }
 
-    /// Releases KV state while an attempt to fetch it is in flight, which may not have arrived, as
-    /// open connections can fall silent. If it has arrived nothing is lost: endpoints release only
-    /// what no attempt waits for.
-    fn release_unfetched(&mut self, id: RequestId) {
+    /// Releases the KV state of a request while an attempt to fetch it is in flight. Open
+    /// connections can stop carrying data without an error, so the attempt may not have reached its
+    /// endpoint. If it has, the release is harmless: endpoints keep KV state that an attempt waits
+    /// for.
+    fn release_while_fetching(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        if !request.released_unfetched {
-            request.released_unfetched = true;
+        if !request.released_while_fetching {
+            request.released_while_fetching = true;
             self.actions.push(Action::ReleaseState(id));
         }
     }
--- a/crates/routing-policy/src/policy.rs
+++ b/crates/routing-policy/src/policy.rs
@@ -1,4 +1,4 @@
-//! The policy of one router: its state, and the way of an event to the module that decides.
+//! The policy of one router: its state, and the dispatch of events to the modules that handle them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +10,7 @@
 use crate::endpoints::EndpointTable;
 use crate::estimators::{CompletedWork, TrafficEstimates, WorkEstimates};
 use crate::events::Event;
-use crate::gossip::{PeerTable, ANNOUNCEMENTS};
+use crate::gossip::{PeerTable, ANNOUNCEMENT_COUNT};
 use crate::health_check::CheckBudget;
 use crate::ids::{Micros, RequestId, TimerKey};
 use crate::lane_selection::affinity::{LateShares, PrefixPopularity};
@@ -18,19 +18,19 @@
 use crate::requests::Request;
 use crate::shutdown::Shutdown;
 
-/// The stream of the random number generator.
+/// The stream selector of the random number generator.
 const RNG_STREAM: u64 = 0xda3e_39cb_94b9_5bdb;
 
-/// The decisions of one router.
+/// The policy of one router: takes events from the driver and returns actions.
 pub struct Policy {
     pub(crate) parameters: Parameters,
     pub(crate) now: Micros,
-    /// The actions that the present event has led to so far.
+    /// The actions that result from the event that is being handled.
     pub(crate) actions: Vec<Action>,
     pub(crate) rng: Pcg32,
     pub(crate) endpoints: EndpointTable,
     pub(crate) requests: BTreeMap<RequestId, Request>,
-    /// The requests that wait for an attempt.
+    /// The requests that wait for their next attempt.
     pub(crate) queue: BTreeSet<RequestId>,
     pub(crate) total_limits: TotalLimits,
     pub(crate) check_budget: CheckBudget,
@@ -44,7 +44,8 @@
 }
 
 impl Policy {
-    /// A policy that knows nothing but its settings. Equal seeds and events give equal actions.
+    /// Creates a policy without endpoints or requests. Policies with equal settings, seeds and
+    /// events return equal actions.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let mut policy = Policy {
             parameters: Parameters::new(&settings),
@@ -71,7 +72,7 @@
         policy
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         match event {
@@ -104,7 +105,7 @@
                 migrate_from,
                 answer_by,
             } => {
-                self.shutdown = Some(Shutdown::new(migrate_from, answer_by, ANNOUNCEMENTS));
+                self.shutdown = Some(Shutdown::new(migrate_from, answer_by, ANNOUNCEMENT_COUNT));
             }
             Event::TimerFired(key) => self.on_timer(key),
             Event::HealthChecked {
@@ -122,7 +123,7 @@
             TimerKey::Tick => self.on_tick(),
             TimerKey::PollEndpoints => self.poll_endpoints(),
             TimerKey::Request(id) => {
-                self.check_lease(id);
+                self.release_if_lease_ended(id);
                 self.advance(id);
             }
         }
--- a/crates/routing-policy/src/requests.rs
+++ b/crates/routing-policy/src/requests.rs
@@ -1,4 +1,5 @@
-//! The life of a request: its state, attempts that begin and end, and clients that disconnect.
+//! The states of a request, and their changes when an attempt starts to stream or ends and when a
+//! client disconnects.
 
 use crate::actions::Action;
 use crate::config::Role;
@@ -8,14 +9,15 @@
 use crate::kv_lease::KvLease;
 use crate::policy::Policy;
 
-/// Whether an attempt is later than its latency objective allows.
+/// Whether an attempt takes longer than its latency objective allows, and what has been done about
+/// it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Overdue {
-    /// It is not, as far as is known.
+    /// The attempt has not been found to be overdue.
     No,
-    /// It is, and its endpoint's limit has been decreased for it.
+    /// The attempt is overdue, and the concurrency limit of its endpoint has been decreased for it.
     Recorded,
-    /// It is, and it has been cancelled.
+    /// The attempt is overdue and has been cancelled.
     Cancelled,
 }
 
@@ -24,37 +26,38 @@
 pub(crate) struct Attempt {
     pub(crate) number: u32,
     pub(crate) endpoint: EndpointId,
-    /// What the endpoint does for the request.
+    /// The role that the endpoint takes for the request.
     pub(crate) role: Role,
     pub(crate) sent_at: Micros,
-    /// The weight of the prefill among those in flight at the endpoint.
+    /// The weight of the prefill in the sum of those in flight at the endpoint; 0 for a decode.
     pub(crate) prefill_weight: f64,
-    /// The decode endpoint of the lane, for a prefill.
+    /// The decode endpoint of the lane, if the attempt is a prefill.
     pub(crate) decode_endpoint: Option<EndpointId>,
-    /// What it is if it may have been executed.
+    /// The record that the request keeps of the attempt if it may have been executed.
     pub(crate) execution: PossibleExecution,
     pub(crate) overdue: Overdue,
 }
 
-/// Where a request is on its way.
+/// The state of a request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum RequestState {
-    /// It waits for a lane.
+    /// The request waits for a lane.
     Queued,
-    /// It waits for the health check of the endpoint that it would go to.
+    /// The request waits for a health check of the endpoint to which it would be sent.
     Checking { endpoint: EndpointId, until: Micros },
-    /// An attempt that processes the prompt is in flight; at a mixed endpoint it responds too.
+    /// An attempt that processes the prompt is in flight. At a mixed endpoint, the same attempt
+    /// also streams the response.
     Prefilling(Attempt),
-    /// Its KV state waits for a decode endpoint.
+    /// The KV state of the request waits at its prefill endpoint to be fetched.
     Prefilled(KvLease),
     /// An attempt that fetches the KV state is in flight.
     Decoding { attempt: Attempt, lease: KvLease },
-    /// Its response streams.
+    /// The response is being streamed.
     Streaming(Attempt),
 }
 
 impl RequestState {
-    /// The attempt in flight.
+    /// The attempt that is in flight.
     pub(crate) fn attempt(&self) -> Option<&Attempt> {
         match self {
             RequestState::Prefilling(attempt)
@@ -77,7 +80,7 @@
         }
     }
 
-    /// The attempt in flight whose response has not begun.
+    /// The attempt that is in flight, if its response has not begun.
     pub(crate) fn waiting_attempt(&self) -> Option<&Attempt> {
         match self {
             RequestState::Prefilling(attempt) | RequestState::Decoding { attempt, .. } => {
@@ -87,7 +90,7 @@
         }
     }
 
-    /// The KV state of the request.
+    /// The lease of the request's KV state, until the response begins.
     pub(crate) fn lease(&self) -> Option<KvLease> {
         match self {
             RequestState::Prefilled(lease) | RequestState::Decoding { lease, .. } => Some(*lease),
@@ -100,25 +103,26 @@
     }
 }
 
-/// A request that has no final response yet, or an attempt in flight.
+/// A request that has no final response yet, or still has an attempt in flight.
 #[derive(Debug)]
 pub(crate) struct Request {
     pub(crate) spec: RequestSpec,
     pub(crate) arrived_at: Micros,
     pub(crate) state: RequestState,
-    /// It has its final response, and only waits for its attempt to end.
+    /// Whether the request has its final response or needs none. It remains until its attempt in
+    /// flight ends.
     pub(crate) is_closed: bool,
     pub(crate) first_sent_at: Option<Micros>,
     pub(crate) attempts: u32,
-    /// The decode endpoint at which a slot is reserved, or to which its lane leads.
+    /// The decode endpoint at which a slot is reserved, or that of the lane if none is.
     pub(crate) reserved_slot: Option<EndpointId>,
     pub(crate) slot_reservations: u32,
     pub(crate) health_checks: u32,
-    /// Endpoints may hold KV state or a slot for it.
+    /// Whether endpoints may hold KV state or a slot for the request.
     pub(crate) holds_state: bool,
-    /// Its KV state has been released while an attempt to fetch it is in flight.
-    pub(crate) released_unfetched: bool,
-    /// The first attempt that may have been executed.
+    /// Whether the KV state has been released while the present attempt to fetch it is in flight.
+    pub(crate) released_while_fetching: bool,
+    /// The first attempt of the request that may have been executed.
     pub(crate) execution: Option<PossibleExecution>,
 }
 
@@ -135,14 +139,14 @@
             slot_reservations: 0,
             health_checks: 0,
             holds_state: false,
-            released_unfetched: false,
+            released_while_fetching: false,
             execution: None,
         }
     }
 }
 
-/// The state of a request after an attempt without a stream to the end.
-fn state_after(
+/// The state of a request after the end of an attempt; `before` is its state during the attempt.
+fn state_after_attempt(
     before: &RequestState,
     attempt: &Attempt,
     outcome: Outcome,
@@ -154,11 +158,11 @@
             since: now,
         });
     }
-    let is_gone = outcome == Outcome::Rejected(RejectReason::NoKvState);
-    let lease = before.lease().filter(|_| !is_gone);
+    let kv_state_is_missing = outcome == Outcome::Rejected(RejectReason::NoKvState);
+    let lease = before.lease().filter(|_| !kv_state_is_missing);
     match (lease, outcome) {
         (None, _) => RequestState::Queued,
-        // Without a connection the KV state has waited all the while.
+        // Without a connection, the KV state has been waiting since the lease began.
         (Some(lease), Outcome::Completed | Outcome::ConnectFailed(_)) => {
             RequestState::Prefilled(lease)
         }
@@ -185,11 +189,11 @@
         let since_first_send = now - request.first_sent_at.unwrap_or(now);
         self.traffic.stream_started(since_first_send);
         if attempt.role == Role::Mixed {
-            self.prefill_ended(endpoint, attempt.prefill_weight);
+            self.subtract_prefill_weight(endpoint, attempt.prefill_weight);
         }
         self.record_outcome(endpoint, Some(class), Outcome::Completed);
         if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
-            endpoint.responded(attempt.sent_at);
+            endpoint.mark_responsive(attempt.sent_at);
         }
         self.record_response(id, &attempt, false);
     }
@@ -208,7 +212,8 @@
         let Some(attempt) = before.attempt().filter(|attempt| attempt.number == number) else {
             return;
         };
-        // Only prefill endpoints leave KV state: from another endpoint it proves nothing.
+        // Only prefill endpoints leave KV state. From another endpoint, this outcome does not show
+        // what happened, so it counts as an error.
         let outcome = match outcome {
             Outcome::Prefilled { .. } if attempt.role != Role::Prefill => Outcome::ServerError,
             outcome => outcome,
@@ -216,30 +221,30 @@
         request.state = RequestState::Queued;
         request.is_closed |= client_done || outcome == Outcome::Completed;
         self.remove_from_in_flight(attempt, before.is_streaming());
-        self.learn_from(id, attempt, outcome);
+        self.record_attempt_end(id, attempt, outcome);
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.state = state_after(&before, attempt, outcome, now);
+        request.state = state_after_attempt(&before, attempt, outcome, now);
         if may_have_executed(attempt.role, outcome) && request.execution.is_none() {
             request.execution = Some(attempt.execution);
         }
         self.continue_after_attempt(id);
     }
 
-    /// What the end of an attempt tells of its endpoint and of the work of requests.
-    fn learn_from(&mut self, id: RequestId, attempt: &Attempt, outcome: Outcome) {
+    /// Records what the end of an attempt shows about its endpoint and about the work of requests.
+    fn record_attempt_end(&mut self, id: RequestId, attempt: &Attempt, outcome: Outcome) {
         let Some(spec) = self.requests.get(&id).map(|request| request.spec) else {
             return;
         };
-        let says_nothing_of_the_endpoint = matches!(
+        let is_unrelated_to_endpoint = matches!(
             outcome,
             Outcome::Rejected(RejectReason::NoKvState)
                 | Outcome::ConnectionReset(ResetCause::StaleIdle)
                 | Outcome::ConnectFailed(ConnectFailure::LocalResources)
         );
-        if !says_nothing_of_the_endpoint {
+        if !is_unrelated_to_endpoint {
             self.record_outcome(attempt.endpoint, Some(spec.class), outcome);
         }
         let has_responded = matches!(
@@ -248,7 +253,7 @@
         );
         if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
             if has_responded {
-                endpoint.responded(attempt.sent_at);
+                endpoint.mark_responsive(attempt.sent_at);
             }
         }
         match outcome {
@@ -260,7 +265,8 @@
         self.record_cached_prompt(&spec, attempt, outcome);
     }
 
-    /// The work that a served request was, in the unit of its endpoint's role.
+    /// Records the work of a successful attempt: uncached prompt tokens for a prefill, else the
+    /// duration of the attempt in microseconds.
     fn record_work(&mut self, spec: &RequestSpec, attempt: &Attempt, outcome: Outcome) {
         let work = match outcome {
             Outcome::Prefilled { cached_tokens } => {
@@ -279,7 +285,8 @@
         }
     }
 
-    /// A request whose attempt has ended waits for the next one, unless it has its final response.
+    /// Queues a request whose attempt has ended for its next attempt, or closes the request if it
+    /// has its final response.
     fn continue_after_attempt(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -291,10 +298,10 @@
             .map(|lease| lease.since + self.parameters.kv_lease)
             .filter(|end| self.now < *end);
         if lease_end.is_none() {
-            self.release(id);
+            self.release_state(id);
         }
         if is_closed {
-            self.close(id);
+            self.close_request(id);
             return;
         }
         self.queue.insert(id);
@@ -304,7 +311,8 @@
         self.advance(id);
     }
 
-    fn prefill_ended(&mut self, id: EndpointId, weight: f64) {
+    /// Subtracts the weight of a prefill from the work in flight at an endpoint.
+    fn subtract_prefill_weight(&mut self, id: EndpointId, weight: f64) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             let in_flight = &mut endpoint.in_flight;
             in_flight.prefill_weight = (in_flight.prefill_weight - weight).max(0.0);
@@ -321,7 +329,7 @@
         } else {
             attempt.prefill_weight
         };
-        self.prefill_ended(attempt.endpoint, weight);
+        self.subtract_prefill_weight(attempt.endpoint, weight);
         if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
             if attempt.role != Role::Prefill {
                 endpoint.in_flight.streams -= 1.0;
@@ -329,11 +337,11 @@
         }
     }
 
-    /// Nobody waits for the response any more: an attempt without a stream is cancelled, and what
-    /// is held is released when it ends.
+    /// Closes a request whose client no longer waits for the response. An attempt whose response
+    /// has not begun is cancelled, and what endpoints hold is released when the attempt ends.
     pub(crate) fn on_client_disconnected(&mut self, id: RequestId) {
         self.cancel_waiting_attempt(id);
-        self.close(id);
+        self.close_request(id);
     }
 
     pub(crate) fn cancel_waiting_attempt(&mut self, id: RequestId) {
@@ -350,8 +358,9 @@
         }
     }
 
-    /// The request has its final response, or needs none.
-    pub(crate) fn close(&mut self, id: RequestId) {
+    /// Closes a request that has its final response or needs none, and forgets it unless an attempt
+    /// is in flight.
+    pub(crate) fn close_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -359,7 +368,7 @@
         let has_attempt = request.state.attempt().is_some();
         self.queue.remove(&id);
         if !has_attempt {
-            self.release(id);
+            self.release_state(id);
             self.requests.remove(&id);
         }
     }
--- a/crates/routing-policy/src/shutdown.rs
+++ b/crates/routing-policy/src/shutdown.rs
@@ -1,20 +1,21 @@
-//! Graceful shutdown: what becomes of open requests when this router is about to end.
+//! Graceful shutdown: migrates streams and gives open requests their final response.
 
 use crate::actions::Action;
 use crate::ids::{Micros, RequestId};
 use crate::policy::Policy;
 
-/// Streams that are migrated at one tick: each is prefilled anew elsewhere.
-const MIGRATIONS_AT_ONCE: usize = 4;
+/// The maximum number of streams that are migrated in one tick, as each needs another prefill at
+/// its new router.
+const MAX_MIGRATIONS_PER_TICK: usize = 4;
 
-/// A shutdown that has begun.
+/// The state of a shutdown that has begun.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Shutdown {
-    /// From then on clients that ask again reach another router.
+    /// The time from which clients that connect again reach another router.
     migrate_from: Micros,
-    /// All requests must have their final response by then.
+    /// The time by which all requests must have their final response.
     answer_by: Micros,
-    /// How often the other routers are still to be notified.
+    /// The number of times that peers will still be notified.
     announcements_left: u32,
 }
 
@@ -29,9 +30,10 @@
 }
 
 impl Policy {
-    /// While this router shuts down: announces it to others and migrates streams, the newest first,
-    /// unless all routers that would have notified this one are shutting down themselves. At the
-    /// end all streams are migrated, and what has no response gets its final one.
+    /// Advances a shutdown of this router at a tick. Announces the shutdown to peers, and from
+    /// `migrate_from` on migrates some resumable streams, the newest first, unless all peers that
+    /// notify this router of their shutdown are shutting down too. From `answer_by` on, migrates
+    /// all resumable streams and gives all requests without a stream their final response.
     pub(crate) fn continue_shutdown(&mut self) {
         let Some(shutdown) = self.shutdown.as_mut() else {
             return;
@@ -44,12 +46,13 @@
         if must_announce {
             self.announce_shutdown();
         }
-        let is_over = self.now >= shutdown.answer_by;
-        let others_serve = self.now >= shutdown.migrate_from && self.some_peer_serves();
-        let may_migrate = self.parameters.resumable_streams && (is_over || others_serve);
-        let mut migrations_left = match (is_over, may_migrate) {
+        let deadline_reached = self.now >= shutdown.answer_by;
+        let peers_are_available = self.now >= shutdown.migrate_from && self.has_available_peer();
+        let may_migrate =
+            self.parameters.resumable_streams && (deadline_reached || peers_are_available);
+        let mut migrations_left = match (deadline_reached, may_migrate) {
             (true, _) => usize::MAX,
-            (false, true) => MIGRATIONS_AT_ONCE,
+            (false, true) => MAX_MIGRATIONS_PER_TICK,
             (false, false) => 0,
         };
         for id in self.open_requests_newest_first() {
@@ -59,9 +62,9 @@
                     self.actions.push(Action::Migrate(id));
                 }
                 migrations_left = migrations_left.saturating_sub(1);
-            } else if is_over {
+            } else if deadline_reached {
                 self.cancel_waiting_attempt(id);
-                self.give_up(id);
+                self.reject_or_fail(id);
             }
         }
     }
