--- a/crates/routing-policy/src/dispatch.rs
+++ b/crates/routing-policy/src/dispatch.rs
@@ -153,8 +153,8 @@
         true
     }
 
-    /// The point in time halfway to the end of a lease. An attempt that is not written by then
-    /// leaves the other half for an attempt at another endpoint.
+    /// The point in time halfway from now to the end of a lease. An attempt that is not written by
+    /// then leaves the other half for an attempt at another endpoint.
     fn midpoint_to_lease_end(&self, lease: KvLease) -> Micros {
         self.now + (lease.since + self.parameters.kv_lease - self.now) / 2
     }
@@ -219,8 +219,8 @@
         }
     }
 
-    /// Whether a request may be sent to an endpoint: the endpoint is open, not ejected and of an
-    /// allowed kind, and a retry is permitted there.
+    /// Whether a request may be sent to an endpoint: the endpoint takes requests now, is not
+    /// ejected, is of an allowed kind, and may be sent a retry if the request needs one.
     pub(crate) fn accepts(&self, id: EndpointId, request: &Request, kind: SendKind) -> bool {
         // An endpoint that was chosen earlier may have left the endpoint list since.
         let Some(endpoint) = self.endpoints.get(id) else {
@@ -233,8 +233,8 @@
     }
 
     /// The time by which another attempt of the request must be written so that it cannot repeat an
-    /// effect; `None` if no attempt may be made. With `to`, of whatever role, the attempt is one at
-    /// that endpoint; without it, at any endpoint.
+    /// effect; `None` if no attempt may be made. If `to` is given, whatever its role, the time is
+    /// for an attempt at that endpoint, else for one at any endpoint.
     pub(crate) fn retry_deadline(
         &self,
         request: &Request,
--- a/crates/routing-policy/src/idempotency.rs
+++ b/crates/routing-policy/src/idempotency.rs
@@ -67,8 +67,8 @@
     }
 
     /// The time by which another attempt must be written so that the request is not executed twice;
-    /// `None` if no attempt may be made. With `to`, of whatever role, the attempt is one at that
-    /// endpoint; without it, at any endpoint.
+    /// `None` if no attempt may be made. If `to` is given, whatever its role, the time is for an
+    /// attempt at that endpoint, else for one at any endpoint.
     pub fn retry_deadline(
         &self,
         executed: Option<PossibleExecution>,
