--- a/crates/routing-policy/src/health_check.rs
+++ b/crates/routing-policy/src/health_check.rs
@@ -1,6 +1,7 @@
-//! Health checks: before a request is sent to an endpoint whose load report is old, and of all
-//! endpoints in turn. Where load reports come only with health checks they are how an endpoint that
-//! jams is noticed.
+//! Health checks of endpoints, where only health checks contain load reports.
+//!
+//! The router checks an endpoint before it sends a request there if the load report is old, and all
+//! endpoints in turn. The checks also show when an endpoint has stopped responding.
 
 use crate::actions::Action;
 use crate::events::{LoadReport, Outcome};
@@ -8,28 +9,30 @@
 use crate::policy::Policy;
 use crate::requests::RequestState;
 
-/// Endpoints that are checked for one request in turn, at most.
-const MAX_CHECKS_FOR_A_REQUEST: u32 = 3;
-/// The least span between the checks of an endpoint in turn (us).
+/// Maximum number of health checks for one request, one after another.
+const MAX_CHECKS_PER_REQUEST: u32 = 3;
+/// Minimum duration since an endpoint's last health check before it is checked in turn.
 const MIN_CHECK_INTERVAL: Micros = 1_000_000;
-/// Checks for each request: checking all endpoints costs more than the work.
-const CHECKS_FOR_EACH_REQUEST: f64 = 1.5;
-/// The requests for which checks may be saved up.
+/// Number of health checks that each arriving request adds to the budget. Checking all endpoints
+/// without such a limit would cost more than the requests themselves.
+const CHECKS_PER_REQUEST: f64 = 1.5;
+/// Number of requests whose checks can accumulate in the budget.
 const MAX_SAVED_REQUESTS: f64 = 4.0;
-/// The age of a load report from which an endpoint is checked before a send (us): half of the age
-/// at which it is stale.
+/// Age of a load report from which its endpoint is checked before a send: half of the age at which
+/// the report is stale.
 const CHECK_BEFORE_SEND_AGE: Micros = 2_000_000;
-/// How long a request waits for the outcome of a check (us): most come by then.
+/// Time for which a request waits for the outcome of a health check: most outcomes arrive within
+/// it.
 pub(crate) const CHECK_TIMEOUT: Micros = 80_000;
 
-/// The checks that may be sent now, in the ratio to requests that is allowed.
+/// The number of health checks that may be sent now. It grows with each request.
 #[derive(Debug, Default)]
 pub(crate) struct CheckBudget(f64);
 
 impl CheckBudget {
     pub(crate) fn request_arrived(&mut self) {
-        let most = MAX_SAVED_REQUESTS * CHECKS_FOR_EACH_REQUEST;
-        self.0 = (self.0 + CHECKS_FOR_EACH_REQUEST).min(most);
+        let max = MAX_SAVED_REQUESTS * CHECKS_PER_REQUEST;
+        self.0 = (self.0 + CHECKS_PER_REQUEST).min(max);
     }
 
     fn is_empty(&self) -> bool {
@@ -42,13 +45,13 @@
 }
 
 impl Policy {
-    /// Checks the prefill endpoint that a request would go to, if its load report is old; the
-    /// request then waits for the outcome.
+    /// Sends a health check to the prefill endpoint that a request would go to if the endpoint's
+    /// load report is old. Returns whether the request waits for the outcome.
     pub(crate) fn check_before_send(&mut self, id: RequestId, endpoint: EndpointId) -> bool {
         let load = self.endpoints.entries[&endpoint].load;
         let is_old = load.is_none_or(|load| self.now >= load.at + CHECK_BEFORE_SEND_AGE);
         let checks = self.requests[&id].health_checks;
-        if !is_old || checks >= MAX_CHECKS_FOR_A_REQUEST || !self.health_check(endpoint) {
+        if !is_old || checks >= MAX_CHECKS_PER_REQUEST || !self.send_health_check(endpoint) {
             return false;
         }
         let until = self.now + CHECK_TIMEOUT;
@@ -60,7 +63,7 @@
         true
     }
 
-    /// Checks the endpoint whose last check is the longest ago.
+    /// Checks the listed endpoint with the earliest last health check, unless that is recent.
     pub(crate) fn check_next_endpoint(&mut self) {
         let listed = self
             .endpoints
@@ -72,12 +75,13 @@
             return;
         };
         if self.now >= endpoint.last_health_check + MIN_CHECK_INTERVAL {
-            self.health_check(*id);
+            self.send_health_check(*id);
         }
     }
 
-    /// Sends a health check where they contain load reports, as far as the budget allows.
-    fn health_check(&mut self, id: EndpointId) -> bool {
+    /// Sends a health check if health checks contain load reports and the budget allows it. Returns
+    /// whether it was sent.
+    fn send_health_check(&mut self, id: EndpointId) -> bool {
         if !self.parameters.health_checks_report_load || self.check_budget.is_empty() {
             return false;
         }
--- a/crates/routing-policy/src/outlier.rs
+++ b/crates/routing-policy/src/outlier.rs
@@ -1,4 +1,5 @@
-//! Outlier detection: failures eject an endpoint for a while, longer each time.
+//! Outlier detection: an endpoint that fails is ejected for a limited time, which grows with each
+//! further failure.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +7,15 @@
 use crate::ids::{ClassId, EndpointId, Micros};
 use crate::policy::Policy;
 
-/// The span of the first ejection (us), doubled with each further failure ...
-const FIRST_EJECTION: Micros = 500_000;
-/// ... up to this span (us).
-const MAX_EJECTION: Micros = 8_000_000;
-/// The most doublings, which keeps the shift in range.
+/// Duration of the first ejection. It doubles with each further failure, up to
+/// [`MAX_EJECTION_DURATION`].
+const FIRST_EJECTION_DURATION: Micros = 500_000;
+/// Maximum duration of an ejection.
+const MAX_EJECTION_DURATION: Micros = 8_000_000;
+/// Maximum number of doublings, which keeps the shift within the range of the integer.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// Failures in a row, and the ejection that they led to.
+/// The number of failures that still count, and the end of the ejection that they led to.
 #[derive(Debug, Clone, Copy, Default)]
 struct Ejection {
     failures: u32,
@@ -21,9 +23,9 @@
 }
 
 impl Ejection {
-    fn record_failure(&mut self, min_span: Micros, now: Micros) {
-        let span = FIRST_EJECTION << self.failures.min(MAX_DOUBLINGS);
-        self.until = now + span.max(min_span).min(MAX_EJECTION);
+    fn record_failure(&mut self, min_duration: Micros, now: Micros) {
+        let duration = FIRST_EJECTION_DURATION << self.failures.min(MAX_DOUBLINGS);
+        self.until = now + duration.max(min_duration).min(MAX_EJECTION_DURATION);
         self.failures += 1;
     }
 
@@ -32,7 +34,7 @@
     }
 }
 
-/// The ejections of an endpoint: for all classes, and for single ones.
+/// The ejections of an endpoint, for all classes together and for each class.
 #[derive(Debug, Default)]
 pub(crate) struct Ejections {
     all_classes: Option<Ejection>,
@@ -40,26 +42,27 @@
 }
 
 impl Ejections {
-    /// Whether the endpoint is ejected for requests of a class.
+    /// Returns whether the endpoint is ejected for requests of a class.
     pub(crate) fn apply_to(&self, class: ClassId, now: Micros) -> bool {
-        let of_class = self.by_class.get(&class);
-        [self.all_classes.as_ref(), of_class]
+        let class_ejection = self.by_class.get(&class);
+        [self.all_classes.as_ref(), class_ejection]
             .into_iter()
             .flatten()
             .any(|ejection| !ejection.is_over(now))
     }
 
-    /// One success is no recovery for its class: an endpoint that fails at once looks idle and
-    /// draws all that is queued.
+    /// Ends the ejection for all classes and halves the failures of the class. A single success
+    /// does not end the ejection for its class, because an endpoint that fails requests immediately
+    /// looks idle and would attract everything that is queued.
     fn record_success(&mut self, class: Option<ClassId>) {
         self.all_classes = None;
-        let of_class = class.and_then(|class| self.by_class.get_mut(&class));
-        if let Some(ejection) = of_class {
+        let class_ejection = class.and_then(|class| self.by_class.get_mut(&class));
+        if let Some(ejection) = class_ejection {
             ejection.failures /= 2;
         }
     }
 
-    fn of(&mut self, class: Option<ClassId>) -> &mut Ejection {
+    fn entry_for(&mut self, class: Option<ClassId>) -> &mut Ejection {
         match class {
             Some(class) => self.by_class.entry(class).or_default(),
             None => self.all_classes.get_or_insert_default(),
@@ -68,10 +71,12 @@
 }
 
 impl Policy {
-    /// Records the outcome of an attempt of a class, or of a health check. Errors and timeouts
-    /// eject the endpoint for their class alone, lost connections and rejections for all. The fewer
-    /// requests this router has, the longer, else an ejection would be over before the next
-    /// request.
+    /// Records the outcome of an attempt of a class, or of a health check, which counts for all
+    /// classes. Errors and timeouts eject the endpoint for the class alone, lost connections and
+    /// rejections for all classes. Except after rejections, an ejection lasts at least for the mean
+    /// interval between this router's requests times the number of endpoints, but no longer than
+    /// [`MAX_EJECTION_DURATION`]. If the router has few requests, the ejection would otherwise be
+    /// over before the next one.
     pub(crate) fn record_outcome(
         &mut self,
         id: EndpointId,
@@ -79,7 +84,7 @@
         outcome: Outcome,
     ) {
         let now = self.now;
-        let round =
+        let interval_per_endpoint =
             self.traffic.arrival_interval() as Micros * self.endpoints.entries.len() as Micros;
         let Some(endpoint) = self.endpoints.get_mut(id) else {
             return;
@@ -91,12 +96,16 @@
                 ejections.record_success(class);
             }
             Outcome::ServerError | Outcome::TimedOut => {
-                ejections.of(class).record_failure(round, now);
+                ejections
+                    .entry_for(class)
+                    .record_failure(interval_per_endpoint, now);
             }
             Outcome::ConnectFailed(_) | Outcome::ConnectionReset(_) => {
-                ejections.of(None).record_failure(round, now);
+                ejections
+                    .entry_for(None)
+                    .record_failure(interval_per_endpoint, now);
             }
-            Outcome::Rejected(_) => ejections.of(None).record_failure(0, now),
+            Outcome::Rejected(_) => ejections.entry_for(None).record_failure(0, now),
             Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
--- a/crates/routing-policy/src/parameters.rs
+++ b/crates/routing-policy/src/parameters.rs
@@ -1,10 +1,11 @@
-//! The settings with all defaults filled in, resolved once at the start of a policy.
+//! The parameters of a policy: its settings with the defaults filled in, resolved once at its
+//! start.
 
 use crate::config::{Class, LoadReporting, Role, Settings};
 use crate::idempotency::RetryRule;
 use crate::ids::{ClassId, KindId, Micros, ZoneId};
 
-/// The span between two periodic checks of timers, health checks and queued requests (us).
+/// Interval between the periodic checks of attempts, health checks and queued requests.
 pub(crate) const TICK: Micros = 50_000;
 
 const DEFAULT_LATENCY_OBJECTIVE: Micros = 2_000_000;
@@ -15,15 +16,17 @@
 const DEFAULT_OVERLOAD_WINDOW: Micros = 2_000_000;
 const DEFAULT_COLD_CAPACITY: f64 = 0.15;
 const DEFAULT_WARM_UP: Micros = 20_000_000;
-/// Routers that share the endpoints where the settings do not say: as many as to be careful.
+/// Number of routers assumed to share the endpoints if the settings do not give it. It is high so
+/// that the router is careful with the endpoints.
 const DEFAULT_ROUTER_COUNT: u32 = 16;
 
-/// The share of the KV lease timeout after which KV state is released, as timers may be late.
+/// Share of the KV lease timeout after which KV state is released. It is below 1 because timers may
+/// be late.
 const KV_LEASE_SHARE: f64 = 0.6;
-/// The least share of its capacity that an endpoint is taken to have after its start.
+/// Minimum share of its capacity that an endpoint is assumed to have after its start.
 const MIN_COLD_CAPACITY: f64 = 0.01;
 
-/// A request class.
+/// The parameters of a request class.
 #[derive(Debug, Clone)]
 pub(crate) struct ClassParameters {
     latency_objective: Micros,
@@ -48,48 +51,50 @@
         }
     }
 
-    /// The span within which the first token of a response to such a prompt should be sent.
+    /// Returns the time within which the first token of the response to a prompt of this length
+    /// should be sent.
     pub(crate) fn latency_objective(&self, prompt_tokens: u64) -> Micros {
-        let thousands_times_slope =
+        let prompt_allowance =
             self.latency_objective_per_1000_tokens * prompt_tokens as f64 / 1000.0;
-        self.latency_objective + thousands_times_slope as Micros
+        self.latency_objective + prompt_allowance as Micros
     }
 }
 
-/// What slow start is bounded by.
+/// The capacity of an endpoint in slow start, and the load at which it is overloaded.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SlowStartParameters {
-    /// The share of its capacity that an endpoint has right after its start.
+    /// Share of its capacity that an endpoint has right after its start.
     pub(crate) cold_capacity: f64,
-    /// The span after which it has all of it (us).
+    /// Time after its start at which an endpoint has its whole capacity, in microseconds.
     pub(crate) warm_up: f64,
-    /// The multiple of its present capacity at which it is overloaded ...
+    /// Multiple of its present capacity that overloads an endpoint if it is sent this load for
+    /// [`SlowStartParameters::overload_window`].
     pub(crate) overload_multiple: f64,
-    /// ... when it is sent that for this span (us).
+    /// Duration of such a load that overloads an endpoint, in microseconds.
     pub(crate) overload_window: f64,
 }
 
-/// The settings with all defaults filled in.
+/// The settings with the defaults filled in.
 #[derive(Debug)]
 pub(crate) struct Parameters {
-    /// The routers that share the endpoints, for sums over all of them.
+    /// Number of routers that share the endpoints, for estimates of sums over all routers.
     pub(crate) router_count: f64,
-    /// The other routers that the settings name.
+    /// Number of other routers according to the settings; 0 if the settings give no number.
     pub(crate) peer_count: u32,
     pub(crate) router_index: Option<u32>,
     pub(crate) zone: Option<ZoneId>,
     pub(crate) max_attempts: u32,
-    /// The span before a client's deadline at which a queued request gets its final response.
+    /// Time before a client's deadline at which a queued request gets its final response.
     response_margin: Micros,
-    /// The span after which KV state that is held for a request is released.
+    /// Time after which KV state that is held for a request is released.
     pub(crate) kv_lease: Micros,
-    /// The longest advice to a rejected client; 0 where none may be given.
+    /// Longest `Retry-After` that a rejected client is given; 0 if none may be given.
     pub(crate) max_retry_after: Micros,
     pub(crate) slow_start: SlowStartParameters,
     pub(crate) slot_reservations: bool,
     pub(crate) decode_can_prefill: bool,
     pub(crate) resumable_streams: bool,
-    /// Health checks may be sent, and their responses contain load reports.
+    /// Whether health checks may be sent and only their responses contain load reports.
     pub(crate) health_checks_report_load: bool,
     pub(crate) cancellation: bool,
     pub(crate) gossip: bool,
@@ -148,18 +153,18 @@
         self.roles.get(kind.0).copied().unwrap_or(Role::Mixed)
     }
 
-    /// When a request that still waits must get its final response.
+    /// Returns when a request with this deadline must get its final response if it still waits.
     pub(crate) fn respond_by(&self, deadline: Micros) -> Micros {
         deadline - self.response_margin
     }
 }
 
 fn response_margin(settings: &Settings) -> Micros {
-    let two_deliveries = 2 * settings.event_interval.unwrap_or(TICK);
-    if settings.response_slack.unwrap_or(0) > two_deliveries {
+    let two_event_intervals = 2 * settings.event_interval.unwrap_or(TICK);
+    if settings.response_slack.unwrap_or(0) > two_event_intervals {
         0
     } else {
-        two_deliveries
+        two_event_intervals
     }
 }
 
--- a/crates/routing-policy/src/slow_start.rs
+++ b/crates/routing-policy/src/slow_start.rs
@@ -1,37 +1,39 @@
-//! Slow start: how much an endpoint may be sent after its start.
+//! Slow start: limits how much is sent to an endpoint that has started recently.
 //!
-//! An endpoint that has just started has a part of its capacity, and falls over when all routers
-//! together send it more than a multiple of that. Each router therefore waits between its sends to
-//! such an endpoint for a span that keeps the sum over all routers under the budget.
+//! An endpoint that has just started has only a part of its capacity, and is overloaded if all
+//! routers together send it more than a multiple of that part. Each router therefore waits between
+//! its sends to such an endpoint for an interval that keeps the sum over all routers within the
+//! budget.
 
 use crate::config::Role;
 use crate::endpoints::Endpoint;
 use crate::ids::{EndpointId, Micros};
 use crate::policy::Policy;
 
-/// The share of the budget of an endpoint in slow start that routers use, as their sends are
-/// random.
+/// Share of the budget of an endpoint in slow start that routers use. The rest is a margin, because
+/// the routers' sends vary at random.
 const BUDGET_SHARE: f64 = 0.8;
 
-/// Which sends take turns of their own at an endpoint in slow start.
+/// The kinds of sends that wait for separate turns at an endpoint in slow start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SendKind {
-    /// Any request.
+    /// A send of any request.
     Any,
-    /// Requests of sessions whose affinity target the endpoint is. They need not wait for a first
-    /// turn: an endpoint draws as many as the part of its capacity that it has.
+    /// A send of a request of a session whose affinity target is the endpoint. There is no wait
+    /// before the first one: the share of sessions for which an endpoint is the target is already
+    /// in proportion to the part of its capacity that it has.
     Affinity,
 }
 
-/// The wait for the next send to an endpoint in slow start.
+/// The wait for the next send of one kind to an endpoint in slow start.
 #[derive(Debug, Clone, Copy, Default)]
 struct SendTurn {
     since: Micros,
-    /// The part of a send interval that is waited for.
+    /// Length of the wait as a multiple of the send interval.
     fraction: f64,
 }
 
-/// The waits for the next sends of each kind.
+/// The waits for the next send of each kind to an endpoint in slow start.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct SendTurns {
     any: SendTurn,
@@ -39,13 +41,13 @@
 }
 
 impl SendTurns {
-    /// Right after the start the first wait is a random part of an interval, so that routers do not
-    /// all send at once.
-    pub(crate) fn after_start(now: Micros, first_turn: f64) -> SendTurns {
+    /// Returns the waits after the start of an endpoint. `first_fraction` is a random part of the
+    /// send interval, so that the routers do not all send at the same time.
+    pub(crate) fn after_start(now: Micros, first_fraction: f64) -> SendTurns {
         SendTurns {
             any: SendTurn {
                 since: now,
-                fraction: first_turn,
+                fraction: first_fraction,
             },
             affinity: SendTurn {
                 since: now,
@@ -54,7 +56,8 @@
         }
     }
 
-    /// After a send of such a part of the mean work.
+    /// Returns the waits after a send. `fraction` is the expected work of the request as a multiple
+    /// of the mean work.
     pub(crate) fn after_send(now: Micros, fraction: f64) -> SendTurns {
         let turn = SendTurn {
             since: now,
@@ -75,7 +78,8 @@
 }
 
 impl Policy {
-    /// Whether an endpoint takes requests, and this router's turn has come if it is in slow start.
+    /// Returns whether an endpoint is open: it is listed, and if it is in slow start, this router's
+    /// turn to send to it has come.
     pub(crate) fn is_open(&self, id: EndpointId, kind: SendKind) -> bool {
         let Some(endpoint) = self.endpoints.get(id) else {
             return false;
@@ -89,7 +93,7 @@
         turn.since + (self.send_interval(endpoint) * turn.fraction) as Micros
     }
 
-    /// The part of its capacity that an endpoint has at least.
+    /// Returns the minimum share of its capacity that an endpoint has by now.
     pub(crate) fn warm_fraction(&self, endpoint: &Endpoint) -> f64 {
         let Some(started_at) = endpoint.spec.started_at.filter(|at| *at > 0) else {
             return 1.0;
@@ -100,7 +104,8 @@
         (cold + (1.0 - cold) * age / slow_start.warm_up).min(1.0)
     }
 
-    /// The span between this router's sends to an endpoint in slow start (us).
+    /// Returns the interval in microseconds between this router's sends to an endpoint in slow
+    /// start.
     fn send_interval(&self, endpoint: &Endpoint) -> f64 {
         let role = self.role_of(endpoint);
         let slow_start = &self.parameters.slow_start;
@@ -108,11 +113,11 @@
             * self.warm_fraction(endpoint)
             * BUDGET_SHARE
             * self.completed_work.rate(role);
-        let longest = slow_start.overload_window * self.parameters.router_count;
-        (self.work.overall(role, 1.0) / rate).min(longest)
+        let max_interval = slow_start.overload_window * self.parameters.router_count;
+        (self.work.overall(role, 1.0) / rate).min(max_interval)
     }
 
-    /// Takes anew what each warm endpoint of a role completes of this router's work.
+    /// Recalculates how much of this router's work each warm endpoint of a role completes.
     pub(crate) fn update_completion_rate(&mut self, role: Role) {
         let is_warm = |endpoint: &&Endpoint| {
             endpoint.is_listed
