--- a/crates/routing-policy/src/concurrency.rs
+++ b/crates/routing-policy/src/concurrency.rs
@@ -1,48 +1,54 @@
 //! Adaptive concurrency limits (additive increase, multiplicative decrease).
 //!
-//! Each endpoint and each resource as a whole has a limit on what this router keeps in flight
-//! there, learnt from how late responses are. Without them a short excess of load would become a
-//! queue at the endpoints in which every request is late.
+//! Each endpoint has a limit on what this router keeps in flight there, and each resource has one
+//! for all endpoints together. The limits are learnt from how late responses are. Without them, a
+//! short excess of load would become a queue at the endpoints in which every request is late.
 
 use crate::actions::Action;
 use crate::config::{Idempotency, Role};
 use crate::endpoints::{Endpoint, EndpointLimits, InFlight};
-use crate::estimators::{indicator, move_toward};
+use crate::estimators::{indicator, update_moving_average};
 use crate::events::RequestSpec;
 use crate::ids::{EndpointId, Micros, RequestId};
 use crate::policy::Policy;
 use crate::requests::{Attempt, Overdue, Request, RequestState};
 
-/// The factor of a limit's decrease after a late response.
+/// Factor by which a limit is multiplied after a late response.
 const DECREASE_FACTOR: f64 = 0.85;
-/// A limit's least increase after a quick response ...
+/// Minimum increase of a limit after a response in time.
 const MIN_INCREASE: f64 = 0.3;
-/// ... and its increase as a share of itself, if that is more.
+/// Increase of a limit after a response in time as a share of the limit, where this is more than
+/// [`MIN_INCREASE`].
 const INCREASE_SHARE: f64 = 0.04;
-/// A limit is raised only while so large a share of it is in use.
-const UTILIZATION_FOR_INCREASE: f64 = 0.8;
+/// Share of a limit that must be in use for the limit to be raised.
+const MIN_UTILIZATION_FOR_INCREASE: f64 = 0.8;
 const MIN_LIMIT: f64 = 1.0;
-/// The limits of an endpoint at first and at most: weighted prefills, and streams.
+/// Initial and maximum limit of an endpoint on weighted prefills.
 const MAX_PREFILL_LIMIT: f64 = 8.0;
+/// Initial and maximum limit of an endpoint on streams.
 const MAX_STREAM_LIMIT: f64 = 1_000.0;
-/// The least limits for all endpoints together, for each endpoint and over all routers.
+/// Minimum total limit of all routers on weighted prefills, for each endpoint that takes prefills.
 const MIN_TOTAL_PREFILLS: f64 = 12.0;
+/// Minimum total limit of all routers on streams, for each endpoint that takes streams.
 const MIN_TOTAL_STREAMS: f64 = 24.0;
-/// The share of late responses above which a resource as a whole counts as overloaded.
+/// Share of late responses above which a resource at all endpoints together counts as overloaded.
 const OVERLOAD_LATE_SHARE: f64 = 0.3;
-/// The share by which late shares move with each response.
-pub(crate) const LATE_SHARE_STEP: f64 = 0.1;
-/// The shares of the latency objective after which a prefill, the first token of a decode, and the
-/// first token of a mixed endpoint are late.
-const LATE_PREFILL: f64 = 0.35;
-const LATE_DECODE: f64 = 0.2;
-const LATE_MIXED: f64 = 0.35;
-/// An attempt is lost if one that was sent so much later has had its response (us) ...
+/// Smoothing factor of the moving averages of the share of late responses.
+pub(crate) const LATE_SHARE_SMOOTHING: f64 = 0.1;
+/// Share of the latency objective after which a prefill is late.
+const PREFILL_OBJECTIVE_SHARE: f64 = 0.35;
+/// Share of the latency objective after which the first token of a decode endpoint is late.
+const DECODE_OBJECTIVE_SHARE: f64 = 0.2;
+/// Share of the latency objective after which the first token of a mixed endpoint is late.
+const MIXED_OBJECTIVE_SHARE: f64 = 0.35;
+/// An attempt is lost if its endpoint has responded to another attempt that was sent more than this
+/// duration later.
 const OVERTAKEN_AFTER: Micros = 250_000;
-/// ... or if its endpoint has responded to neither health checks nor attempts for so long (us).
+/// An attempt is lost if its endpoint has responded neither to health checks nor to attempts for
+/// longer than this duration.
 const UNRESPONSIVE_AFTER: Micros = 1_500_000;
 
-/// What concurrency is limited of.
+/// A resource whose concurrent use is limited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Resource {
     /// Prefills, weighted by their work.
@@ -54,7 +60,7 @@
 impl Resource {
     const ALL: [Resource; 2] = [Resource::Prefill, Resource::Streams];
 
-    /// The limit of an endpoint at first and at most.
+    /// Returns the initial and maximum limit of an endpoint.
     pub(crate) fn max_endpoint_limit(self) -> f64 {
         match self {
             Resource::Prefill => MAX_PREFILL_LIMIT,
@@ -62,14 +68,15 @@
         }
     }
 
-    fn min_total_for_each_endpoint(self) -> f64 {
+    /// Returns the minimum total limit of all routers, for each endpoint that uses the resource.
+    fn min_total_per_endpoint(self) -> f64 {
         match self {
             Resource::Prefill => MIN_TOTAL_PREFILLS,
             Resource::Streams => MIN_TOTAL_STREAMS,
         }
     }
 
-    /// Whether endpoints of a role, and attempts at them, take part of it.
+    /// Returns whether attempts at endpoints of a role use the resource.
     fn is_used_by(self, role: Role) -> bool {
         match self {
             Resource::Prefill => role != Role::Decode,
@@ -77,14 +84,14 @@
         }
     }
 
-    fn of_endpoint(self, limits: &mut EndpointLimits) -> &mut ConcurrencyLimit {
+    fn limit_of_endpoint_mut(self, limits: &mut EndpointLimits) -> &mut ConcurrencyLimit {
         match self {
             Resource::Prefill => &mut limits.prefill,
             Resource::Streams => &mut limits.streams,
         }
     }
 
-    fn of_total(self, total: &InFlight) -> f64 {
+    fn total_in_flight_of(self, total: &InFlight) -> f64 {
         match self {
             Resource::Prefill => total.prefill_weight,
             Resource::Streams => total.streams,
@@ -92,14 +99,14 @@
     }
 }
 
-/// A limit that is learnt from responses.
+/// A concurrency limit that is learnt from responses.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ConcurrencyLimit {
     limit: f64,
     last_decrease: Micros,
 }
 
-/// What a response tells a limit.
+/// The facts of a response from which a limit is adjusted.
 #[derive(Debug, Clone, Copy)]
 struct LimitSample {
     sent_at: Micros,
@@ -119,15 +126,15 @@
         self.limit
     }
 
-    /// Decreases after a late response to something that was sent since the last decrease;
-    /// increases after a quick one near the limit.
+    /// Increases the limit after a response in time if most of the limit is in use. Decreases it
+    /// after a late response if the attempt was sent after the last decrease.
     fn record(&mut self, sample: LimitSample, max: f64, now: Micros) {
         let LimitSample {
             sent_at,
             in_flight,
             is_late,
         } = sample;
-        if !is_late && in_flight + 1.0 >= self.limit * UTILIZATION_FOR_INCREASE {
+        if !is_late && in_flight + 1.0 >= self.limit * MIN_UTILIZATION_FOR_INCREASE {
             let increase = MIN_INCREASE.max(self.limit * INCREASE_SHARE);
             self.limit = (self.limit + increase).min(max);
         } else if is_late && sent_at > self.last_decrease {
@@ -152,9 +159,11 @@
         }
     }
 
+    /// Adjusts the limit. Late responses decrease it only while the share of late responses is
+    /// above [`OVERLOAD_LATE_SHARE`].
     fn record(&mut self, sample: LimitSample, min: f64, now: Micros) {
         let late = indicator(sample.is_late);
-        move_toward(&mut self.late_share, late, LATE_SHARE_STEP);
+        update_moving_average(&mut self.late_share, late, LATE_SHARE_SMOOTHING);
         if !sample.is_late || self.late_share > OVERLOAD_LATE_SHARE {
             self.limit.record(sample, f64::MAX, now);
             self.limit.limit = self.limit.limit.max(min);
@@ -184,7 +193,7 @@
         }
     }
 
-    /// Whether there is capacity left of both resources.
+    /// Returns whether this router's total in flight is below the limits on both resources.
     pub(crate) fn allow(&self, total: &InFlight) -> bool {
         total.prefill_weight < self.prefill.limit.value()
             && total.streams < self.streams.limit.value()
@@ -192,20 +201,27 @@
 }
 
 impl Policy {
-    /// An endpoint that was late or full is given less, a quick one at its limit more; so is a
-    /// resource as a whole with its share of late responses.
-    pub(crate) fn record_response(&mut self, id: RequestId, attempt: &Attempt, is_full: bool) {
+    /// Adjusts the concurrency limits after a response. A late one decreases the limits of the
+    /// endpoint, and the total limits if the share of late responses is high. One in time increases
+    /// the limits that are nearly in full use. `counts_as_late` marks an attempt as late whatever
+    /// its duration: the endpoint rejected it as overloaded, or it is overdue without a response.
+    pub(crate) fn record_response(
+        &mut self,
+        id: RequestId,
+        attempt: &Attempt,
+        counts_as_late: bool,
+    ) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let is_late = is_full || self.is_overdue(&request.spec, attempt);
+        let is_late = counts_as_late || self.is_overdue(&request.spec, attempt);
         let total = self.endpoints.total_in_flight();
-        let queued_there = if is_late {
+        let queued_at_endpoint = if is_late {
             self.not_started_streams(attempt)
         } else {
             0.0
         };
-        // What was overdue has been recorded as late when it became so.
+        // An overdue attempt was already recorded as late when it became overdue.
         let is_first_record = attempt.overdue == Overdue::No;
         if attempt.role != Role::Decode && is_first_record {
             self.record_late_share(attempt.endpoint, is_late);
@@ -214,28 +230,28 @@
             if !resource.is_used_by(attempt.role) {
                 continue;
             }
-            let endpoints = self.listed_endpoints_with(resource);
+            let endpoint_count = self.count_listed_endpoints(resource);
             let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) else {
                 continue;
             };
             let in_flight = match resource {
                 Resource::Prefill => endpoint.in_flight.prefill_weight + attempt.prefill_weight,
-                Resource::Streams => (endpoint.in_flight.streams - queued_there).max(0.0),
+                Resource::Streams => (endpoint.in_flight.streams - queued_at_endpoint).max(0.0),
             };
             let sample = LimitSample {
                 sent_at: attempt.sent_at,
                 in_flight,
                 is_late,
             };
-            resource.of_endpoint(&mut endpoint.limits).record(
+            resource.limit_of_endpoint_mut(&mut endpoint.limits).record(
                 sample,
                 resource.max_endpoint_limit(),
                 self.now,
             );
             if is_first_record {
-                let min = resource.min_total_for_each_endpoint() * endpoints
+                let min = resource.min_total_per_endpoint() * endpoint_count
                     / self.parameters.router_count;
-                let in_flight = resource.of_total(&total);
+                let in_flight = resource.total_in_flight_of(&total);
                 let sample = LimitSample {
                     in_flight,
                     ..sample
@@ -247,32 +263,34 @@
         }
     }
 
-    /// Attempts at a decode endpoint without a stream wait for a slot there. At a mixed endpoint
-    /// they are being prefilled.
+    /// Counts the attempts at the decode endpoint of `attempt` that have no stream yet and wait for
+    /// a slot there. The result is 0 at a mixed endpoint, where attempts without a stream are being
+    /// prefilled.
     fn not_started_streams(&self, attempt: &Attempt) -> f64 {
         if attempt.role != Role::Decode {
             return 0.0;
         }
-        let waits_there = |request: &&Request| match &request.state {
+        let waits_at_endpoint = |request: &&Request| match &request.state {
             RequestState::Prefilling(other) | RequestState::Decoding { attempt: other, .. } => {
                 other.endpoint == attempt.endpoint
             }
             _ => false,
         };
-        self.requests.values().filter(waits_there).count() as f64
+        self.requests.values().filter(waits_at_endpoint).count() as f64
     }
 
-    fn listed_endpoints_with(&self, resource: Resource) -> f64 {
+    /// Counts the listed endpoints that use a resource.
+    fn count_listed_endpoints(&self, resource: Resource) -> f64 {
         let uses = |endpoint: &&Endpoint| {
             endpoint.is_listed && resource.is_used_by(self.role_of(endpoint))
         };
         self.endpoints.entries.values().filter(uses).count() as f64
     }
 
-    /// Attempts that are overdue tell of an endpoint's limit before they end, so that the limit of
-    /// a silent endpoint falls too. Those that are lost are cancelled.
+    /// Records attempts as late as soon as they are overdue, so that the limit of an endpoint that
+    /// does not respond at all decreases too. Cancels the attempts that are lost.
     pub(crate) fn check_overdue_attempts(&mut self) {
-        for (id, attempt) in self.newly_overdue_attempts() {
+        for (id, attempt) in self.overdue_attempts() {
             if attempt.overdue == Overdue::No {
                 self.record_response(id, &attempt, true);
             }
@@ -294,7 +312,8 @@
         }
     }
 
-    fn newly_overdue_attempts(&self) -> Vec<(RequestId, Attempt)> {
+    /// Returns the overdue attempts that have not been cancelled.
+    fn overdue_attempts(&self) -> Vec<(RequestId, Attempt)> {
         let mut overdue = Vec::new();
         for (id, request) in &self.requests {
             let Some(attempt) = request.state.waiting_attempt() else {
@@ -307,9 +326,9 @@
         overdue
     }
 
-    /// Whether an attempt waits in vain, as open connections can fall silent, and its request may
-    /// be sent again: its endpoint responded to what was sent well after it, or to nothing for
-    /// long.
+    /// Returns whether an attempt is lost and its request may be sent again. Open connections can
+    /// fall silent without an error: an attempt counts as lost if its endpoint has responded to an
+    /// attempt that was sent well after it, or to nothing for a long time.
     fn is_lost(&self, id: RequestId, attempt: &Attempt) -> bool {
         let request = &self.requests[&id];
         let class = self.parameters.class(request.spec.class);
@@ -322,6 +341,7 @@
             && self.has_lost(attempt.endpoint, attempt.sent_at)
     }
 
+    /// Returns whether an endpoint has lost an attempt that was sent to it at `sent_at`.
     fn has_lost(&self, endpoint: EndpointId, sent_at: Micros) -> bool {
         self.endpoints.get(endpoint).is_some_and(|endpoint| {
             endpoint.last_answered_send > sent_at + OVERTAKEN_AFTER
@@ -329,16 +349,17 @@
         })
     }
 
+    /// Returns whether an attempt has taken longer than its role's share of the latency objective.
     fn is_overdue(&self, spec: &RequestSpec, attempt: &Attempt) -> bool {
-        let late_share = match attempt.role {
-            Role::Prefill => LATE_PREFILL,
-            Role::Decode => LATE_DECODE,
-            Role::Mixed => LATE_MIXED,
+        let objective_share = match attempt.role {
+            Role::Prefill => PREFILL_OBJECTIVE_SHARE,
+            Role::Decode => DECODE_OBJECTIVE_SHARE,
+            Role::Mixed => MIXED_OBJECTIVE_SHARE,
         };
         let objective = self
             .parameters
             .class(spec.class)
             .latency_objective(spec.prompt_tokens);
-        (self.now - attempt.sent_at) as f64 > objective as f64 * late_share
+        (self.now - attempt.sent_at) as f64 > objective as f64 * objective_share
     }
 }
--- a/crates/routing-policy/src/endpoint_status.rs
+++ b/crates/routing-policy/src/endpoint_status.rs
@@ -1,5 +1,5 @@
-//! The policy's view of the endpoints, for observers: the control service passes it to
-//! other proxies. Decides nothing.
+//! The policy's view of the endpoints, which the control service passes to other proxies. Nothing
+//! here affects a decision.
 
 use crate::actions::EndpointStatus;
 use crate::config::Role;
@@ -12,11 +12,12 @@
 use crate::requests::Request;
 use crate::slow_start::SendKind;
 
-/// A request of no class, of which nothing is cached.
+/// Class of the placeholder request with which endpoints are scored. It is not a class of the
+/// settings. The request has no session and no shared prefix, so that nothing of it is cached.
 const NO_CLASS: ClassId = ClassId(usize::MAX);
 
 impl Policy {
-    /// The policy's view of each endpoint that it knows.
+    /// Returns the policy's view of each endpoint that it knows.
     pub fn endpoint_statuses(&mut self, now: Micros) -> Vec<EndpointStatus> {
         self.now = now;
         let fleet = self.fleet_view();
@@ -39,25 +40,25 @@
         fleet: &FleetView,
     ) -> EndpointStatus {
         let role = self.role_of(endpoint);
-        let mut parts: Vec<LaneCandidate> = Vec::new();
-        let mut highest = 0.0;
+        let mut sides: Vec<LaneCandidate> = Vec::new();
+        let mut max_score = 0.0;
         if role != Role::Decode {
-            parts.push(self.prefill_candidate(&request.spec, id, None, 0, fleet));
-            highest += score::QUEUE_WEIGHT;
+            sides.push(self.prefill_candidate(&request.spec, id, None, 0, fleet));
+            max_score += score::QUEUE_WEIGHT;
         }
         if role != Role::Prefill {
-            parts.push(self.decode_candidate(id, fleet, 0));
-            highest += score::MEMORY_WEIGHT + score::SLOT_WEIGHT;
+            sides.push(self.decode_candidate(id, fleet, 0));
+            max_score += score::MEMORY_WEIGHT + score::SLOT_WEIGHT;
         }
-        let is_fresh = parts.iter().all(|part| part.is_fresh);
-        let load: f64 = parts.iter().map(|part| part.load).sum();
-        let score: f64 = parts.iter().map(|part| part.score).sum();
+        let is_fresh = sides.iter().all(|side| side.is_fresh);
+        let load: f64 = sides.iter().map(|side| side.load).sum();
+        let score: f64 = sides.iter().map(|side| side.score).sum();
         EndpointStatus {
             endpoint: id,
             accepts_work: self.accepts(id, request, SendKind::Any)
                 && is_fresh
                 && load <= score::OVERLOAD_BOUND,
-            score: (score / highest).clamp(0.0, 1.0),
+            score: (score / max_score).clamp(0.0, 1.0),
         }
     }
 }
--- a/crates/routing-policy/src/estimators.rs
+++ b/crates/routing-policy/src/estimators.rs
@@ -5,23 +5,24 @@
 use crate::config::Role;
 use crate::ids::{ClassId, Micros};
 
-/// The share by which a mean moves with each request.
-pub(crate) const REQUEST_STEP: f64 = 0.05;
-/// The share by which the interval between dequeued requests moves with each.
-const DEQUEUE_STEP: f64 = 0.2;
-/// Over the mean time to first token: two in three requests make it.
-const FIRST_TOKEN_SAFETY: f64 = 1.3;
-/// The span over which completed work fades (us) ...
-const COMPLETED_WORK_FADE: Micros = 10_000_000;
-/// ... and the least span that it is divided by: one event is no rate (us).
+/// Smoothing factor of the moving averages that are updated with each request.
+pub(crate) const REQUEST_SMOOTHING: f64 = 0.05;
+/// Smoothing factor of the moving average of the interval between dequeued requests.
+const DEQUEUE_SMOOTHING: f64 = 0.2;
+/// Multiple of the mean time to first token within which two in three requests get theirs.
+const FIRST_TOKEN_MARGIN: f64 = 1.3;
+/// Time constant with which the sums of completed work decay.
+const COMPLETED_WORK_TIME_CONSTANT: Micros = 10_000_000;
+/// Minimum duration in microseconds by which a sum of completed work is divided for a rate: a
+/// single event soon after the start says nothing about the rate.
 const MIN_EFFECTIVE_WINDOW: f64 = 2_000_000.0;
 
-/// Moves a mean toward a value.
-pub(crate) fn move_toward(mean: &mut f64, value: f64, step: f64) {
-    *mean += (value - *mean) * step;
+/// Updates an exponential moving average with a value.
+pub(crate) fn update_moving_average(mean: &mut f64, value: f64, smoothing: f64) {
+    *mean += (value - *mean) * smoothing;
 }
 
-/// 1 for true and 0 for false.
+/// Returns 1 for true and 0 for false.
 pub(crate) fn indicator(condition: bool) -> f64 {
     if condition {
         1.0
@@ -30,18 +31,18 @@
     }
 }
 
-/// The part that is left after `span` of what fades over `fade` (both us).
-fn remaining(span: Micros, fade: Micros) -> f64 {
-    (-(span as f64) / fade as f64).exp()
+/// Returns the share that is left of a value after `elapsed` if it decays with `time_constant`.
+fn remaining_share(elapsed: Micros, time_constant: Micros) -> f64 {
+    (-(elapsed as f64) / time_constant as f64).exp()
 }
 
-/// The part of a span that counts for a sum that fades over `fade` (us): a rate is the sum divided
-/// by it.
-fn effective_window(span: Micros, fade: Micros) -> f64 {
-    fade as f64 * (1.0 - remaining(span, fade))
+/// Returns the duration in microseconds by which a decaying sum over the last `elapsed` is divided
+/// for a rate.
+fn effective_window(elapsed: Micros, time_constant: Micros) -> f64 {
+    time_constant as f64 * (1.0 - remaining_share(elapsed, time_constant))
 }
 
-/// A sum whose earlier parts fade.
+/// A sum that decays exponentially with time.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct DecayingSum {
     sum: f64,
@@ -49,14 +50,14 @@
 }
 
 impl DecayingSum {
-    /// The sum at `now`, where it fades over `fade` (us).
-    pub(crate) fn at(&self, now: Micros, fade: Micros) -> f64 {
-        self.sum * remaining(now - self.at, fade)
+    /// Returns the sum at `now` if it decays with `time_constant`.
+    pub(crate) fn at(&self, now: Micros, time_constant: Micros) -> f64 {
+        self.sum * remaining_share(now - self.at, time_constant)
     }
 
-    /// Adds to the sum at `now`, which only advances.
-    pub(crate) fn add(&mut self, part: f64, now: Micros, fade: Micros) {
-        self.sum = self.at(now, fade) + part;
+    /// Adds a value to the sum at `now`, which must not be earlier than at the previous call.
+    pub(crate) fn add(&mut self, value: f64, now: Micros, time_constant: Micros) {
+        self.sum = self.at(now, time_constant) + value;
         self.at = now;
     }
 }
@@ -95,8 +96,8 @@
     }
 }
 
-/// The mean work of a request at endpoints of each role: uncached tokens for a prefill, else the
-/// time of the whole response (us).
+/// The mean work of a request at endpoints of each role: the uncached tokens at prefill endpoints,
+/// the duration of the whole response in microseconds at others.
 #[derive(Debug, Default)]
 pub(crate) struct WorkEstimates {
     overall: PerRole<Option<f64>>,
@@ -106,17 +107,18 @@
 impl WorkEstimates {
     pub(crate) fn record(&mut self, role: Role, class: ClassId, work: f64) {
         let overall = self.overall.get_mut(role).get_or_insert(work);
-        move_toward(overall, work, REQUEST_STEP);
-        let of_class = self.by_class.entry((role, class)).or_insert(work);
-        move_toward(of_class, work, REQUEST_STEP);
+        update_moving_average(overall, work, REQUEST_SMOOTHING);
+        let class_mean = self.by_class.entry((role, class)).or_insert(work);
+        update_moving_average(class_mean, work, REQUEST_SMOOTHING);
     }
 
-    /// The mean over all classes.
+    /// Returns the mean over all classes, or `default` if no request has been recorded.
     pub(crate) fn overall(&self, role: Role, default: f64) -> f64 {
         self.overall.get(role).unwrap_or(default)
     }
 
-    /// The mean of a class, or over all classes where there was no request of it.
+    /// Returns the mean of a class, or the mean over all classes if no request of this class has
+    /// been recorded.
     pub(crate) fn of_class(&self, role: Role, class: ClassId, default: f64) -> f64 {
         match self.by_class.get(&(role, class)) {
             Some(mean) => *mean,
@@ -125,12 +127,12 @@
     }
 }
 
-/// How much work of this router the warm endpoints of each role completed lately.
+/// The work that the warm endpoints of each role have recently completed for this router.
 #[derive(Debug)]
 pub(crate) struct CompletedWork {
     sums: PerRole<DecayingSum>,
     rates: PerRole<f64>,
-    since: Micros,
+    created_at: Micros,
 }
 
 impl CompletedWork {
@@ -138,37 +140,42 @@
         CompletedWork {
             sums: PerRole::default(),
             rates: PerRole::default(),
-            since: now,
+            created_at: now,
         }
     }
 
     pub(crate) fn record(&mut self, role: Role, work: f64, now: Micros) {
-        self.sums.get_mut(role).add(work, now, COMPLETED_WORK_FADE);
+        self.sums
+            .get_mut(role)
+            .add(work, now, COMPLETED_WORK_TIME_CONSTANT);
     }
 
-    /// Takes the rate anew. A short life counts for what it is, so that routers that have all just
-    /// started do not take their endpoints for idle.
+    /// Recalculates the rate. Soon after this router's start the sum is divided by the shorter time
+    /// that it covers: otherwise the rate would be too low, and routers that have all just started
+    /// would take their endpoints for idle.
     pub(crate) fn update_rate(&mut self, role: Role, warm_endpoints: f64, now: Micros) {
-        let window =
-            effective_window(now - self.since, COMPLETED_WORK_FADE).max(MIN_EFFECTIVE_WINDOW);
-        let completed = self.sums.get(role).at(now, COMPLETED_WORK_FADE);
+        let window = effective_window(now - self.created_at, COMPLETED_WORK_TIME_CONSTANT)
+            .max(MIN_EFFECTIVE_WINDOW);
+        let completed = self.sums.get(role).at(now, COMPLETED_WORK_TIME_CONSTANT);
         *self.rates.get_mut(role) = completed / window / warm_endpoints;
     }
 
-    /// The work that one warm endpoint of a role completes for this router in a microsecond.
+    /// Returns the work that one warm endpoint of a role completes for this router in a
+    /// microsecond.
     pub(crate) fn rate(&self, role: Role) -> f64 {
         *self.rates.get(role)
     }
 }
 
-/// What is learnt of arrivals and of the queue. Spans are in microseconds.
+/// Estimates of arrivals, of the queue and of the time to first token. Durations are in
+/// microseconds.
 #[derive(Debug)]
 pub(crate) struct TrafficEstimates {
     arrival_interval: f64,
     last_arrival: Micros,
     dequeue_interval: f64,
     last_dequeue: Micros,
-    time_to_first_token: f64,
+    time_to_first_token_with_margin: f64,
 }
 
 impl TrafficEstimates {
@@ -178,51 +185,57 @@
             last_arrival: now,
             dequeue_interval: 0.0,
             last_dequeue: now,
-            time_to_first_token: 0.0,
+            time_to_first_token_with_margin: 0.0,
         }
     }
 
     pub(crate) fn request_arrived(&mut self, now: Micros) {
         let interval = (now - self.last_arrival) as f64;
-        move_toward(&mut self.arrival_interval, interval, REQUEST_STEP);
+        update_moving_average(&mut self.arrival_interval, interval, REQUEST_SMOOTHING);
         self.last_arrival = now;
     }
 
-    /// The queue was empty until now: the wait for the next dequeued request begins.
+    /// Records that the queue was empty until now: the time to the next dequeued request starts.
     pub(crate) fn queue_begins(&mut self, now: Micros) {
         self.last_dequeue = now;
     }
 
     pub(crate) fn request_dequeued(&mut self, now: Micros) {
         let interval = (now - self.last_dequeue) as f64;
-        move_toward(&mut self.dequeue_interval, interval, DEQUEUE_STEP);
+        update_moving_average(&mut self.dequeue_interval, interval, DEQUEUE_SMOOTHING);
         self.last_dequeue = now;
     }
 
     pub(crate) fn stream_started(&mut self, since_first_send: Micros) {
-        let with_margin = since_first_send as f64 * FIRST_TOKEN_SAFETY;
-        move_toward(&mut self.time_to_first_token, with_margin, REQUEST_STEP);
+        let with_margin = since_first_send as f64 * FIRST_TOKEN_MARGIN;
+        update_moving_average(
+            &mut self.time_to_first_token_with_margin,
+            with_margin,
+            REQUEST_SMOOTHING,
+        );
     }
 
-    /// The mean interval between arrivals.
+    /// Returns the mean interval between arrivals in microseconds.
     pub(crate) fn arrival_interval(&self) -> f64 {
         self.arrival_interval
     }
 
-    /// How long it takes until so many requests have left the queue.
+    /// Returns the expected time until this number of requests has left the queue. The interval
+    /// between dequeued requests counts as longer if the next one is overdue.
     pub(crate) fn queue_wait(&self, requests: usize, now: Micros) -> Micros {
         let waited = (now - self.last_dequeue) as f64;
         let overdue = (waited - self.dequeue_interval).max(0.0);
-        ((self.dequeue_interval + overdue * DEQUEUE_STEP) * requests as f64) as Micros
+        ((self.dequeue_interval + overdue * DEQUEUE_SMOOTHING) * requests as f64) as Micros
     }
 
-    /// The time from the first send to the first token that two in three requests make.
+    /// Returns the time from the first send to the first token that two in three requests do not
+    /// exceed.
     pub(crate) fn likely_time_to_first_token(&self) -> Micros {
-        self.time_to_first_token as Micros
+        self.time_to_first_token_with_margin as Micros
     }
 
-    /// The mean time from the first send to the first token.
+    /// Returns the mean time from the first send to the first token in microseconds.
     pub(crate) fn mean_time_to_first_token(&self) -> f64 {
-        self.time_to_first_token / FIRST_TOKEN_SAFETY
+        self.time_to_first_token_with_margin / FIRST_TOKEN_MARGIN
     }
 }
--- a/crates/routing-policy/src/lane_selection/candidates.rs
+++ b/crates/routing-policy/src/lane_selection/candidates.rs
@@ -1,4 +1,4 @@
-//! The endpoints that take part in the choice of a lane.
+//! The endpoints that are candidates for a lane.
 
 use rand_core::RngCore;
 
@@ -13,7 +13,7 @@
 use crate::random::uniform;
 use crate::slow_start::SendKind;
 
-/// The candidates for both sides of a lane.
+/// The candidates for the prefill and the decode side of a lane.
 #[derive(Debug, Default)]
 pub(crate) struct Candidates {
     pub(crate) prefill: Vec<LaneCandidate>,
@@ -21,6 +21,7 @@
 }
 
 impl Policy {
+    /// Returns the endpoints that have capacity for a request and accept it.
     pub(crate) fn lane_candidates(
         &mut self,
         id: RequestId,
@@ -56,13 +57,19 @@
             }
         }
         if candidates.prefill.is_empty() && self.parameters.decode_can_prefill {
-            self.let_decode_serve_alone(&mut candidates, &request.spec, affinity_target, fleet);
+            self.let_decode_endpoints_serve_alone(
+                &mut candidates,
+                &request.spec,
+                affinity_target,
+                fleet,
+            );
         }
         candidates
     }
 
-    /// Where cells have more endpoints of one role than of the other, the rest of these are paired
-    /// across cells: else few partners would fill up and others stand idle.
+    /// Returns the group within which an endpoint is paired, usually its cell. If a cell has more
+    /// endpoints of one role than partners for them, the rest of them is paired across the cells of
+    /// the zone. Otherwise the few partners in the cell would fill up while others are idle.
     fn pairing_group(&self, endpoint: &Endpoint, salt: u64, fleet: &FleetView) -> PairingGroup {
         let role = self.role_of(endpoint);
         let spec = &endpoint.spec;
@@ -74,8 +81,9 @@
         }
     }
 
-    /// No prefill endpoint is left: decode endpoints that can process prompts serve requests alone.
-    fn let_decode_serve_alone(
+    /// Lets the decode endpoints, which can process prompts themselves, serve the request alone,
+    /// because there is no candidate for the prefill.
+    fn let_decode_endpoints_serve_alone(
         &self,
         candidates: &mut Candidates,
         spec: &RequestSpec,
@@ -99,7 +107,7 @@
     }
 }
 
-/// Whether there is capacity for a further request of this router.
+/// Returns whether an endpoint's concurrency limits allow another request of this router.
 fn has_capacity(endpoint: &Endpoint) -> bool {
     let in_flight = &endpoint.in_flight;
     in_flight.prefill_weight < endpoint.limits.prefill.value()
--- a/crates/routing-policy/src/lane_selection/fleet_view.rs
+++ b/crates/routing-policy/src/lane_selection/fleet_view.rs
@@ -1,4 +1,4 @@
-//! What one decision takes from all endpoints together.
+//! Figures over all endpoints together that one decision needs.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use crate::policy::Policy;
 use crate::slow_start::SendKind;
 
-/// The open endpoints of a group, by role.
+/// The numbers of open prefill and decode endpoints of a group.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct RoleCounts {
     pub(crate) prefill: f64,
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Partners for each endpoint of a role.
-    fn partners_of(&self, role: Role) -> f64 {
+    /// Returns the number of partners for each endpoint of a role.
+    fn partners_per_endpoint(&self, role: Role) -> f64 {
         match role {
             Role::Prefill => self.decode / self.prefill.max(1.0),
             Role::Decode | Role::Mixed => self.prefill / self.decode.max(1.0),
@@ -34,7 +34,7 @@
     }
 }
 
-/// The mean of a reported figure over the endpoints that report it.
+/// The mean of a reported value over the endpoints that report it.
 #[derive(Debug, Clone, Copy, Default)]
 struct Mean {
     sum: f64,
@@ -54,28 +54,32 @@
     }
 }
 
-/// All endpoints, as one decision sees them.
+/// Figures over all endpoints at the time of one decision.
 #[derive(Debug, Default)]
 pub(crate) struct FleetView {
-    /// The most streams of this router at any endpoint, at least 1.
-    pub(crate) most_streams: f64,
-    /// The means of the loads that endpoints of each role report. They stand in for loads that an
-    /// endpoint has not reported.
+    /// Largest number of this router's streams at any endpoint, at least 1.
+    pub(crate) max_streams: f64,
+    /// Mean memory utilisation that endpoints of each role report. Like the other means, it stands
+    /// in for the value of an endpoint that has not reported one.
     pub(crate) mean_memory: PerRole<Option<f64>>,
+    /// Mean slot utilisation that endpoints of each role report.
     pub(crate) mean_slots: PerRole<Option<f64>>,
+    /// Mean share of a full queue that endpoints of each role report.
     pub(crate) mean_queue: PerRole<Option<f64>>,
-    /// The open endpoints.
+    /// Numbers of open endpoints in all zones, or `None` if no prefill or decode endpoint is open.
     pub(crate) open: Option<RoleCounts>,
     open_by_cell: BTreeMap<CellId, RoleCounts>,
     open_by_zone: BTreeMap<ZoneId, RoleCounts>,
 }
 
 impl FleetView {
-    /// The part of a cell's endpoints of a role that have partners there, relative to their zone.
+    /// Returns the share of the endpoints of a role in a cell that are paired within the cell: the
+    /// partners for each of them in the cell, relative to those in its zone. It may exceed 1.
     pub(crate) fn paired_share(&self, spec: &EndpointSpec, role: Role) -> f64 {
         /// Keeps the quotient finite.
         const MIN_PARTNERS: f64 = 1e-9;
-        let partners = |counts: Option<&RoleCounts>| counts.map_or(1.0, |c| c.partners_of(role));
+        let partners =
+            |counts: Option<&RoleCounts>| counts.map_or(1.0, |c| c.partners_per_endpoint(role));
         let in_cell = partners(self.open_by_cell.get(&spec.cell));
         let in_zone = partners(self.open_by_zone.get(&spec.zone));
         in_cell / in_zone.max(MIN_PARTNERS)
@@ -94,11 +98,11 @@
         let mut slots: PerRole<Mean> = PerRole::default();
         let mut queue: PerRole<Mean> = PerRole::default();
         let mut fleet = FleetView {
-            most_streams: 1.0,
+            max_streams: 1.0,
             ..FleetView::default()
         };
         for (id, endpoint) in &self.endpoints.entries {
-            fleet.most_streams = fleet.most_streams.max(endpoint.in_flight.streams);
+            fleet.max_streams = fleet.max_streams.max(endpoint.in_flight.streams);
             let role = self.role_of(endpoint);
             if endpoint.is_listed {
                 let load = self.reported_load(endpoint);
--- a/crates/routing-policy/src/lane_selection/lanes.rs
+++ b/crates/routing-policy/src/lane_selection/lanes.rs
@@ -1,4 +1,5 @@
-//! Lanes: a prefill and a decode endpoint that serve a request together, and the best of them.
+//! Lanes, which are pairs of a prefill and a decode endpoint that serve a request together, and the
+//! choice of the best lane.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -6,34 +7,34 @@
 use super::score::{LaneCandidate, OVERLOAD_BOUND};
 use crate::ids::{CellId, EndpointId, ZoneId};
 
-/// The endpoints that serve a request; the same where one endpoint does both.
+/// The endpoints that serve a request. They are the same if one endpoint serves it alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Lane {
     pub(crate) prefill: EndpointId,
     pub(crate) decode: EndpointId,
 }
 
-/// Endpoints that may be paired with one another.
+/// A group of endpoints that may be paired with one another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum PairingGroup {
-    /// Those of a cell.
+    /// The endpoints of a cell.
     Cell(CellId),
-    /// Those of a zone that are not paired within their cells.
+    /// The endpoints of a zone that are not paired within their cells.
     Zone(ZoneId),
-    /// All of them.
+    /// All endpoints.
     All,
-    /// An endpoint that serves alone; ordered by its id as a signed number.
+    /// A single endpoint that serves requests alone. The order is by its id as a signed number.
     Alone(i64),
 }
 
-/// How far apart the endpoints of a lane may be.
+/// Limit on how far apart the endpoints of a lane may be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum PairingScope {
-    /// Within the candidates' own groups.
+    /// Both endpoints of a lane are in the same [`LaneCandidate::group`].
     Narrowest,
-    /// Within cells.
+    /// Both endpoints of a lane are in the same cell.
     Cell,
-    /// Anywhere.
+    /// The endpoints of a lane may be anywhere.
     Any,
 }
 
@@ -56,25 +57,26 @@
     }
 }
 
-/// Which candidates take part, and how they are compared.
+/// The rule by which candidates take part and are compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Selection {
-    /// Those with fresh loads, whose lane is not overloaded, by the lane score.
-    Fit,
-    /// All, by the fewest requests of this router.
-    Fewest,
+    /// Candidates with fresh loads in lanes that are not overloaded, compared by the lane score.
+    BestScore,
+    /// All candidates, compared by the fewest requests of this router.
+    FewestRequests,
 }
 
 impl Selection {
     fn includes(self, candidate: &LaneCandidate) -> bool {
-        self == Selection::Fewest || candidate.is_fresh
+        self == Selection::FewestRequests || candidate.is_fresh
     }
 
+    /// Returns a candidate with the score and load by which this rule compares it.
     fn ranked(self, candidate: &LaneCandidate) -> LaneCandidate {
         match self {
-            Selection::Fit => *candidate,
-            Selection::Fewest => LaneCandidate {
-                score: candidate.spare,
+            Selection::BestScore => *candidate,
+            Selection::FewestRequests => LaneCandidate {
+                score: candidate.negated_requests,
                 load: 0.0,
                 ..*candidate
             },
@@ -89,7 +91,7 @@
     decode: Vec<LaneCandidate>,
 }
 
-/// A lane with the sums of its sides.
+/// A lane with its score and its tie breaker, each combined from both sides.
 struct ScoredLane {
     lane: Lane,
     score: f64,
@@ -121,8 +123,9 @@
 }
 
 impl Group {
-    /// The best lane for each prefill side. The score of a lane is a sum of two parts, so that each
-    /// prefill side needs only the best of the decode sides that its load leaves within the bound.
+    /// Returns the best lane for each prefill candidate. As the score of a lane is the sum of its
+    /// two sides, this is the lane with the best of those decode candidates with which the load of
+    /// the lane stays within [`OVERLOAD_BOUND`].
     fn lanes(&mut self) -> Vec<ScoredLane> {
         self.decode.sort_by(|a, b| a.load.total_cmp(&b.load));
         let best_up_to = best_up_to_each_load(&self.decode);
@@ -138,15 +141,15 @@
     }
 }
 
-/// For candidates in the order of their loads: at each load, the best candidate with no more than
-/// that.
+/// Takes candidates in ascending order of load. Returns for each load the best of the candidates up
+/// to that load.
 fn best_up_to_each_load(ordered: &[LaneCandidate]) -> Vec<LaneCandidate> {
     let mut best_up_to: Vec<LaneCandidate> = Vec::with_capacity(ordered.len());
     for candidate in ordered {
         let best = match best_up_to.last() {
-            Some(before) if before.compare(candidate).is_gt() => LaneCandidate {
+            Some(previous) if previous.compare(candidate).is_gt() => LaneCandidate {
                 load: candidate.load,
-                ..*before
+                ..*previous
             },
             _ => *candidate,
         };
@@ -164,7 +167,7 @@
     }
 }
 
-/// The best lane within the groups of a scope.
+/// Returns the best lane whose sides are in the same group of a scope.
 fn best_within(
     prefill: &[LaneCandidate],
     decode: &[LaneCandidate],
@@ -196,21 +199,24 @@
     Some(best.lane)
 }
 
-/// The best fit lane within the narrowest groups that have one, from a scope on; else the one with
-/// the fewest requests of this router. Lanes are taken across cells before overloaded ones are.
+/// Returns the lane with the best score in the narrowest scope, from `first_scope` on, that has a
+/// lane with fresh loads that is not overloaded. If no scope has one, returns the lane with the
+/// fewest requests of this router. Lanes across cells are thus preferred to overloaded ones.
 pub(crate) fn best_lane(
     prefill: &[LaneCandidate],
     decode: &[LaneCandidate],
-    from: PairingScope,
+    first_scope: PairingScope,
 ) -> Option<Lane> {
-    let scopes = PairingScope::ALL.into_iter().filter(|scope| *scope >= from);
+    let scopes = PairingScope::ALL
+        .into_iter()
+        .filter(|scope| *scope >= first_scope);
     for scope in scopes {
-        let lane = best_within(prefill, decode, scope, Selection::Fit);
+        let lane = best_within(prefill, decode, scope, Selection::BestScore);
         if lane.is_some() {
             return lane;
         }
     }
     [PairingScope::Cell, PairingScope::Any]
         .into_iter()
-        .find_map(|scope| best_within(prefill, decode, scope, Selection::Fewest))
+        .find_map(|scope| best_within(prefill, decode, scope, Selection::FewestRequests))
 }
--- a/crates/routing-policy/src/lane_selection/mod.rs
+++ b/crates/routing-policy/src/lane_selection/mod.rs
@@ -1,8 +1,9 @@
-//! Lane selection: which prefill and decode endpoint serve a request together.
+//! Lane selection: the choice of the prefill and the decode endpoint that serve a request together.
 //!
-//! Lanes are scored as `docs/design.md` says: `score.rs` has the parts of an endpoint,
-//! `candidates.rs` who takes part, `lanes.rs` the best pair, `affinity.rs` and `prefix_cache.rs`
-//! what is likely to be cached where.
+//! `docs/design.md` describes the lane score. `candidates.rs` selects the endpoints that take part,
+//! `score.rs` computes what each endpoint contributes to the score of a lane, and `lanes.rs` finds
+//! the best pair. `affinity.rs` and `prefix_cache.rs` estimate which prompts are cached at which
+//! endpoints.
 
 pub(crate) mod affinity;
 mod candidates;
@@ -24,8 +25,9 @@
 use score::LaneCandidate;
 
 impl Policy {
-    /// The best lane by score; if all are overloaded or stale, the fewest prefills and then the
-    /// fewest streams.
+    /// Returns the lane with the highest score. If all lanes are overloaded or have stale loads,
+    /// returns the one with the fewest prefills of this router, and among those the fewest streams.
+    /// Returns `None` if a total concurrency limit is reached or no lane is available.
     pub(crate) fn choose_lane(&mut self, id: RequestId) -> Option<Lane> {
         let spec = self.requests.get(&id)?.spec;
         let total = self.endpoints.total_in_flight();
@@ -42,8 +44,8 @@
         )
     }
 
-    /// The decode endpoint for KV state that waits at `prefill`: the one with the reserved slot,
-    /// else the best by the lane score.
+    /// Returns the decode endpoint for KV state that waits at `prefill`: the one with the reserved
+    /// slot if it accepts the request, otherwise the best by the lane score.
     pub(crate) fn choose_decode_endpoint(
         &mut self,
         id: RequestId,
@@ -57,11 +59,11 @@
             return Some(reserved);
         }
         let fleet = self.fleet_view();
-        let neutral = score::Contribution::default();
+        let no_contribution = score::Contribution::default();
         let prefill_side = LaneCandidate {
             is_fresh: true,
             serves_alone: false,
-            ..self.candidate(prefill, prefill_endpoint, neutral, 0)
+            ..self.candidate(prefill, prefill_endpoint, no_contribution, 0)
         };
         let mut decode_side = Vec::new();
         for (id, endpoint) in &self.endpoints.entries {
@@ -79,7 +81,8 @@
     }
 }
 
-/// Breaks ties by this router's own random number, so that routers that know little do not herd.
+/// Returns a number that breaks ties between equal scores. It depends on a random number of this
+/// router, so that routers that know little of the endpoints do not all choose the same ones.
 fn tie_breaker(salt: u64, endpoint: EndpointId) -> u32 {
     mix(salt ^ endpoint.0) as u32
 }
--- a/crates/routing-policy/src/lane_selection/prefix_cache.rs
+++ b/crates/routing-policy/src/lane_selection/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! What endpoints are known to have in their prefix caches.
+//! The prompts that endpoints are known to have in their prefix caches.
 
 use std::collections::BTreeMap;
 
@@ -9,18 +9,20 @@
 use crate::policy::Policy;
 use crate::requests::Attempt;
 
-/// The span for which prompts count as cached (us): sessions pause for seconds.
-pub(crate) const CACHED_FOR: Micros = 60_000_000;
-/// The most entries that are remembered of an endpoint.
+/// Time for which a prompt counts as cached after an endpoint has processed it. A session pauses
+/// only for seconds between its turns.
+pub(crate) const CACHE_RETENTION: Micros = 60_000_000;
+/// Maximum number of prompts that are remembered for an endpoint, and of shared prefixes that are
+/// counted. A table that is full is cleared.
 pub(crate) const MAX_ENTRIES: usize = 2_000;
-/// The share of a prompt that a session's affinity target is taken to have cached: half of the
-/// prompts are later turns.
+/// Share of a prompt that the affinity target of its session is assumed to have cached, because
+/// half of the prompts are later turns of a session.
 const CACHED_AT_AFFINITY_TARGET: f64 = 0.9;
 
-/// What is cached.
+/// The key of a cached prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum CachedText {
-    /// A prefix that several sessions share.
+enum CacheKey {
+    /// A shared prefix of the prompts of several sessions.
     SharedPrefix(PrefixId),
     /// The whole last prompt of a session.
     Session(SessionId),
@@ -32,47 +34,48 @@
     at: Micros,
 }
 
-/// What an endpoint is known to have cached.
+/// The prompts that an endpoint is known to have cached.
 #[derive(Debug, Default)]
-pub(crate) struct PrefixCache(BTreeMap<CachedText, CachedPrompt>);
+pub(crate) struct PrefixCache(BTreeMap<CacheKey, CachedPrompt>);
 
 impl PrefixCache {
-    /// What an endpoint has processed it caches: the shared prefix for other sessions, the whole
-    /// prompt for the session's next turn.
+    /// Records a prompt that the endpoint has processed and therefore cached: the shared prefix for
+    /// other sessions, and the whole prompt for the next turn of its session.
     fn record(&mut self, spec: &RequestSpec, now: Micros) {
         if self.0.len() >= MAX_ENTRIES {
             self.0.clear();
         }
         if let Some(prefix) = spec.shared_prefix {
             let tokens = spec.shared_prefix_tokens;
-            let text = CachedText::SharedPrefix(prefix);
-            self.0.insert(text, CachedPrompt { tokens, at: now });
+            let key = CacheKey::SharedPrefix(prefix);
+            self.0.insert(key, CachedPrompt { tokens, at: now });
         }
         if let Some(session) = spec.session {
             let tokens = spec.prompt_tokens;
-            let text = CachedText::Session(session);
-            self.0.insert(text, CachedPrompt { tokens, at: now });
+            let key = CacheKey::Session(session);
+            self.0.insert(key, CachedPrompt { tokens, at: now });
         }
     }
 
-    fn get(&self, text: CachedText, now: Micros) -> Option<u64> {
-        let cached = self.0.get(&text)?;
-        (now < cached.at + CACHED_FOR).then_some(cached.tokens)
+    /// Returns the number of tokens that are cached under a key.
+    fn get(&self, key: CacheKey, now: Micros) -> Option<u64> {
+        let cached = self.0.get(&key)?;
+        (now < cached.at + CACHE_RETENTION).then_some(cached.tokens)
     }
 
-    /// Whether a prompt of a session is cached.
-    pub(crate) fn knows_session(&self, session: SessionId, now: Micros) -> bool {
-        self.get(CachedText::Session(session), now).is_some()
+    /// Returns whether a prompt of a session is known to be cached.
+    pub(crate) fn has_session(&self, session: SessionId, now: Micros) -> bool {
+        self.get(CacheKey::Session(session), now).is_some()
     }
 
-    /// The tokens of a prompt that are known to be cached.
+    /// Returns the number of tokens of a prompt that are known to be cached.
     fn cached_tokens(&self, spec: &RequestSpec, now: Micros) -> u64 {
         let of_prefix = spec
             .shared_prefix
-            .and_then(|prefix| self.get(CachedText::SharedPrefix(prefix), now));
+            .and_then(|prefix| self.get(CacheKey::SharedPrefix(prefix), now));
         let of_session = spec
             .session
-            .and_then(|session| self.get(CachedText::Session(session), now));
+            .and_then(|session| self.get(CacheKey::Session(session), now));
         let cached = of_prefix.unwrap_or(0).max(of_session.unwrap_or(0));
         cached.min(spec.prompt_tokens)
     }
@@ -99,8 +102,8 @@
         }
     }
 
-    /// C: the share of the prompt that an endpoint is known to have cached, or taken to have cached
-    /// as the session's affinity target.
+    /// Returns C of the lane score: the share of the prompt that an endpoint is known to have
+    /// cached, or is assumed to have cached as the affinity target of the session.
     pub(crate) fn cached_share(
         &self,
         spec: &RequestSpec,
--- a/crates/routing-policy/src/load_report.rs
+++ b/crates/routing-policy/src/load_report.rs
@@ -1,32 +1,33 @@
-//! Load reports, and what they are worth with age.
+//! Load reports of endpoints, and how much they count as they age.
 
 use crate::config::Role;
 use crate::endpoints::Endpoint;
 use crate::ids::Micros;
 use crate::policy::Policy;
 
-/// The age at which a load report is stale (us).
+/// Age in microseconds at which a load report is stale.
 pub(crate) const STALE_AFTER: f64 = 4_000_000.0;
-/// The mean prefills whose tokens, waiting at an endpoint, make its queue count as full.
+/// Number of mean prefills whose tokens make an endpoint's queue count as full if they wait there.
 const FULL_QUEUE_PREFILLS: f64 = 24.0;
-/// The tokens of a prefill where none has been seen.
+/// Assumed number of tokens of a prefill before any prefill has been recorded.
 const DEFAULT_PREFILL_TOKENS: f64 = 1000.0;
-const TOKENS_IN_KILOTOKEN: f64 = 1000.0;
+const TOKENS_PER_KILOTOKEN: f64 = 1000.0;
 
-/// The shares in use that an endpoint reports.
+/// The shares of its memory, slots and queue that an endpoint reports as in use. `None` stands for
+/// a share that it does not report.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ReportedLoad {
     pub(crate) memory: Option<f64>,
     pub(crate) slots: Option<f64>,
-    /// May be over 1.
+    /// Pending tokens as a share of a full queue, which may exceed 1.
     pub(crate) queue: Option<f64>,
 }
 
-/// A figure within its range; `None` if it is no number.
-fn sane(figure: Option<f64>, max: f64) -> Option<f64> {
-    figure
-        .filter(|figure| figure.is_finite())
-        .map(|figure| figure.clamp(0.0, max))
+/// Clamps a reported value to the range from 0 to `max`. Returns `None` if it is not finite.
+fn clamp_reported(value: Option<f64>, max: f64) -> Option<f64> {
+    value
+        .filter(|value| value.is_finite())
+        .map(|value| value.clamp(0.0, max))
 }
 
 impl Policy {
@@ -35,17 +36,18 @@
             return ReportedLoad::default();
         };
         let mean_prefill = self.work.overall(Role::Prefill, DEFAULT_PREFILL_TOKENS);
-        let full_queue = mean_prefill / TOKENS_IN_KILOTOKEN * FULL_QUEUE_PREFILLS;
+        let full_queue = mean_prefill / TOKENS_PER_KILOTOKEN * FULL_QUEUE_PREFILLS;
         ReportedLoad {
-            memory: sane(load.report.memory_utilization, 1.0),
-            slots: sane(load.report.slot_utilization, 1.0),
-            queue: sane(load.report.pending_kilotokens, f64::MAX)
+            memory: clamp_reported(load.report.memory_utilization, 1.0),
+            slots: clamp_reported(load.report.slot_utilization, 1.0),
+            queue: clamp_reported(load.report.pending_kilotokens, f64::MAX)
                 .map(|pending| pending / full_queue),
         }
     }
 
-    /// A reported figure; with age it says little of one endpoint and fades to the mean.
-    pub(crate) fn faded_load(
+    /// Returns a value between the reported one and the mean of all endpoints. The older the report
+    /// is, the less it says about its endpoint and the closer the result is to the mean.
+    pub(crate) fn age_adjusted_load(
         &self,
         endpoint: &Endpoint,
         reported: Option<f64>,
@@ -55,7 +57,7 @@
             return mean;
         };
         let age: Micros = self.now - load.at;
-        let fade = (age as f64 / STALE_AFTER).min(1.0);
-        Some(reported + (mean - reported) * fade)
+        let mean_share = (age as f64 / STALE_AFTER).min(1.0);
+        Some(reported + (mean - reported) * mean_share)
     }
 }
