--- a/crates/routing-policy/tests/admission.rs
+++ b/crates/routing-policy/tests/admission.rs
@@ -29,21 +29,21 @@
 fn serve(driver: &mut Driver, ids: std::ops::Range<u32>, span: Micros) {
     for id in ids {
         driver.arrive(request_spec(id, driver.now));
-        driver.pass(span);
-        driver.on(result(id, 0, PREFILL, PREFILLED));
+        driver.advance(span);
+        driver.deliver(attempt_ended(id, 0, PREFILL, PREFILLED));
         let id_there = RequestId(id);
-        driver.on(Event::StreamStarted {
+        driver.deliver(Event::StreamStarted {
             id: id_there,
             attempt: 1,
             endpoint: EndpointId(DECODE),
             elapsed: 1,
         });
-        driver.on(result(id, 1, DECODE, Outcome::Completed));
+        driver.deliver(attempt_ended(id, 1, DECODE, Outcome::Completed));
     }
 }
 
 fn remove_the_prefill_endpoint(driver: &mut Driver) {
-    driver.on(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![
+    driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![
         endpoint_spec(DECODE, 1, 0),
     ])));
 }
@@ -81,7 +81,7 @@
         rejections(driver.arrive(request_spec(100, driver.now))),
         vec![]
     );
-    let meanwhile = driver.pass(2 * SECOND).into_iter().map(|(_, a)| a);
+    let meanwhile = driver.advance(2 * SECOND).into_iter().map(|(_, a)| a);
     assert_eq!(
         rejections(meanwhile),
         vec![],
@@ -89,7 +89,7 @@
     );
     let specs = vec![endpoint_spec(PREFILL, 0, 0), endpoint_spec(DECODE, 1, 0)];
     assert_eq!(
-        routes(&driver.on(Event::EndpointsUpdated(EndpointUpdate::Snapshot(specs)))),
+        routes(&driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Snapshot(specs)))),
         vec![(100, PREFILL)]
     );
 }
@@ -107,7 +107,7 @@
                 .map(|(id, retry_after)| (start, id, retry_after)),
         );
     }
-    let later = driver.pass(5 * SECOND);
+    let later = driver.advance(5 * SECOND);
     answered.extend(
         later
             .into_iter()
@@ -133,9 +133,9 @@
     for (most, refused) in [(3, 1), (4, 0)] {
         let mut driver = driver(most);
         driver.arrive(request_spec(1, driver.now));
-        driver.on(result(1, 0, PREFILL, PREFILLED));
-        let gone = result(1, 1, DECODE, NO_KV_STATE);
-        let answers = rejections(driver.on(gone));
+        driver.deliver(attempt_ended(1, 0, PREFILL, PREFILLED));
+        let gone = attempt_ended(1, 1, DECODE, NO_KV_STATE);
+        let answers = rejections(driver.deliver(gone));
         assert_eq!(
             answers.len(),
             refused,
@@ -156,6 +156,6 @@
     };
     let (mut driver, _) = Driver::new(silent, vec![endpoint_spec(DECODE, 1, 0)]);
     driver.arrive(request_spec(1, driver.now));
-    let answers = rejections(driver.pass(5 * SECOND).into_iter().map(|(_, a)| a));
+    let answers = rejections(driver.advance(5 * SECOND).into_iter().map(|(_, a)| a));
     assert_eq!(answers, vec![(1, 0)]);
 }
--- a/crates/routing-policy/tests/affinity.rs
+++ b/crates/routing-policy/tests/affinity.rs
@@ -29,17 +29,17 @@
             ..request_spec(id, driver.now)
         }));
         let prefill = sent[0].1;
-        driver.pass(if prefill < 10 { near } else { far });
-        let decode = routes(&driver.on(result(id, 0, prefill, PREFILLED)))[0].1;
+        driver.advance(if prefill < 10 { near } else { far });
+        let decode = routes(&driver.deliver(attempt_ended(id, 0, prefill, PREFILLED)))[0].1;
         let started = Event::StreamStarted {
             id: RequestId(id),
             attempt: 1,
             endpoint: EndpointId(decode),
             elapsed: 1,
         };
-        driver.on(started);
-        driver.on(result(id, 1, decode, Outcome::Completed));
-        driver.pass(SECOND / 10);
+        driver.deliver(started);
+        driver.deliver(attempt_ended(id, 1, decode, Outcome::Completed));
+        driver.advance(SECOND / 10);
         elsewhere += u32::from(id >= 50 && prefill >= 10);
     }
     f64::from(elsewhere) / 100.0
@@ -83,22 +83,22 @@
             ..request_spec(id, driver.now)
         }));
         let endpoint = sent[0].1;
-        driver.pass(if endpoint < 8 { at_readers } else { at_mixed });
+        driver.advance(if endpoint < 8 { at_readers } else { at_mixed });
         let read = endpoint < 4;
         let server = if read {
-            routes(&driver.on(result(id, 0, endpoint, PREFILLED)))[0].1
+            routes(&driver.deliver(attempt_ended(id, 0, endpoint, PREFILLED)))[0].1
         } else {
             endpoint
         };
         let attempt = u32::from(read);
-        driver.on(Event::StreamStarted {
+        driver.deliver(Event::StreamStarted {
             id: RequestId(id),
             attempt,
             endpoint: EndpointId(server),
             elapsed: 1,
         });
-        driver.on(result(id, attempt, server, Outcome::Completed));
-        driver.pass(SECOND / 10);
+        driver.deliver(attempt_ended(id, attempt, server, Outcome::Completed));
+        driver.advance(SECOND / 10);
         whole += u32::from(id >= 50 && !read);
     }
     f64::from(whole) / 100.0
@@ -133,7 +133,7 @@
             router_count: Some(100),
             ..settings(Idempotency::Idempotent)
         };
-        let (mut driver, _) = Driver::seeded(settings, specs.clone(), seed);
+        let (mut driver, _) = Driver::with_seed(settings, specs.clone(), seed);
         let session = Some(SessionId(seed * 7919));
         let sent = routes(&driver.arrive(RequestSpec {
             session,
--- a/crates/routing-policy/tests/attempts.rs
+++ b/crates/routing-policy/tests/attempts.rs
@@ -26,7 +26,7 @@
     for id in 0..20 {
         driver.arrive(request_spec(id, driver.now));
         touches += driver
-            .pass(SECOND)
+            .advance(SECOND)
             .iter()
             .filter(|(_, a)| matches!(a, Action::HealthCheck(_)))
             .count();
@@ -41,8 +41,8 @@
 fn a_non_idempotent_request_that_may_have_been_executed_fails_without_a_retry() {
     let (mut driver, _) = Driver::new(settings(Idempotency::NonIdempotent), pair());
     driver.arrive(request_spec(1, START));
-    driver.on(result(1, 0, PREFILL, PREFILLED));
-    let actions = driver.on(result(1, 1, DECODE, CONNECTION_RESET));
+    driver.deliver(attempt_ended(1, 0, PREFILL, PREFILLED));
+    let actions = driver.deliver(attempt_ended(1, 1, DECODE, CONNECTION_RESET));
     assert_eq!(routes(&actions), vec![]);
     assert!(actions.contains(&Action::Fail(RequestId(1))), "{actions:?}");
     assert!(
@@ -58,8 +58,8 @@
         [pair(), vec![endpoint_spec(3, 1, 0)]].concat(),
     );
     driver.arrive(request_spec(1, START));
-    let first = routes(&driver.on(result(1, 0, PREFILL, PREFILLED)))[0].1;
-    let actions = driver.on(result(1, 1, first, UNREACHABLE));
+    let first = routes(&driver.deliver(attempt_ended(1, 0, PREFILL, PREFILLED)))[0].1;
+    let actions = driver.deliver(attempt_ended(1, 1, first, UNREACHABLE));
     assert_eq!(routes(&actions), vec![(1, DECODE + 3 - first)]);
 }
 
@@ -72,8 +72,8 @@
     ];
     let (mut driver, _) = Driver::new(settings(Idempotency::Keyed(KeyScope::Cell)), specs);
     driver.arrive(request_spec(1, START));
-    driver.on(result(1, 0, PREFILL, PREFILLED));
-    let actions = driver.on(result(1, 1, DECODE, CONNECTION_RESET));
+    driver.deliver(attempt_ended(1, 0, PREFILL, PREFILLED));
+    let actions = driver.deliver(attempt_ended(1, 1, DECODE, CONNECTION_RESET));
     assert!(
         routes(&actions)
             .iter()
@@ -90,8 +90,8 @@
         ..request_spec(1, START)
     });
     for attempt in 0..4 {
-        all.extend(driver.on(result(1, attempt, PREFILL, Outcome::ServerError)));
-        all.extend(driver.pass(10 * SECOND).into_iter().map(|(_, a)| a));
+        all.extend(driver.deliver(attempt_ended(1, attempt, PREFILL, Outcome::ServerError)));
+        all.extend(driver.advance(10 * SECOND).into_iter().map(|(_, a)| a));
     }
     assert_eq!(
         routes(&all).len(),
@@ -112,9 +112,12 @@
         state: EndpointState::Draining,
         ..endpoint_spec(DECODE, 1, 0)
     }];
-    driver.on(Event::EndpointsUpdated(EndpointUpdate::Delta(specs)));
-    assert_eq!(routes(&driver.on(result(1, 0, PREFILL, PREFILLED))), vec![]);
-    let freed = driver.pass(SECOND / 2 - 1);
+    driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(specs)));
+    assert_eq!(
+        routes(&driver.deliver(attempt_ended(1, 0, PREFILL, PREFILLED))),
+        vec![]
+    );
+    let freed = driver.advance(SECOND / 2 - 1);
     assert!(
         freed
             .iter()
@@ -134,7 +137,7 @@
         routes(&driver.arrive(request_spec(1, START))),
         vec![(1, DECODE)]
     );
-    let actions = driver.on(result(1, 0, DECODE, Outcome::TimedOut));
+    let actions = driver.deliver(attempt_ended(1, 0, DECODE, Outcome::TimedOut));
     assert!(
         actions.contains(&Action::ReleaseState(RequestId(1))),
         "{actions:?}"
@@ -145,8 +148,8 @@
 fn kv_state_of_a_disconnected_client_is_released() {
     let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), pair());
     driver.arrive(request_spec(1, START));
-    driver.on(Event::ClientDisconnected(RequestId(1)));
-    let actions = driver.on(result(1, 0, PREFILL, PREFILLED));
+    driver.deliver(Event::ClientDisconnected(RequestId(1)));
+    let actions = driver.deliver(attempt_ended(1, 0, PREFILL, PREFILLED));
     assert_eq!(routes(&actions), vec![]);
     assert!(
         actions.contains(&Action::ReleaseState(RequestId(1))),
@@ -158,7 +161,7 @@
 fn a_request_without_endpoints_is_answered_by_its_deadline() {
     let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), vec![]);
     driver.arrive(request_spec(1, START));
-    let answers = driver.pass(5 * SECOND);
+    let answers = driver.advance(5 * SECOND);
     let shed: Vec<_> = answers
         .iter()
         .filter(|(_, a)| matches!(a, Action::Reject { .. }))
@@ -171,8 +174,8 @@
 fn kv_state_that_is_gone_is_prefilled_anew() {
     let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), pair());
     driver.arrive(request_spec(1, START));
-    driver.on(result(1, 0, PREFILL, PREFILLED));
-    let actions = driver.on(result(1, 1, DECODE, NO_KV_STATE));
+    driver.deliver(attempt_ended(1, 0, PREFILL, PREFILLED));
+    let actions = driver.deliver(attempt_ended(1, 1, DECODE, NO_KV_STATE));
     assert_eq!(routes(&actions), vec![(1, PREFILL)]);
 }
 
@@ -186,7 +189,7 @@
     let (mut driver, first) = Driver::new(forbidden, pair());
     let mut all = first;
     all.extend(driver.arrive(request_spec(1, START)));
-    all.extend(driver.pass(3 * SECOND).into_iter().map(|(_, a)| a));
+    all.extend(driver.advance(3 * SECOND).into_iter().map(|(_, a)| a));
     assert!(!routes(&all).is_empty());
     let sent = |a: &Action| {
         matches!(
@@ -207,12 +210,12 @@
     driver.arrive(request_spec(1, START));
     for outcome in [Outcome::Completed, PREFILLED, Outcome::TimedOut] {
         assert_eq!(
-            routes(&driver.on(result(9, 0, PREFILL, outcome))),
+            routes(&driver.deliver(attempt_ended(9, 0, PREFILL, outcome))),
             vec![],
             "unknown request"
         );
         assert_eq!(
-            routes(&driver.on(result(1, 5, PREFILL, outcome))),
+            routes(&driver.deliver(attempt_ended(1, 5, PREFILL, outcome))),
             vec![],
             "unknown attempt"
         );
@@ -224,29 +227,29 @@
         ..LoadReport::default()
     };
     for endpoint in [DECODE, 77] {
-        driver.on(Event::HealthChecked {
+        driver.deliver(Event::HealthChecked {
             endpoint: EndpointId(endpoint),
             outcome: Outcome::Completed,
             elapsed: -1,
             load: Some(load),
         });
     }
-    driver.on(Event::GossipReceived {
+    driver.deliver(Event::GossipReceived {
         from: 99,
         payload: vec![0xff; 300],
     });
-    driver.on(Event::TimerFired(TimerKey::Request(RequestId(u32::MAX))));
-    driver.on(Event::SlotReservationAnswered {
+    driver.deliver(Event::TimerFired(TimerKey::Request(RequestId(u32::MAX))));
+    driver.deliver(Event::SlotReservationAnswered {
         id: RequestId(4),
         endpoint: EndpointId(77),
         granted: false,
     });
     assert_eq!(
-        routes(&driver.on(result(1, 0, PREFILL, PREFILLED))),
+        routes(&driver.deliver(attempt_ended(1, 0, PREFILL, PREFILLED))),
         vec![(1, DECODE)]
     );
     assert_eq!(
-        routes(&driver.on(result(1, 0, PREFILL, PREFILLED))),
+        routes(&driver.deliver(attempt_ended(1, 0, PREFILL, PREFILLED))),
         vec![],
         "ended twice"
     );
@@ -269,7 +272,7 @@
                 pending_kilotokens: Some(*figure),
                 ..LoadReport::default()
             });
-            driver.on(Event::HealthChecked {
+            driver.deliver(Event::HealthChecked {
                 endpoint: EndpointId(*endpoint),
                 outcome: Outcome::Completed,
                 elapsed: 1_000,
--- a/crates/routing-policy/tests/common/fleet.rs
+++ b/crates/routing-policy/tests/common/fleet.rs
@@ -1,7 +1,8 @@
 //! Many routers' policies in front of the same simulated endpoints.
 //!
-//! A prefill endpoint reads one prompt at a time, at its rate; a decode endpoint streams each
-//! answer for the same span. What is sent is counted, so that a test can sum it over all routers.
+//! A prefill endpoint processes one prompt at a time, at a fixed rate; a decode endpoint streams
+//! each response for the same duration. All sends are recorded, so that a test can add them up over
+//! all routers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,71 +11,77 @@
 use rand_pcg::Pcg32;
 
 use super::{
-    endpoint_spec, request_spec, result, routes, settings, Driver, PREFILLED, SECOND, START,
+    attempt_ended, endpoint_spec, request_spec, routes, settings, Driver, PREFILLED, SECOND, START,
 };
 
-/// The step of the simulation.
+/// The time step of the simulation.
 pub(crate) const STEP: Micros = SECOND / 20;
-/// How long an answer streams.
-const STREAM: Micros = SECOND;
+/// The duration of each response stream.
+const STREAM_DURATION: Micros = SECOND;
 
-/// What is asked for at each step.
+/// The requests that arrive.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Load {
-    /// Requests a second, over all routers.
+    /// Requests per second, over all routers.
     pub(crate) rate: f64,
-    /// How many times the mean the first router gets.
+    /// The load of the first router, as a multiple of the load of each other router.
     pub(crate) load_of_first_router: f64,
-    /// The greatest prompt, in tokens; the least is a twentieth of it.
+    /// The length of the longest prompt, in tokens; the shortest is a twentieth of it.
     pub(crate) longest_prompt: u64,
 }
 
-/// A request that was asked, and what became of it.
+/// A request that arrived, and what became of it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Record {
     pub(crate) prompt_tokens: u64,
     pub(crate) session: u64,
-    pub(crate) answered: bool,
-    pub(crate) refused: bool,
+    pub(crate) has_response: bool,
+    pub(crate) rejected: bool,
 }
 
+/// An event that is scheduled for the router with this index.
 enum Due {
     Ended(usize, Event),
     StreamStarted(usize, Event),
 }
 
+/// The routers and the simulated endpoints.
 pub(crate) struct Fleet {
     pub(crate) now: Micros,
     pub(crate) records: Vec<Record>,
-    /// When each endpoint was sent something.
+    /// The times of all sends to each endpoint.
     pub(crate) sent: BTreeMap<u64, Vec<Micros>>,
-    /// Tokens that a prefill endpoint reads in a second.
-    pub(crate) read_rate: f64,
+    /// The number of tokens that a prefill endpoint processes per second.
+    pub(crate) prefill_rate: f64,
     routers: Vec<Driver>,
     rng: Pcg32,
+    /// The scheduled events, by time and by the order in which they were scheduled.
     due: BTreeMap<(Micros, usize), Due>,
     sequence: usize,
+    /// The number of attempts made for each request.
     attempts: BTreeMap<u32, u32>,
+    /// When each prefill endpoint will have processed all prompts that it was sent.
     free_at: BTreeMap<u64, Micros>,
+    /// The number of requests that are due to arrive; a fraction carries over to the next step.
     arrivals: f64,
 }
 
 impl Fleet {
-    /// So many routers, which know these endpoints. Every other one has just started; the rest are
-    /// a minute old.
-    pub(crate) fn new(routers: usize, servers: &[EndpointSpec], seed: u64) -> Fleet {
+    /// Creates routers that know these endpoints. Every second router has just started; the others
+    /// have been running for a minute.
+    pub(crate) fn new(routers: usize, endpoints: &[EndpointSpec], seed: u64) -> Fleet {
         let settings = Settings {
             router_count: Some(routers as u32),
             ..settings(Idempotency::Idempotent)
         };
-        let start =
-            |n: usize| Driver::seeded(settings.clone(), servers.to_vec(), seed + n as u64).0;
+        let new_router =
+            |n: usize| Driver::with_seed(settings.clone(), endpoints.to_vec(), seed + n as u64).0;
         let mut fleet = Fleet {
             now: START,
             records: Vec::new(),
             sent: BTreeMap::new(),
-            read_rate: 20_000.0,
-            routers: (0..routers).map(start).collect(),
+            prefill_rate: 20_000.0,
+            routers: (0..routers).map(new_router).collect(),
             rng: Pcg32::new(seed, 1),
             due: BTreeMap::new(),
             sequence: 0,
@@ -83,33 +90,33 @@
             arrivals: 0.0,
         };
         for router in fleet.routers.iter_mut().step_by(2) {
-            router.pass(60 * SECOND);
+            router.advance(60 * SECOND);
             router.now = START;
         }
         fleet
     }
 
-    /// All routers are told of an endpoint.
-    pub(crate) fn list(&mut self, server: EndpointSpec) {
-        for number in 0..self.routers.len() {
-            let event = Event::EndpointsUpdated(EndpointUpdate::Delta(vec![server]));
-            self.tell(number, event);
+    /// Sends all routers an update of the endpoint list with this entry.
+    pub(crate) fn update_endpoint(&mut self, spec: EndpointSpec) {
+        for router_index in 0..self.routers.len() {
+            let event = Event::EndpointsUpdated(EndpointUpdate::Delta(vec![spec]));
+            self.deliver_to(router_index, event);
         }
     }
 
-    /// Lets time pass under a load.
-    pub(crate) fn run(&mut self, span: Micros, load: Load) {
-        let end = self.now + span;
+    /// Runs the simulation for `duration` under a load.
+    pub(crate) fn run(&mut self, duration: Micros, load: Load) {
+        let end = self.now + duration;
         while self.now < end {
             self.arrive(load);
             self.now += STEP;
             self.finish_due();
-            for number in 0..self.routers.len() {
-                let behind = self.now - self.routers[number].now;
-                let actions = self.routers[number].pass(behind);
+            for router_index in 0..self.routers.len() {
+                let behind = self.now - self.routers[router_index].now;
+                let actions = self.routers[router_index].advance(behind);
                 actions
                     .into_iter()
-                    .for_each(|(_, action)| self.carry_out(number, &[action]));
+                    .for_each(|(_, action)| self.carry_out(router_index, &[action]));
             }
         }
     }
@@ -126,7 +133,7 @@
             } else {
                 1 + (self.uniform() * others) as usize
             };
-            // Few prompts are long: the square of what is drawn evenly.
+            // The square of a uniform draw makes long prompts rare.
             let share = self.uniform().powi(2).max(0.05);
             let prompt_tokens = (load.longest_prompt as f64 * share) as u64;
             let session = u64::from(self.rng.next_u32() % 200);
@@ -134,8 +141,8 @@
             self.records.push(Record {
                 prompt_tokens,
                 session,
-                answered: false,
-                refused: false,
+                has_response: false,
+                rejected: false,
             });
             let session = Some(SessionId(session));
             let request = RequestSpec {
@@ -143,7 +150,7 @@
                 session,
                 ..request_spec(id, self.now)
             };
-            self.tell(
+            self.deliver_to(
                 router.min(self.routers.len() - 1),
                 Event::RequestArrived(request),
             );
@@ -154,34 +161,34 @@
         f64::from(self.rng.next_u32()) / 2_f64.powi(32)
     }
 
-    fn tell(&mut self, router: usize, event: Event) {
+    fn deliver_to(&mut self, router: usize, event: Event) {
         self.routers[router].now = self.now;
-        let actions = self.routers[router].on(event);
+        let actions = self.routers[router].deliver(event);
         self.carry_out(router, &actions);
     }
 
     fn carry_out(&mut self, router: usize, actions: &[Action]) {
-        for (id, server) in routes(actions) {
-            self.sent.entry(server).or_default().push(self.now);
-            self.serve(router, id, server);
+        for (id, endpoint_id) in routes(actions) {
+            self.sent.entry(endpoint_id).or_default().push(self.now);
+            self.serve(router, id, endpoint_id);
         }
         for action in actions {
             if let Action::Reject { id, .. } = action {
-                self.records[id.0 as usize].refused = true;
+                self.records[id.0 as usize].rejected = true;
             }
         }
     }
 
-    /// Servers with even numbers read, those with odd ones write.
-    fn serve(&mut self, router: usize, id: u32, server: u64) {
+    /// Serves an attempt: endpoints with even ids process prompts, those with odd ids decode.
+    fn serve(&mut self, router: usize, id: u32, endpoint_id: u64) {
         let attempt = self.attempt_of(id);
-        if server.is_multiple_of(2) {
-            let span =
-                self.records[id as usize].prompt_tokens as f64 / self.read_rate * SECOND as f64;
-            let free_at = self.free_at.entry(server).or_insert(self.now);
-            *free_at = (*free_at).max(self.now) + span as Micros;
+        if endpoint_id.is_multiple_of(2) {
+            let prefill_time =
+                self.records[id as usize].prompt_tokens as f64 / self.prefill_rate * SECOND as f64;
+            let free_at = self.free_at.entry(endpoint_id).or_insert(self.now);
+            *free_at = (*free_at).max(self.now) + prefill_time as Micros;
             let at = *free_at;
-            // Clients wait for four seconds.
+            // An attempt times out after four seconds, the time that clients wait.
             let client_timeout = self.now + 4 * SECOND;
             let outcome = if at < client_timeout {
                 PREFILLED
@@ -190,23 +197,23 @@
             };
             self.schedule(
                 at.min(client_timeout),
-                Due::Ended(router, result(id, attempt, server, outcome)),
+                Due::Ended(router, attempt_ended(id, attempt, endpoint_id, outcome)),
             );
         } else {
-            let (request, endpoint) = (RequestId(id), EndpointId(server));
-            let begun = Event::StreamStarted {
+            let (request, endpoint) = (RequestId(id), EndpointId(endpoint_id));
+            let started = Event::StreamStarted {
                 id: request,
                 attempt,
                 endpoint,
                 elapsed: 1,
             };
-            self.schedule(self.now + STEP, Due::StreamStarted(router, begun));
-            let ended = result(id, attempt, server, Outcome::Completed);
-            self.schedule(self.now + STREAM, Due::Ended(router, ended));
+            self.schedule(self.now + STEP, Due::StreamStarted(router, started));
+            let ended = attempt_ended(id, attempt, endpoint_id, Outcome::Completed);
+            self.schedule(self.now + STREAM_DURATION, Due::Ended(router, ended));
         }
     }
 
-    /// The number of the attempt that has just been made for a request.
+    /// Counts an attempt for a request and returns its number, from 0.
     fn attempt_of(&mut self, id: u32) -> u32 {
         let made = self.attempts.entry(id).or_insert(0);
         *made += 1;
@@ -227,31 +234,31 @@
             match entry.remove() {
                 Due::StreamStarted(router, event) => {
                     if let Event::StreamStarted { id, .. } = &event {
-                        self.records[id.0 as usize].answered = true;
+                        self.records[id.0 as usize].has_response = true;
                     }
-                    self.tell(router, event);
+                    self.deliver_to(router, event);
                 }
-                Due::Ended(router, event) => self.tell(router, event),
+                Due::Ended(router, event) => self.deliver_to(router, event),
             }
         }
     }
 }
 
-/// A prefill endpoint (of even number) or a decode endpoint (of odd number) that is warm.
-pub(crate) fn warm(server: u64) -> EndpointSpec {
-    endpoint_spec(server, (server % 2) as usize, 0)
+/// An endpoint that is warm: a prefill endpoint if its id is even, a decode endpoint if it is odd.
+pub(crate) fn warm(endpoint_id: u64) -> EndpointSpec {
+    endpoint_spec(endpoint_id, (endpoint_id % 2) as usize, 0)
 }
 
-/// One that has just started.
-pub(crate) fn cold(server: u64, now: Micros) -> EndpointSpec {
+/// An endpoint like [`warm`]'s that has just started.
+pub(crate) fn cold(endpoint_id: u64, now: Micros) -> EndpointSpec {
     EndpointSpec {
         started_at: Some(now),
-        ..warm(server)
+        ..warm(endpoint_id)
     }
 }
 
-/// The most of these instants that lie within one window.
-pub(crate) fn most_within(instants: &[Micros], window: Micros) -> usize {
+/// The largest number of these instants that lie within one window.
+pub(crate) fn max_count_within(instants: &[Micros], window: Micros) -> usize {
     let within = |from: &Micros| {
         instants
             .iter()
@@ -261,17 +268,17 @@
     instants.iter().map(within).max().unwrap_or(0)
 }
 
-/// Sessions of which each request was rejected.
+/// The number of sessions of which every request was rejected.
 pub(crate) fn sessions_always_rejected(records: &[Record]) -> usize {
-    let refused: BTreeSet<u64> = records
+    let rejected: BTreeSet<u64> = records
         .iter()
-        .filter(|r| r.refused)
+        .filter(|r| r.rejected)
         .map(|r| r.session)
         .collect();
     let served: BTreeSet<u64> = records
         .iter()
-        .filter(|r| !r.refused)
+        .filter(|r| !r.rejected)
         .map(|r| r.session)
         .collect();
-    refused.difference(&served).count()
+    rejected.difference(&served).count()
 }
--- a/crates/routing-policy/tests/common/mod.rs
+++ b/crates/routing-policy/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A small test driver for a router: builds settings, lists and requests, and collects actions.
+//! A test driver for the policy of one router: it builds settings, endpoint lists and requests,
+//! delivers events and timers, and collects the actions.
 #![allow(dead_code)]
 
 pub(crate) mod fleet;
@@ -6,6 +7,7 @@
 use cranetack_routing_policy::*;
 
 pub(crate) const SECOND: Micros = 1_000_000;
+/// When the policy of a driver is created.
 pub(crate) const START: Micros = 50 * SECOND;
 
 pub(crate) const PREFILLED: Outcome = Outcome::Prefilled { cached_tokens: 0 };
@@ -14,7 +16,8 @@
 pub(crate) const UNREACHABLE: Outcome = Outcome::ConnectFailed(ConnectFailure::Unreachable);
 pub(crate) const CONNECTION_RESET: Outcome = Outcome::ConnectionReset(ResetCause::InUse);
 
-/// The outcome with the detail that a number stands for: cached tokens, or 1 for the rarer cause.
+/// Returns the outcome with the detail that `number` stands for: the cached tokens of a prefill, or
+/// 1 for the rarer cause of a rejection, a connect failure or a reset.
 pub(crate) fn with_detail(outcome: Outcome, number: u64) -> Outcome {
     match (outcome, number) {
         (PREFILLED, cached_tokens) => Outcome::Prefilled { cached_tokens },
@@ -37,8 +40,8 @@
             priority_weight: Some(1.0),
         }],
         kinds: [Role::Prefill, Role::Decode, Role::Mixed]
-            .map(|s| Kind {
-                role: Some(s),
+            .map(|role| Kind {
+                role: Some(role),
                 memory_tokens: None,
             })
             .to_vec(),
@@ -78,7 +81,7 @@
     }
 }
 
-pub(crate) fn result(id: u32, attempt: u32, endpoint: u64, outcome: Outcome) -> Event {
+pub(crate) fn attempt_ended(id: u32, attempt: u32, endpoint: u64, outcome: Outcome) -> Event {
     Event::AttemptEnded {
         id: RequestId(id),
         attempt,
@@ -90,6 +93,7 @@
     }
 }
 
+/// A policy with its clock and its timers.
 pub(crate) struct Driver {
     pub(crate) policy: Policy,
     pub(crate) now: Micros,
@@ -98,10 +102,10 @@
 
 impl Driver {
     pub(crate) fn new(settings: Settings, specs: Vec<EndpointSpec>) -> (Driver, Vec<Action>) {
-        Driver::seeded(settings, specs, 7)
+        Driver::with_seed(settings, specs, 7)
     }
 
-    pub(crate) fn seeded(
+    pub(crate) fn with_seed(
         settings: Settings,
         specs: Vec<EndpointSpec>,
         seed: u64,
@@ -111,11 +115,11 @@
             now: START,
             timers: Vec::new(),
         };
-        let actions = driver.on(Event::EndpointsUpdated(EndpointUpdate::Restored(specs)));
+        let actions = driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Restored(specs)));
         (driver, actions)
     }
 
-    pub(crate) fn on(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn deliver(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.policy.handle(self.now, event, &mut out);
         self.timers.extend(out.iter().filter_map(|a| match a {
@@ -126,13 +130,14 @@
     }
 
     pub(crate) fn arrive(&mut self, spec: RequestSpec) -> Vec<Action> {
-        self.on(Event::RequestArrived(spec))
+        self.deliver(Event::RequestArrived(spec))
     }
 
-    /// Lets time pass, delivering timers as they fall due.
-    pub(crate) fn pass(&mut self, span: Micros) -> Vec<(Micros, Action)> {
-        let end = self.now + span;
-        let mut done = Vec::new();
+    /// Advances the clock by `duration` and delivers the timers that come due. Returns the actions,
+    /// each with the time at which it was taken.
+    pub(crate) fn advance(&mut self, duration: Micros) -> Vec<(Micros, Action)> {
+        let end = self.now + duration;
+        let mut taken = Vec::new();
         while let Some(next) = self
             .timers
             .iter()
@@ -143,15 +148,15 @@
             self.now = self.now.max(next);
             let index = self.timers.iter().position(|t| t.0 == next).unwrap();
             let (_, key) = self.timers.remove(index);
-            let actions = self.on(Event::TimerFired(key));
-            done.extend(actions.into_iter().map(|a| (self.now, a)));
+            let actions = self.deliver(Event::TimerFired(key));
+            taken.extend(actions.into_iter().map(|a| (self.now, a)));
         }
         self.now = end;
-        done
+        taken
     }
 }
 
-/// Where requests were sent, in order.
+/// The request and the endpoint of each `Send` action, in order.
 pub(crate) fn routes(actions: &[Action]) -> Vec<(u32, u64)> {
     let route = |a: &Action| match a {
         Action::Send { id, endpoint, .. } => Some((id.0, endpoint.0)),
--- a/crates/routing-policy/tests/concurrency.rs
+++ b/crates/routing-policy/tests/concurrency.rs
@@ -20,7 +20,7 @@
             .sum()
     };
     assert_eq!(sent(&mut driver, 0..6), 6);
-    driver.pass(SECOND);
+    driver.advance(SECOND);
     assert_eq!(
         sent(&mut driver, 6..12),
         0,
@@ -40,9 +40,9 @@
             .sum()
     };
     assert_eq!(sent(&mut driver, 0..5), 5);
-    driver.pass(SECOND);
+    driver.advance(SECOND);
     for id in 0..5 {
-        driver.on(Event::StreamStarted {
+        driver.deliver(Event::StreamStarted {
             id: RequestId(id),
             attempt: 0,
             endpoint: EndpointId(5),
@@ -76,11 +76,11 @@
             routes(&driver.arrive(request_spec(1, START))),
             [(1, PREFILL)]
         );
-        driver.pass(SECOND / 2);
+        driver.advance(SECOND / 2);
         driver.arrive(request_spec(2, driver.now));
         if passed {
-            driver.on(result(2, 0, PREFILL, PREFILLED));
-            driver.on(Event::StreamStarted {
+            driver.deliver(attempt_ended(2, 0, PREFILL, PREFILLED));
+            driver.deliver(Event::StreamStarted {
                 id: RequestId(2),
                 attempt: 1,
                 endpoint: EndpointId(DECODE),
@@ -88,10 +88,10 @@
             });
         }
         assert_eq!(
-            cancellations(driver.pass(2 * SECOND)),
+            cancellations(driver.advance(2 * SECOND)),
             if passed { vec![1] } else { vec![] }
         );
-        let again = routes(&driver.on(result(1, 0, PREFILL, Outcome::Cancelled)));
+        let again = routes(&driver.deliver(attempt_ended(1, 0, PREFILL, Outcome::Cancelled)));
         assert!(!passed || again == [(1, PREFILL)]);
     }
 }
@@ -107,16 +107,16 @@
         driver.arrive(request_spec(1, START));
         driver.arrive(request_spec(2, START));
         for id in [1, 2] {
-            driver.on(result(id, 0, PREFILL, PREFILLED));
-            driver.pass(SECOND / 3);
+            driver.deliver(attempt_ended(id, 0, PREFILL, PREFILLED));
+            driver.advance(SECOND / 3);
         }
-        driver.on(Event::StreamStarted {
+        driver.deliver(Event::StreamStarted {
             id: RequestId(2),
             attempt: 1,
             endpoint: EndpointId(DECODE),
             elapsed: 1,
         });
-        assert_eq!(cancellations(driver.pass(2 * SECOND)), called_off);
+        assert_eq!(cancellations(driver.advance(2 * SECOND)), called_off);
     }
 }
 
@@ -138,7 +138,7 @@
         elapsed: 1,
         load: None,
     };
-    driver.on(health_checked);
-    assert_eq!(cancellations(driver.pass(SECOND)), [0; 0]);
-    assert_eq!(cancellations(driver.pass(SECOND)), [1]);
+    driver.deliver(health_checked);
+    assert_eq!(cancellations(driver.advance(SECOND)), [0; 0]);
+    assert_eq!(cancellations(driver.advance(SECOND)), [1]);
 }
--- a/crates/routing-policy/tests/endpoint_updates.rs
+++ b/crates/routing-policy/tests/endpoint_updates.rs
@@ -19,7 +19,7 @@
             state,
             ..endpoint_spec(PREFILL, 0, 0)
         }];
-        driver.on(Event::EndpointsUpdated(EndpointUpdate::Delta(specs)));
+        driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(specs)));
         assert_eq!(routes(&driver.arrive(request_spec(1, START))), vec![]);
     }
 }
@@ -27,7 +27,7 @@
 #[test]
 fn an_endpoint_missing_from_a_snapshot_is_removed() {
     let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), pair());
-    driver.on(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![
+    driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![
         endpoint_spec(DECODE, 1, 0),
     ])));
     assert_eq!(routes(&driver.arrive(request_spec(1, START))), vec![]);
@@ -36,7 +36,7 @@
 #[test]
 fn a_failed_poll_leaves_the_list_as_it_was() {
     let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), pair());
-    driver.on(Event::EndpointsUpdated(EndpointUpdate::PollFailed));
+    driver.deliver(Event::EndpointsUpdated(EndpointUpdate::PollFailed));
     assert_eq!(
         routes(&driver.arrive(request_spec(1, START))),
         vec![(1, PREFILL)]
@@ -52,8 +52,8 @@
     };
     let (mut driver, first) = Driver::new(asked, pair());
     assert!(first.contains(&Action::SubscribeEndpoints(true)));
-    driver.on(Event::EndpointsUpdated(EndpointUpdate::PollFailed));
-    let again = driver.pass(SECOND);
+    driver.deliver(Event::EndpointsUpdated(EndpointUpdate::PollFailed));
+    let again = driver.advance(SECOND);
     assert!(again
         .iter()
         .any(|(_, a)| *a == Action::SubscribeEndpoints(true)));
@@ -74,20 +74,20 @@
             ..endpoint_spec(endpoint - 1, 0, 0)
         };
         let specs = vec![endpoint_spec(endpoint, 0, 0), gone];
-        driver.on(Event::EndpointsUpdated(EndpointUpdate::Delta(specs)));
+        driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(specs)));
     }
     assert_eq!(driver.policy.endpoint_statuses(driver.now).len(), 3);
     let specs = vec![endpoint_spec(DECODE, 1, 0), endpoint_spec(29, 0, 0)];
-    driver.on(Event::EndpointsUpdated(EndpointUpdate::Snapshot(specs)));
+    driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Snapshot(specs)));
     assert_eq!(
         driver.policy.endpoint_statuses(driver.now).len(),
         3,
         "an attempt is in flight at the prefill endpoint"
     );
     assert_eq!(
-        routes(&driver.on(result(1, 0, PREFILL, PREFILLED))),
+        routes(&driver.deliver(attempt_ended(1, 0, PREFILL, PREFILLED))),
         [(1, DECODE)]
     );
-    driver.on(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![])));
+    driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![])));
     assert_eq!(driver.policy.endpoint_statuses(driver.now).len(), 2);
 }
--- a/crates/routing-policy/tests/kv_lease.rs
+++ b/crates/routing-policy/tests/kv_lease.rs
@@ -25,11 +25,11 @@
         state: EndpointState::Draining,
         ..endpoint_spec(DECODE, 1, 0)
     };
-    driver.on(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![
+    driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![
         draining,
     ])));
     assert_eq!(
-        routes(&driver.on(result(1, 0, PREFILL, PREFILLED))),
+        routes(&driver.deliver(attempt_ended(1, 0, PREFILL, PREFILLED))),
         vec![],
         "its decode endpoint drains"
     );
@@ -37,11 +37,11 @@
         state: EndpointState::Removed,
         ..endpoint_spec(DECODE, 1, 0)
     };
-    driver.on(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![gone])));
+    driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![gone])));
     let other = DECODE + 1;
     let specs = vec![endpoint_spec(other, 1, 0)];
     assert_eq!(
-        routes(&driver.on(Event::EndpointsUpdated(EndpointUpdate::Delta(specs)))),
+        routes(&driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(specs)))),
         vec![(1, other)]
     );
 }
@@ -62,11 +62,11 @@
     for (id, begins) in [(1, false), (2, true)] {
         driver.arrive(request_spec(id, driver.now));
         assert_eq!(
-            routes(&driver.on(result(id, 0, PREFILL, PREFILLED))),
+            routes(&driver.deliver(attempt_ended(id, 0, PREFILL, PREFILLED))),
             vec![(id, DECODE)]
         );
         if begins {
-            driver.on(Event::StreamStarted {
+            driver.deliver(Event::StreamStarted {
                 id: RequestId(id),
                 attempt: 1,
                 endpoint: EndpointId(DECODE),
@@ -74,7 +74,7 @@
             });
         }
         let meanwhile = driver
-            .pass(SECOND / 2)
+            .advance(SECOND / 2)
             .into_iter()
             .map(|(_, action)| action);
         assert_eq!(
@@ -82,6 +82,6 @@
             usize::from(!begins),
             "an answer that has begun holds nothing"
         );
-        driver.on(result(id, 1, DECODE, Outcome::Completed));
+        driver.deliver(attempt_ended(id, 1, DECODE, Outcome::Completed));
     }
 }
--- a/crates/routing-policy/tests/lane_choice.rs
+++ b/crates/routing-policy/tests/lane_choice.rs
@@ -33,18 +33,18 @@
             session,
             ..request_spec(id, driver.now)
         })) {
-            for (id, decode) in routes(&driver.on(result(id, 0, prefill, PREFILLED))) {
+            for (id, decode) in routes(&driver.deliver(attempt_ended(id, 0, prefill, PREFILLED))) {
                 answered[decode as usize] += 1;
-                driver.on(Event::StreamStarted {
+                driver.deliver(Event::StreamStarted {
                     id: RequestId(id),
                     attempt: 1,
                     endpoint: EndpointId(decode),
                     elapsed: 1,
                 });
-                driver.on(result(id, 1, decode, Outcome::Completed));
+                driver.deliver(attempt_ended(id, 1, decode, Outcome::Completed));
             }
         }
-        driver.pass(SECOND / 10);
+        driver.advance(SECOND / 10);
     }
     assert!(
         answered[3] < 120,
@@ -73,10 +73,10 @@
         endpoint: EndpointId(PREFILL),
         granted: false,
     };
-    let second = reserved_at(&driver.on(refused)).expect("another is asked for");
+    let second = reserved_at(&driver.deliver(refused)).expect("another is asked for");
     assert_eq!(second, DECODE + 3 - first);
     assert_eq!(
-        routes(&driver.on(result(1, 0, PREFILL, PREFILLED))),
+        routes(&driver.deliver(attempt_ended(1, 0, PREFILL, PREFILLED))),
         vec![(1, second)]
     );
 }
@@ -96,14 +96,14 @@
         };
         let first = session as u32 * 2;
         let prefill = routes(&driver.arrive(turn(first)))[0].1;
-        driver.on(result(first, 0, prefill, PREFILLED));
-        driver.on(result(first, 1, 2, Outcome::Completed));
+        driver.deliver(attempt_ended(first, 0, prefill, PREFILLED));
+        driver.deliver(attempt_ended(first, 1, 2, Outcome::Completed));
         assert_eq!(
             routes(&driver.arrive(turn(first + 1))),
             vec![(first + 1, prefill)]
         );
-        driver.on(result(first + 1, 0, prefill, PREFILLED));
-        driver.on(result(first + 1, 1, 2, Outcome::Completed));
+        driver.deliver(attempt_ended(first + 1, 0, prefill, PREFILLED));
+        driver.deliver(attempt_ended(first + 1, 1, 2, Outcome::Completed));
     }
 }
 
@@ -156,13 +156,13 @@
         ..request_spec(id, START)
     };
     let prefill = routes(&driver.arrive(prefix(0)))[0].1;
-    driver.on(result(0, 0, prefill, PREFILLED));
-    driver.on(result(0, 1, 2, Outcome::Completed));
+    driver.deliver(attempt_ended(0, 0, prefill, PREFILLED));
+    driver.deliver(attempt_ended(0, 1, 2, Outcome::Completed));
     let restarted = EndpointSpec {
         started_at: Some(START - 60 * SECOND),
         ..endpoint_spec(prefill, 0, 0)
     };
-    driver.on(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![
+    driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![
         restarted,
     ])));
     // With nothing kept anywhere the prefill endpoints tie, so that requests with the same shared
@@ -175,8 +175,8 @@
         }))[0]
             .1;
         seen.insert(at);
-        driver.on(result(id, 0, at, PREFILLED));
-        driver.on(result(id, 1, 2, Outcome::Completed));
+        driver.deliver(attempt_ended(id, 0, at, PREFILLED));
+        driver.deliver(attempt_ended(id, 1, 2, Outcome::Completed));
     }
     assert_eq!(seen.len(), 2);
 }
@@ -190,8 +190,8 @@
     ];
     let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), specs);
     let first = routes(&driver.arrive(request_spec(0, START)))[0].1;
-    driver.on(result(0, 0, first, PREFILLED));
-    driver.on(result(0, 1, 2, Outcome::Completed));
+    driver.deliver(attempt_ended(0, 0, first, PREFILLED));
+    driver.deliver(attempt_ended(0, 1, 2, Outcome::Completed));
     let huge = routes(&driver.arrive(RequestSpec {
         prompt_tokens: 30_000,
         ..request_spec(1, START)
@@ -239,14 +239,14 @@
             }),
             "{actions:?}"
         );
-        driver.on(result(id, 0, prefill, PREFILLED));
-        driver.on(Event::StreamStarted {
+        driver.deliver(attempt_ended(id, 0, prefill, PREFILLED));
+        driver.deliver(Event::StreamStarted {
             id: RequestId(id),
             attempt: 1,
             endpoint: EndpointId(prefill + 1),
             elapsed: 1,
         });
-        driver.on(result(id, 1, prefill + 1, Outcome::Completed));
+        driver.deliver(attempt_ended(id, 1, prefill + 1, Outcome::Completed));
     }
 }
 
@@ -277,7 +277,7 @@
                 .iter()
                 .map(|(_, endpoint)| *endpoint),
             );
-            driver.pass(SECOND / 50);
+            driver.advance(SECOND / 50);
         }
         endpoints.sort_unstable();
         endpoints.dedup();
@@ -293,7 +293,7 @@
     let mut actions = driver.arrive(mixed(1, now));
     actions.extend(
         driver
-            .pass(4 * SECOND)
+            .advance(4 * SECOND)
             .into_iter()
             .map(|(_, action)| action),
     );
--- a/crates/routing-policy/tests/lanes.rs
+++ b/crates/routing-policy/tests/lanes.rs
@@ -62,8 +62,8 @@
     let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), specs);
     for (c, p) in places() {
         let (pending, memory, util) = cells[c][p];
-        driver.on(health_checked(number(c, p, 0), load(pending, 0.0, 0.0)));
-        driver.on(health_checked(number(c, p, 1), load(0.0, memory, util)));
+        driver.deliver(health_checked(number(c, p, 0), load(pending, 0.0, 0.0)));
+        driver.deliver(health_checked(number(c, p, 1), load(0.0, memory, util)));
     }
     let actions = driver.arrive(request_spec(1, START));
     let prefill = routes(&actions)[0].1 as usize;
@@ -134,13 +134,13 @@
         assert_eq!(routes(&actions), vec![], "it waits for the report");
         let target = touched(&actions).unwrap_or(0);
         let pending = if jammed { 100.0 } else { 0.0 };
-        let sent = routes(&driver.on(health_checked(target, load(pending, 0.0, 0.0))));
+        let sent = routes(&driver.deliver(health_checked(target, load(pending, 0.0, 0.0))));
         assert_eq!(sent, vec![(1, if jammed { 3 - target } else { target })]);
     }
     let (mut driver, _) = Driver::new(settings, specs);
     let target = touched(&driver.arrive(request_spec(1, driver.now))).unwrap_or(0);
     let later: Vec<Action> = driver
-        .pass(SECOND / 10)
+        .advance(SECOND / 10)
         .into_iter()
         .map(|(_, a)| a)
         .collect();
@@ -179,17 +179,17 @@
     };
     let first = touched(&driver.arrive(request_spec(1, driver.now))).unwrap();
     assert_eq!(
-        routes(&driver.on(health_checked(first, load(100.0, 0.0, 0.0)))).len(),
+        routes(&driver.deliver(health_checked(first, load(100.0, 0.0, 0.0)))).len(),
         1,
         "three health checks for two requests"
     );
     let second = touched(&driver.arrive(request_spec(2, driver.now))).unwrap();
     assert_ne!(second, first);
     let third = 6 - first - second;
-    let actions = driver.on(health_checked(second, load(100.0, 0.0, 0.0)));
+    let actions = driver.deliver(health_checked(second, load(100.0, 0.0, 0.0)));
     assert_eq!((touched(&actions), routes(&actions)), (Some(third), vec![]));
     assert_eq!(
-        routes(&driver.on(health_checked(third, load(0.0, 0.0, 0.0)))),
+        routes(&driver.deliver(health_checked(third, load(0.0, 0.0, 0.0)))),
         vec![(2, third)]
     );
 }
@@ -220,10 +220,10 @@
     let mut written = std::collections::BTreeMap::new();
     for id in 1..=200 {
         let prefill = routes(&driver.arrive(request_spec(id, driver.now)))[0].1;
-        let decode = routes(&driver.on(result(id, 0, prefill, PREFILLED)))[0].1;
+        let decode = routes(&driver.deliver(attempt_ended(id, 0, prefill, PREFILLED)))[0].1;
         *written.entry(decode).or_insert(0) += 1;
-        driver.on(result(id, 1, decode, Outcome::Completed));
-        driver.pass(SECOND / 10);
+        driver.deliver(attempt_ended(id, 1, decode, Outcome::Completed));
+        driver.advance(SECOND / 10);
     }
     assert!(written[&11] < 100, "{written:?}");
 }
--- a/crates/routing-policy/tests/many_routers.rs
+++ b/crates/routing-policy/tests/many_routers.rs
@@ -29,7 +29,7 @@
             router_count: Some(100),
             ..settings(Idempotency::Idempotent)
         };
-        let (mut driver, _) = Driver::seeded(settings, specs.clone(), seed);
+        let (mut driver, _) = Driver::with_seed(settings, specs.clone(), seed);
         for (_, endpoint) in routes(&driver.arrive(request_spec(1, driver.now))) {
             sent[usize::from(endpoint == 3)] += 1;
         }
@@ -55,15 +55,15 @@
             router_count: Some(100),
             ..settings(Idempotency::Idempotent)
         };
-        let (mut driver, _) = Driver::seeded(settings, specs.clone(), seed);
+        let (mut driver, _) = Driver::with_seed(settings, specs.clone(), seed);
         let mut target = |session: u32| {
             let turn = request_spec(session, driver.now);
             let sent = routes(&driver.arrive(RequestSpec {
                 session: Some(SessionId(u64::from(session))),
                 ..turn
             }));
-            driver.on(result(session, 0, sent[0].1, PREFILLED));
-            driver.on(Event::ClientDisconnected(RequestId(session)));
+            driver.deliver(attempt_ended(session, 0, sent[0].1, PREFILLED));
+            driver.deliver(Event::ClientDisconnected(RequestId(session)));
             sent[0].1
         };
         (0..40).map(&mut target).collect::<Vec<u64>>()
@@ -100,7 +100,7 @@
             pending_kilotokens: Some(pending),
             ..LoadReport::default()
         });
-        driver.on(Event::HealthChecked {
+        driver.deliver(Event::HealthChecked {
             endpoint: EndpointId(endpoint),
             outcome: Outcome::Completed,
             elapsed: 1_000,
@@ -124,7 +124,7 @@
             router_count: Some(200),
             ..settings(Idempotency::Idempotent)
         };
-        let (mut driver, _) = Driver::seeded(settings, specs.clone(), seed);
+        let (mut driver, _) = Driver::with_seed(settings, specs.clone(), seed);
         let session = session.map(|s| SessionId(s + seed));
         let sent = routes(&driver.arrive(RequestSpec {
             session,
@@ -163,21 +163,21 @@
                 router_count: Some(100),
                 ..settings(Idempotency::Idempotent)
             };
-            let (mut driver, _) = Driver::seeded(settings, specs, seed);
+            let (mut driver, _) = Driver::with_seed(settings, specs, seed);
             let served = |driver: &mut Driver, id: u32| {
                 let sent = routes(&driver.arrive(request_spec(id, driver.now)));
                 for (id, endpoint) in &sent {
-                    driver.on(result(*id, 0, *endpoint, PREFILLED));
+                    driver.deliver(attempt_ended(*id, 0, *endpoint, PREFILLED));
                     let (id, attempt, endpoint) = (RequestId(*id), 1, EndpointId(9));
-                    driver.on(Event::StreamStarted {
+                    driver.deliver(Event::StreamStarted {
                         id,
                         attempt,
                         endpoint,
                         elapsed: 1,
                     });
-                    driver.on(result(id.0, 1, 9, Outcome::Completed));
+                    driver.deliver(attempt_ended(id.0, 1, 9, Outcome::Completed));
                 }
-                driver.pass(SECOND / 2);
+                driver.advance(SECOND / 2);
                 sent.iter().filter(|(_, endpoint)| *endpoint == 5).count()
             };
             let before: usize = (0..2 * lived).map(|id| served(&mut driver, id)).sum();
@@ -186,7 +186,7 @@
                 started_at: Some(driver.now),
                 ..endpoint_spec(5, 0, 0)
             };
-            driver.on(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![cold])));
+            driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![cold])));
             (1_000..1_020)
                 .map(|id| served(&mut driver, id))
                 .sum::<usize>()
--- a/crates/routing-policy/tests/outliers.rs
+++ b/crates/routing-policy/tests/outliers.rs
@@ -20,7 +20,7 @@
     };
     let (mut driver, _) = Driver::new(settings, pair());
     driver.arrive(request_spec(1, START));
-    driver.on(result(1, 0, PREFILL, Outcome::ServerError));
+    driver.deliver(attempt_ended(1, 0, PREFILL, Outcome::ServerError));
     assert_eq!(
         routes(&driver.arrive(request_spec(2, START))),
         vec![],
@@ -38,10 +38,10 @@
     let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), pair());
     driver.arrive(request_spec(1, START));
     assert_eq!(
-        routes(&driver.on(result(1, 0, PREFILL, OVERLOADED))),
+        routes(&driver.deliver(attempt_ended(1, 0, PREFILL, OVERLOADED))),
         vec![]
     );
-    let later: Vec<Action> = driver.pass(SECOND).into_iter().map(|(_, a)| a).collect();
+    let later: Vec<Action> = driver.advance(SECOND).into_iter().map(|(_, a)| a).collect();
     assert_eq!(routes(&later), vec![(1, PREFILL)], "nor ejected for good");
 }
 
@@ -54,7 +54,7 @@
     ];
     let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), specs);
     let first = routes(&driver.arrive(request_spec(0, START)))[0].1;
-    let second = routes(&driver.on(result(0, 0, first, UNREACHABLE)))[0].1;
+    let second = routes(&driver.deliver(attempt_ended(0, 0, first, UNREACHABLE)))[0].1;
     assert_ne!(first, second);
     assert!((1..6).all(|id| routes(&driver.arrive(request_spec(id, START)))[0].1 == second));
 }
@@ -82,8 +82,8 @@
     let good = at_prefill.pop().unwrap();
     at_prefill
         .iter()
-        .for_each(|id| drop(driver.on(result(*id, 0, PREFILL, Outcome::ServerError))));
-    driver.on(result(good, 0, PREFILL, PREFILLED));
+        .for_each(|id| drop(driver.deliver(attempt_ended(*id, 0, PREFILL, Outcome::ServerError))));
+    driver.deliver(attempt_ended(good, 0, PREFILL, PREFILLED));
     assert_eq!(
         routes(&driver.arrive(request_spec(20, driver.now))),
         [(20, 3)]
--- a/crates/routing-policy/tests/retries.rs
+++ b/crates/routing-policy/tests/retries.rs
@@ -32,8 +32,8 @@
 /// endpoint's group.
 fn may_have_executed(driver: &mut Driver) -> u64 {
     let read = routes(&driver.arrive(request_spec(1, driver.now)))[0].1;
-    let written = routes(&driver.on(result(1, 0, read, PREFILLED)))[0].1;
-    let actions = driver.on(result(1, 1, written, CONNECTION_RESET));
+    let written = routes(&driver.deliver(attempt_ended(1, 0, read, PREFILLED)))[0].1;
+    let actions = driver.deliver(attempt_ended(1, 1, written, CONNECTION_RESET));
     assert!(
         routes(&actions)
             .iter()
@@ -51,7 +51,7 @@
         let mut driver = two_groups(scope);
         let group = may_have_executed(&mut driver);
         let later: Vec<Action> = driver
-            .pass(2 * SECOND)
+            .advance(2 * SECOND)
             .into_iter()
             .map(|(_, action)| action)
             .collect();
@@ -74,10 +74,10 @@
     let mut driver = two_groups(KeyScope::Zone);
     let read = routes(&driver.arrive(request_spec(1, driver.now)))[0].1;
     let written_at = driver.now;
-    let written = routes(&driver.on(result(1, 0, read, PREFILLED)))[0].1;
-    driver.pass(2 * SECOND);
-    let mut actions = driver.on(result(1, 1, written, CONNECTION_RESET));
-    actions.extend(driver.pass(SECOND).into_iter().map(|(_, action)| action));
+    let written = routes(&driver.deliver(attempt_ended(1, 0, read, PREFILLED)))[0].1;
+    driver.advance(2 * SECOND);
+    let mut actions = driver.deliver(attempt_ended(1, 1, written, CONNECTION_RESET));
+    actions.extend(driver.advance(SECOND).into_iter().map(|(_, action)| action));
     let write_by = actions.iter().filter_map(|action| match action {
         Action::Send { write_by, .. } => Some(*write_by),
         _ => None,
@@ -104,13 +104,13 @@
         let first = routes(&driver.arrive(request_spec(1, driver.now)))[0].1;
         let mut attempt = 0;
         if first != written {
-            driver.on(result(1, 0, first, PREFILLED));
+            driver.deliver(attempt_ended(1, 0, first, PREFILLED));
             attempt = 1;
         }
-        let mut actions = driver.on(result(1, attempt, written, PREFILLED));
+        let mut actions = driver.deliver(attempt_ended(1, attempt, written, PREFILLED));
         actions.extend(
             driver
-                .pass(5 * SECOND)
+                .advance(5 * SECOND)
                 .into_iter()
                 .map(|(_, action)| action),
         );
--- a/crates/routing-policy/tests/rules.rs
+++ b/crates/routing-policy/tests/rules.rs
@@ -42,7 +42,7 @@
             }
             Step::Pass(span) => {
                 for _ in 0..span / TIME_STEP {
-                    pass(&mut driver, &mut model);
+                    advance(&mut driver, &mut model);
                 }
                 None
             }
@@ -67,19 +67,19 @@
             } => Some(model.update_endpoint(endpoint, state, restart, now)),
         };
         if let Some(event) = event {
-            let actions = driver.on(event);
+            let actions = driver.deliver(event);
             model.check(now, &actions);
         }
     }
     // Attempts still in flight end at their deadlines, as the driver's timeouts would have it.
     for _ in 0..700 {
-        pass(&mut driver, &mut model);
+        advance(&mut driver, &mut model);
     }
 }
 
 /// Time passes; attempts whose time is up end, as the driver would end them.
-fn pass(driver: &mut Driver, model: &mut Model) {
-    for (at, action) in driver.pass(TIME_STEP) {
+fn advance(driver: &mut Driver, model: &mut Model) {
+    for (at, action) in driver.advance(TIME_STEP) {
         model.check(at, &[action]);
     }
     let now = driver.now;
@@ -92,7 +92,7 @@
         .collect();
     for id in due {
         let event = model.finish(now, id, Outcome::TimedOut, 0);
-        let actions = driver.on(event);
+        let actions = driver.deliver(event);
         model.check(now, &actions);
     }
     model.check_time(now);
--- a/crates/routing-policy/tests/shared_prefixes.rs
+++ b/crates/routing-policy/tests/shared_prefixes.rs
@@ -40,7 +40,7 @@
                 router_index: Some(router_index),
                 ..settings(Idempotency::Idempotent)
             };
-            Driver::seeded(settings, specs.clone(), u64::from(router_index) + 1).0
+            Driver::with_seed(settings, specs.clone(), u64::from(router_index) + 1).0
         };
         Fleet {
             drivers: (0..routers).map(driver).collect(),
@@ -70,17 +70,17 @@
         let known = !self.cached.entry(prefill).or_default().insert(prefix);
         self.of_prefixes += if known { 0 } else { PREFIX_TOKENS };
         self.read += TURN_TOKENS + if known { 0 } else { PREFIX_TOKENS };
-        driver.pass(10_000);
-        let answers = routes(&driver.on(result(id, 0, prefill, PREFILLED)));
+        driver.advance(10_000);
+        let answers = routes(&driver.deliver(attempt_ended(id, 0, prefill, PREFILLED)));
         assert_eq!(answers, vec![(id, 100)]);
-        driver.on(Event::StreamStarted {
+        driver.deliver(Event::StreamStarted {
             id: RequestId(id),
             attempt: 1,
             endpoint: EndpointId(100),
             elapsed: 1,
         });
-        driver.on(result(id, 1, 100, Outcome::Completed));
-        driver.pass(SECOND);
+        driver.deliver(attempt_ended(id, 1, 100, Outcome::Completed));
+        driver.advance(SECOND);
         prefill
     }
 
--- a/crates/routing-policy/tests/shutdown.rs
+++ b/crates/routing-policy/tests/shutdown.rs
@@ -26,8 +26,8 @@
     .0;
     for id in 0..streams {
         driver.arrive(request_spec(id, driver.now));
-        driver.on(result(id, 0, PREFILL, PREFILLED));
-        driver.on(Event::StreamStarted {
+        driver.deliver(attempt_ended(id, 0, PREFILL, PREFILLED));
+        driver.deliver(Event::StreamStarted {
             id: RequestId(id),
             attempt: 1,
             endpoint: EndpointId(DECODE),
@@ -38,7 +38,7 @@
         routes(&driver.arrive(request_spec(streams, driver.now))),
         [(streams, PREFILL)]
     );
-    driver.on(Event::ShutdownStarted {
+    driver.deliver(Event::ShutdownStarted {
         migrate_from: driver.now + FROM,
         answer_by: driver.now + BY,
     });
@@ -50,10 +50,10 @@
     let mut migrated = Vec::new();
     let end = driver.now + span;
     while driver.now < end {
-        for (_, action) in driver.pass(SECOND / 100) {
+        for (_, action) in driver.advance(SECOND / 100) {
             if let Action::Migrate(id) = action {
                 migrated.push(id.0);
-                driver.on(Event::AttemptEnded {
+                driver.deliver(Event::AttemptEnded {
                     id,
                     attempt: 1,
                     endpoint: EndpointId(DECODE),
@@ -89,7 +89,7 @@
 #[test]
 fn streams_are_not_migrated_while_all_peers_are_shutting_down() {
     let mut driver = driver(2, 3);
-    driver.on(Event::GossipReceived {
+    driver.deliver(Event::GossipReceived {
         from: 1,
         payload: vec![1],
     });
@@ -104,11 +104,11 @@
 #[test]
 fn a_peer_that_shut_down_long_ago_serves_again() {
     let mut driver = driver(2, 3);
-    driver.on(Event::GossipReceived {
+    driver.deliver(Event::GossipReceived {
         from: 1,
         payload: vec![1],
     });
-    driver.on(Event::ShutdownStarted {
+    driver.deliver(Event::ShutdownStarted {
         migrate_from: driver.now + 6 * SECOND,
         answer_by: driver.now + 9 * SECOND,
     });
@@ -119,12 +119,12 @@
 #[test]
 fn requests_without_a_response_get_their_final_one_by_the_end() {
     let mut driver = driver(1, 0);
-    let before = driver.pass(BY - SECOND / 10);
+    let before = driver.advance(BY - SECOND / 10);
     assert!(before
         .iter()
         .all(|(_, a)| !matches!(a, Action::Reject { .. } | Action::CancelAttempt { .. })));
     let end: Vec<_> = driver
-        .pass(SECOND / 5)
+        .advance(SECOND / 5)
         .into_iter()
         .map(|(_, a)| a)
         .collect();
@@ -145,7 +145,7 @@
     let late = driver.arrive(request_spec(9, driver.now));
     let after = late
         .into_iter()
-        .chain(driver.pass(SECOND / 10).into_iter().map(|(_, a)| a));
+        .chain(driver.advance(SECOND / 10).into_iter().map(|(_, a)| a));
     assert!(
         after.into_iter().any(|a| matches!(
             a,
@@ -172,17 +172,17 @@
                 gossip: true,
                 ..settings(Idempotency::Idempotent)
             };
-            let (mut driver, _) = Driver::seeded(
+            let (mut driver, _) = Driver::with_seed(
                 settings,
                 vec![endpoint_spec(PREFILL, 0, 0)],
                 router_index.into(),
             );
-            driver.on(Event::ShutdownStarted {
+            driver.deliver(Event::ShutdownStarted {
                 migrate_from: driver.now + FROM,
                 answer_by: driver.now + BY,
             });
             let mut notified: Vec<u32> = Vec::new();
-            for (_, action) in driver.pass(BY) {
+            for (_, action) in driver.advance(BY) {
                 match action {
                     Action::Gossip { to: Some(to), .. } => notified.push(to),
                     Action::Gossip { to: None, .. } => panic!("all are notified"),
--- a/crates/routing-policy/tests/slow_start.rs
+++ b/crates/routing-policy/tests/slow_start.rs
@@ -25,20 +25,20 @@
             endpoint_spec(4, 0, 0),
             endpoint_spec(DECODE, 1, 0),
         ];
-        let (mut driver, _) = Driver::seeded(settings, specs, u64::from(router_index) + 1);
+        let (mut driver, _) = Driver::with_seed(settings, specs, u64::from(router_index) + 1);
         let served = |driver: &mut Driver, id: u32| {
             let sent = routes(&driver.arrive(request_spec(id, driver.now)));
             for (id, endpoint) in &sent {
-                driver.on(result(*id, 0, *endpoint, PREFILLED));
-                driver.on(Event::StreamStarted {
+                driver.deliver(attempt_ended(*id, 0, *endpoint, PREFILLED));
+                driver.deliver(Event::StreamStarted {
                     id: RequestId(*id),
                     attempt: 1,
                     endpoint: EndpointId(DECODE),
                     elapsed: 1,
                 });
-                driver.on(result(*id, 1, DECODE, Outcome::Completed));
+                driver.deliver(attempt_ended(*id, 1, DECODE, Outcome::Completed));
             }
-            driver.pass(SECOND);
+            driver.advance(SECOND);
             sent
         };
         (0..10).for_each(|id| drop(served(&mut driver, id)));
@@ -46,7 +46,7 @@
             started_at: Some(driver.now),
             ..endpoint_spec(PREFILL, 0, 0)
         };
-        driver.on(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![cold])));
+        driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![cold])));
         for id in 10..22 {
             let at = driver.now;
             let to_cold = served(&mut driver, id)
--- a/crates/routing-policy/tests/start_clock.rs
+++ b/crates/routing-policy/tests/start_clock.rs
@@ -24,28 +24,30 @@
         .collect();
     specs.push(endpoint_spec(20, 1, 0));
     let (mut driver, _) = Driver::new(settings, specs.clone());
-    driver.pass(HOUR + HOUR / 10); // so that a start an hour before it is a point on the clock
-    driver.on(Event::EndpointsUpdated(EndpointUpdate::Snapshot(specs)));
+    driver.advance(HOUR + HOUR / 10); // so that a start an hour before it is a point on the clock
+    driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Snapshot(specs)));
     let mut next = 0;
     let mut sent = 0;
     let mut serve = |driver: &mut Driver, spans: usize, counts: bool| {
         for _ in 0..spans {
-            driver.on(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![])));
+            driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![])));
             next += 1;
             for (id, prefill) in routes(&driver.arrive(request_spec(next, driver.now))) {
                 sent += usize::from(counts && prefill == NEW);
-                for (id, decode) in routes(&driver.on(result(id, 0, prefill, PREFILLED))) {
+                for (id, decode) in
+                    routes(&driver.deliver(attempt_ended(id, 0, prefill, PREFILLED)))
+                {
                     let (id, endpoint) = (RequestId(id), EndpointId(decode));
-                    driver.on(Event::StreamStarted {
+                    driver.deliver(Event::StreamStarted {
                         id,
                         attempt: 1,
                         endpoint,
                         elapsed: 1,
                     });
-                    driver.on(result(id.0, 1, decode, Outcome::Completed));
+                    driver.deliver(attempt_ended(id.0, 1, decode, Outcome::Completed));
                 }
             }
-            driver.pass(SECOND / 50);
+            driver.advance(SECOND / 50);
         }
     };
     serve(&mut driver, 500, false);
@@ -54,7 +56,7 @@
         started_at: Some(started),
         ..endpoint_spec(NEW, 0, 0)
     };
-    driver.on(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![new])));
+    driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![new])));
     serve(&mut driver, 100, true);
     sent
 }
