--- a/crates/routing-policy/tests/attempts.rs
+++ b/crates/routing-policy/tests/attempts.rs
@@ -1,4 +1,5 @@
-//! The attempts of a request, and what is released after them; odd events.
+//! The attempts of a request, the release of its KV state, and events that are unexpected or
+//! malformed.
 
 mod common;
 
@@ -7,39 +8,40 @@
 
 const PREFILL: u64 = 1;
 const DECODE: u64 = 2;
-fn pair() -> Vec<EndpointSpec> {
+
+fn one_lane() -> Vec<EndpointSpec> {
     vec![endpoint_spec(PREFILL, 0, 0), endpoint_spec(DECODE, 1, 0)]
 }
 
 #[test]
 fn few_health_checks_are_sent_where_few_requests_arrive() {
-    let health_checks = Settings {
+    let with_health_checks = Settings {
         health_checks: true,
         load_reporting: LoadReporting::OnHealthCheck,
         ..settings(Idempotency::Idempotent)
     };
     let (mut driver, _) = Driver::new(
-        health_checks,
+        with_health_checks,
         (0..40).map(|h| endpoint_spec(h, 1, 0)).collect(),
     );
-    let mut touches = 0;
+    let mut sent_checks = 0;
     for id in 0..20 {
         driver.arrive(request_spec(id, driver.now));
-        touches += driver
+        sent_checks += driver
             .advance(SECOND)
             .iter()
             .filter(|(_, a)| matches!(a, Action::HealthCheck(_)))
             .count();
     }
     assert!(
-        (1..=40).contains(&touches),
-        "{touches} health checks for 20 requests"
+        (1..=40).contains(&sent_checks),
+        "{sent_checks} health checks were sent for 20 requests"
     );
 }
 
 #[test]
 fn a_non_idempotent_request_that_may_have_been_executed_fails_without_a_retry() {
-    let (mut driver, _) = Driver::new(settings(Idempotency::NonIdempotent), pair());
+    let (mut driver, _) = Driver::new(settings(Idempotency::NonIdempotent), one_lane());
     driver.arrive(request_spec(1, START));
     driver.deliver(attempt_ended(1, 0, PREFILL, PREFILLED));
     let actions = driver.deliver(attempt_ended(1, 1, DECODE, CONNECTION_RESET));
@@ -55,7 +57,7 @@
 fn a_non_idempotent_request_that_was_not_executed_is_retried_elsewhere() {
     let (mut driver, _) = Driver::new(
         settings(Idempotency::NonIdempotent),
-        [pair(), vec![endpoint_spec(3, 1, 0)]].concat(),
+        [one_lane(), vec![endpoint_spec(3, 1, 0)]].concat(),
     );
     driver.arrive(request_spec(1, START));
     let first = routes(&driver.deliver(attempt_ended(1, 0, PREFILL, PREFILLED)))[0].1;
@@ -84,7 +86,7 @@
 
 #[test]
 fn no_more_attempts_than_the_settings_allow() {
-    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), pair());
+    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), one_lane());
     let mut all = driver.arrive(RequestSpec {
         deadline: START + 90 * SECOND,
         ..request_spec(1, START)
@@ -96,7 +98,7 @@
     assert_eq!(
         routes(&all).len(),
         3,
-        "a fourth read would leave none for the answer"
+        "a fourth prefill would leave no attempt for the decode"
     );
     assert!(all.contains(&Action::Reject {
         id: RequestId(1),
@@ -106,7 +108,7 @@
 
 #[test]
 fn kv_state_that_no_endpoint_fetches_is_released_within_its_lease() {
-    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), pair());
+    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), one_lane());
     driver.arrive(request_spec(1, START));
     let specs = vec![EndpointSpec {
         state: EndpointState::Draining,
@@ -117,17 +119,17 @@
         routes(&driver.deliver(attempt_ended(1, 0, PREFILL, PREFILLED))),
         vec![]
     );
-    let freed = driver.advance(SECOND / 2 - 1);
+    let before_expiry = driver.advance(SECOND / 2 - 1);
     assert!(
-        freed
+        before_expiry
             .iter()
             .any(|(_, a)| *a == Action::ReleaseState(RequestId(1))),
-        "{freed:?}"
+        "{before_expiry:?}"
     );
 }
 
 #[test]
-fn a_timed_out_attempt_at_a_decode_endpoint_that_prefills_leaves_nothing_held() {
+fn a_timed_out_attempt_at_a_decode_endpoint_that_prefills_releases_its_state() {
     let settings = Settings {
         decode_can_prefill: true,
         ..settings(Idempotency::Idempotent)
@@ -146,7 +148,7 @@
 
 #[test]
 fn kv_state_of_a_disconnected_client_is_released() {
-    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), pair());
+    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), one_lane());
     driver.arrive(request_spec(1, START));
     driver.deliver(Event::ClientDisconnected(RequestId(1)));
     let actions = driver.deliver(attempt_ended(1, 0, PREFILL, PREFILLED));
@@ -158,21 +160,21 @@
 }
 
 #[test]
-fn a_request_without_endpoints_is_answered_by_its_deadline() {
+fn a_request_without_endpoints_is_rejected_by_its_deadline() {
     let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), vec![]);
     driver.arrive(request_spec(1, START));
-    let answers = driver.advance(5 * SECOND);
-    let shed: Vec<_> = answers
+    let taken = driver.advance(5 * SECOND);
+    let rejections: Vec<_> = taken
         .iter()
         .filter(|(_, a)| matches!(a, Action::Reject { .. }))
         .collect();
-    assert_eq!(shed.len(), 1);
-    assert!(shed[0].0 <= START + 4 * SECOND + 8_000);
+    assert_eq!(rejections.len(), 1);
+    assert!(rejections[0].0 <= START + 4 * SECOND + 8_000);
 }
 
 #[test]
-fn kv_state_that_is_gone_is_prefilled_anew() {
-    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), pair());
+fn a_prompt_whose_kv_state_is_gone_is_prefilled_again() {
+    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), one_lane());
     driver.arrive(request_spec(1, START));
     driver.deliver(attempt_ended(1, 0, PREFILL, PREFILLED));
     let actions = driver.deliver(attempt_ended(1, 1, DECODE, NO_KV_STATE));
@@ -180,18 +182,18 @@
 }
 
 #[test]
-fn what_the_settings_forbid_is_never_sent() {
+fn actions_that_the_settings_forbid_are_never_taken() {
     let forbidden = Settings {
         slot_reservations: false,
         cancellation: false,
         ..settings(Idempotency::Idempotent)
     };
-    let (mut driver, first) = Driver::new(forbidden, pair());
+    let (mut driver, first) = Driver::new(forbidden, one_lane());
     let mut all = first;
     all.extend(driver.arrive(request_spec(1, START)));
     all.extend(driver.advance(3 * SECOND).into_iter().map(|(_, a)| a));
     assert!(!routes(&all).is_empty());
-    let sent = |a: &Action| {
+    let is_forbidden = |a: &Action| {
         matches!(
             a,
             Action::ReserveSlot { .. }
@@ -200,12 +202,12 @@
                 | Action::Gossip { .. }
         ) || matches!(a, Action::Migrate(_) | Action::SubscribeEndpoints(_))
     };
-    assert!(!all.iter().any(sent), "{all:?}");
+    assert!(!all.iter().any(is_forbidden), "{all:?}");
 }
 
 #[test]
 fn events_for_unknown_requests_and_endpoints_are_ignored() {
-    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), pair());
+    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), one_lane());
     driver.arrive(request_spec(1, START));
     driver.arrive(request_spec(1, START));
     for outcome in [Outcome::Completed, PREFILLED, Outcome::TimedOut] {
@@ -251,7 +253,7 @@
     assert_eq!(
         routes(&driver.deliver(attempt_ended(1, 0, PREFILL, PREFILLED))),
         vec![],
-        "ended twice"
+        "the attempt ended twice"
     );
 }
 
@@ -263,13 +265,13 @@
         endpoint_spec(3, 0, 1),
         endpoint_spec(4, 1, 1),
     ];
-    let lane = |reports: &[(u64, f64)]| {
+    let lane_after = |reports: &[(u64, f64)]| {
         let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), specs.clone());
-        for (endpoint, figure) in reports {
+        for (endpoint, value) in reports {
             let load = Some(LoadReport {
-                memory_utilization: Some(*figure),
-                slot_utilization: Some(*figure),
-                pending_kilotokens: Some(*figure),
+                memory_utilization: Some(*value),
+                slot_utilization: Some(*value),
+                pending_kilotokens: Some(*value),
                 ..LoadReport::default()
             });
             driver.deliver(Event::HealthChecked {
@@ -281,18 +283,18 @@
         }
         routes(&driver.arrive(request_spec(1, START)))
     };
-    let unheard = lane(&[]);
-    assert_eq!(unheard.len(), 1);
-    let odd = [f64::NAN, f64::INFINITY, f64::NEG_INFINITY];
-    for figure in odd {
+    let without_reports = lane_after(&[]);
+    assert_eq!(without_reports.len(), 1);
+    let malformed = [f64::NAN, f64::INFINITY, f64::NEG_INFINITY];
+    for value in malformed {
         let all: Vec<(u64, f64)> = [PREFILL, DECODE, 3, 4]
-            .map(|endpoint| (endpoint, figure))
+            .map(|endpoint| (endpoint, value))
             .to_vec();
-        assert_eq!(lane(&all), unheard, "{figure}");
+        assert_eq!(lane_after(&all), without_reports, "reports of {value}");
     }
     assert_eq!(
-        lane(&[(99, 0.5)]),
-        unheard,
-        "a server that no list has named"
+        lane_after(&[(99, 0.5)]),
+        without_reports,
+        "an endpoint that is not on the list"
     );
 }
--- a/crates/routing-policy/tests/concurrency.rs
+++ b/crates/routing-policy/tests/concurrency.rs
@@ -1,4 +1,4 @@
-//! Concurrency limits, and attempts that are lost.
+//! Concurrency limits, and the cancellation of attempts that are taken for lost.
 
 mod common;
 
@@ -7,13 +7,14 @@
 
 const PREFILL: u64 = 1;
 const DECODE: u64 = 2;
-fn pair() -> Vec<EndpointSpec> {
+
+fn one_lane() -> Vec<EndpointSpec> {
     vec![endpoint_spec(PREFILL, 0, 0), endpoint_spec(DECODE, 1, 0)]
 }
 
 #[test]
 fn overdue_prefills_lower_the_concurrency_limit() {
-    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), pair());
+    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), one_lane());
     let sent = |driver: &mut Driver, ids: std::ops::Range<u32>| -> usize {
         let now = driver.now;
         ids.map(|id| routes(&driver.arrive(request_spec(id, now))).len())
@@ -24,7 +25,7 @@
     assert_eq!(
         sent(&mut driver, 6..12),
         0,
-        "the endpoint responds too late"
+        "its six overdue prefills exceed the lowered limit"
     );
 }
 
@@ -52,33 +53,33 @@
     assert_eq!(
         sent(&mut driver, 5..9),
         0,
-        "its five streams are more than it began in good time"
+        "its five streams exceed the limit, which fell as they began late"
     );
 }
 
-/// Those cancelled, in order.
+/// The requests whose attempts were cancelled, in order.
 fn cancellations(actions: impl IntoIterator<Item = (Micros, Action)>) -> Vec<u32> {
-    let abort = |(_, action): (Micros, Action)| match action {
+    let cancelled_request = |(_, action): (Micros, Action)| match action {
         Action::CancelAttempt { id, .. } => Some(id.0),
         _ => None,
     };
-    actions.into_iter().filter_map(abort).collect()
+    actions.into_iter().filter_map(cancelled_request).collect()
 }
 
-/// A connection can fall silent with no error: its endpoint has responded to what was sent well
-/// after the prefill, so this is cancelled and retried. One that nothing has overtaken may just be
-/// slow.
+/// A connection can fall silent without an error. A prefill is therefore cancelled and retried once
+/// its endpoint has responded to a request that was sent well after it. A prefill that no later
+/// request has overtaken may just be slow, and is not cancelled.
 #[test]
 fn a_prefill_that_later_ones_have_overtaken_is_cancelled() {
-    for passed in [true, false] {
-        let (mut driver, _) = Driver::new(settings(Idempotency::NonIdempotent), pair());
+    for is_overtaken in [true, false] {
+        let (mut driver, _) = Driver::new(settings(Idempotency::NonIdempotent), one_lane());
         assert_eq!(
             routes(&driver.arrive(request_spec(1, START))),
             [(1, PREFILL)]
         );
         driver.advance(SECOND / 2);
         driver.arrive(request_spec(2, driver.now));
-        if passed {
+        if is_overtaken {
             driver.deliver(attempt_ended(2, 0, PREFILL, PREFILLED));
             driver.deliver(Event::StreamStarted {
                 id: RequestId(2),
@@ -89,21 +90,22 @@
         }
         assert_eq!(
             cancellations(driver.advance(2 * SECOND)),
-            if passed { vec![1] } else { vec![] }
+            if is_overtaken { vec![1] } else { vec![] }
         );
-        let again = routes(&driver.deliver(attempt_ended(1, 0, PREFILL, Outcome::Cancelled)));
-        assert!(!passed || again == [(1, PREFILL)]);
+        let retry = routes(&driver.deliver(attempt_ended(1, 0, PREFILL, Outcome::Cancelled)));
+        assert!(!is_overtaken || retry == [(1, PREFILL)]);
     }
 }
 
-/// The same at a decode endpoint, where only what may run twice is cancelled.
+/// An overtaken attempt at a decode endpoint is cancelled as well, but only if its request may be
+/// executed twice.
 #[test]
 fn a_decode_that_later_ones_have_overtaken_is_cancelled_if_idempotent() {
-    for (idempotency, called_off) in [
+    for (idempotency, cancelled) in [
         (Idempotency::Idempotent, vec![1]),
         (Idempotency::NonIdempotent, vec![]),
     ] {
-        let (mut driver, _) = Driver::new(settings(idempotency), pair());
+        let (mut driver, _) = Driver::new(settings(idempotency), one_lane());
         driver.arrive(request_spec(1, START));
         driver.arrive(request_spec(2, START));
         for id in [1, 2] {
@@ -116,19 +118,20 @@
             endpoint: EndpointId(DECODE),
             elapsed: 1,
         });
-        assert_eq!(cancellations(driver.advance(2 * SECOND)), called_off);
+        assert_eq!(cancellations(driver.advance(2 * SECOND)), cancelled);
     }
 }
 
-/// A machine may have vanished: it responds to health checks no more, nor to anything else.
+/// A machine may have failed without closing its connections: it responds neither to health checks
+/// nor to requests.
 #[test]
 fn prefills_at_an_unresponsive_endpoint_are_cancelled() {
-    let health_checks = Settings {
+    let with_health_checks = Settings {
         health_checks: true,
         load_reporting: LoadReporting::OnHealthCheck,
         ..settings(Idempotency::Idempotent)
     };
-    let (mut driver, _) = Driver::new(health_checks, pair());
+    let (mut driver, _) = Driver::new(with_health_checks, one_lane());
     assert!(driver
         .arrive(request_spec(1, START))
         .contains(&Action::HealthCheck(EndpointId(PREFILL))));
