--- a/crates/routing-policy/tests/admission.rs
+++ b/crates/routing-policy/tests/admission.rs
@@ -1,5 +1,5 @@
-//! When a request is rejected: at once when it has no fair chance left to be served in time, and not
-//! before.
+//! When a request is rejected: at once when it has no fair chance left to be served in time, and
+//! not before.
 
 mod common;
 
--- a/crates/routing-policy/tests/affinity.rs
+++ b/crates/routing-policy/tests/affinity.rs
@@ -125,7 +125,7 @@
     );
     assert!(
         when_late > when_quick + 0.15,
-        "the share at mixed endpoints is {when_late} while prefills are late, {when_quick} otherwise"
+        "share at mixed endpoints: {when_late} while prefills are late, {when_quick} otherwise"
     );
 }
 
@@ -157,8 +157,8 @@
     (0..200).map(elsewhere).sum::<f64>() / 200.0
 }
 
-/// Without this rule, the routers of a zone whose prefill endpoints have all just been replaced would
-/// keep its traffic there.
+/// Without this rule, the routers of a zone whose prefill endpoints have all just been replaced
+/// would keep its traffic there.
 #[test]
 fn sessions_leave_a_zone_that_is_colder_than_the_others() {
     let elsewhere = share_in_other_zones_with_cold_endpoints([true, false, false]);
@@ -170,7 +170,7 @@
         let elsewhere = share_in_other_zones_with_cold_endpoints(cold);
         assert!(
             elsewhere < 0.05,
-            "a share of {elsewhere} of the sessions is prefilled in other zones, cold zones: {cold:?}"
+            "a share of {elsewhere} of the sessions is prefilled in other zones, cold: {cold:?}"
         );
     }
 }
--- a/crates/routing-policy/tests/fleet_sums.rs
+++ b/crates/routing-policy/tests/fleet_sums.rs
@@ -81,8 +81,8 @@
     }
 }
 
-/// With spare capacity, hardly any request is rejected: neither the longest prompts nor all requests
-/// of a session, even at a router that gets several times the mean load.
+/// With spare capacity, hardly any request is rejected: neither the longest prompts nor all
+/// requests of a session, even at a router that gets several times the mean load.
 #[test]
 fn a_fleet_with_spare_capacity_rejects_nothing() {
     for routers in [3, 30] {
--- a/crates/routing-policy/tests/kv_lease.rs
+++ b/crates/routing-policy/tests/kv_lease.rs
@@ -1,5 +1,5 @@
-//! The hand-over of a KV state from its prefill endpoint to a decode endpoint, while the list of
-//! endpoints changes.
+//! The transfer of KV state from its prefill endpoint to a decode endpoint while the endpoint list
+//! changes, and the release of KV state that is not fetched.
 
 mod common;
 
@@ -9,8 +9,9 @@
 const PREFILL: u64 = 1;
 const DECODE: u64 = 2;
 
-/// The prompt is processed, no endpoint fetches its KV state for now, and the decode endpoint of
-/// the lane leaves the list: the next look at the request must not find it.
+/// The prompt has been processed, no endpoint can fetch its KV state yet, and the decode endpoint
+/// of the lane is removed from the list: when the policy next considers the request, it must not
+/// use the removed endpoint.
 #[test]
 fn kv_state_whose_decode_endpoint_was_removed_waits_for_another_one() {
     let (mut driver, _) = Driver::new(
@@ -31,13 +32,15 @@
     assert_eq!(
         routes(&driver.deliver(attempt_ended(1, 0, PREFILL, PREFILLED))),
         vec![],
-        "its decode endpoint drains"
+        "the decode endpoint of its lane is draining"
     );
-    let gone = EndpointSpec {
+    let removed = EndpointSpec {
         state: EndpointState::Removed,
         ..endpoint_spec(DECODE, 1, 0)
     };
-    driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![gone])));
+    driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![
+        removed,
+    ])));
     let other = DECODE + 1;
     let specs = vec![endpoint_spec(other, 1, 0)];
     assert_eq!(
@@ -53,19 +56,20 @@
         .count()
 }
 
-/// Connections can fall silent with no error, and then nothing is in flight that waits for the KV
-/// state. Where the attempt has arrived, the release changes nothing.
+/// Connections can fall silent without an error, so the attempt to fetch KV state may never arrive at
+/// the endpoint: the KV state must be released all the same. If the attempt has arrived, the release
+/// changes nothing.
 #[test]
 fn kv_state_is_released_in_time_though_the_attempt_to_fetch_it_may_not_have_arrived() {
     let specs = vec![endpoint_spec(PREFILL, 0, 0), endpoint_spec(DECODE, 1, 0)];
     let (mut driver, _) = Driver::new(settings(Idempotency::NonIdempotent), specs);
-    for (id, begins) in [(1, false), (2, true)] {
+    for (id, response_begins) in [(1, false), (2, true)] {
         driver.arrive(request_spec(id, driver.now));
         assert_eq!(
             routes(&driver.deliver(attempt_ended(id, 0, PREFILL, PREFILLED))),
             vec![(id, DECODE)]
         );
-        if begins {
+        if response_begins {
             driver.deliver(Event::StreamStarted {
                 id: RequestId(id),
                 attempt: 1,
@@ -79,8 +83,8 @@
             .map(|(_, action)| action);
         assert_eq!(
             releases(meanwhile),
-            usize::from(!begins),
-            "an answer that has begun holds nothing"
+            usize::from(!response_begins),
+            "KV state is released unless its response has begun"
         );
         driver.deliver(attempt_ended(id, 1, DECODE, Outcome::Completed));
     }
--- a/crates/routing-policy/tests/lane_choice.rs
+++ b/crates/routing-policy/tests/lane_choice.rs
@@ -1,4 +1,4 @@
-//! Which lane a request gets: cells, slots, affinity, prompts and kinds.
+//! The choice of a request's lane by cells, slots, affinity, prompt lengths and kinds of endpoints.
 
 mod common;
 
@@ -26,7 +26,7 @@
         .map(|(endpoint, kind, cell)| endpoint_spec(*endpoint, *kind, *cell))
         .collect();
     let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), specs);
-    let mut answered = [0; 8];
+    let mut served = [0; 8];
     for id in 0..240 {
         let session = Some(SessionId(u64::from(id)));
         for (id, prefill) in routes(&driver.arrive(RequestSpec {
@@ -34,7 +34,7 @@
             ..request_spec(id, driver.now)
         })) {
             for (id, decode) in routes(&driver.deliver(attempt_ended(id, 0, prefill, PREFILLED))) {
-                answered[decode as usize] += 1;
+                served[decode as usize] += 1;
                 driver.deliver(Event::StreamStarted {
                     id: RequestId(id),
                     attempt: 1,
@@ -47,10 +47,10 @@
         driver.advance(SECOND / 10);
     }
     assert!(
-        answered[3] < 120,
-        "half of all at one of four decode endpoints: {answered:?}"
+        served[3] < 120,
+        "one of four decode endpoints serves half of all requests: {served:?}"
     );
-    assert!(answered[5..].iter().all(|n| *n > 30), "{answered:?}");
+    assert!(served[5..].iter().all(|n| *n > 30), "{served:?}");
 }
 
 #[test]
@@ -68,12 +68,12 @@
         })
     };
     let first = reserved_at(&driver.arrive(request_spec(1, START))).expect("a slot is reserved");
-    let refused = Event::SlotReservationAnswered {
+    let not_granted = Event::SlotReservationAnswered {
         id: RequestId(1),
         endpoint: EndpointId(PREFILL),
         granted: false,
     };
-    let second = reserved_at(&driver.deliver(refused)).expect("another is asked for");
+    let second = reserved_at(&driver.deliver(not_granted)).expect("another slot is reserved");
     assert_eq!(second, DECODE + 3 - first);
     assert_eq!(
         routes(&driver.deliver(attempt_ended(1, 0, PREFILL, PREFILLED))),
@@ -138,7 +138,7 @@
     );
     assert!(
         targets.contains(&1) && targets.contains(&3),
-        "sessions are spread"
+        "sessions are spread over both prefill endpoints"
     );
 }
 
@@ -165,8 +165,8 @@
     driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![
         restarted,
     ])));
-    // With nothing kept anywhere the prefill endpoints tie, so that requests with the same shared
-    // prefix meet both.
+    // Nothing is cached any more, so the prefill endpoints have equal scores and requests with the
+    // same shared prefix go to both.
     let mut seen = std::collections::BTreeSet::new();
     for id in 1..30 {
         let at = routes(&driver.arrive(RequestSpec {
@@ -202,12 +202,12 @@
         .collect();
     assert!(
         small.iter().all(|prefill| *prefill != huge),
-        "{small:?} beside {huge}"
+        "small prompts went to endpoints {small:?}, the huge one to {huge}"
     );
 }
 
 #[test]
-fn prefill_endpoints_of_a_cell_without_decode_endpoints_take_part_under_load() {
+fn prefill_endpoints_of_a_cell_without_decode_endpoints_are_used_under_load() {
     let specs = vec![
         endpoint_spec(1, 0, 0),
         endpoint_spec(2, 1, 0),
@@ -250,7 +250,8 @@
     }
 }
 
-/// Endpoints of other kinds do not have its model, also where all that have it are ejected.
+/// Endpoints of other kinds do not have the model of the request, so it does not go there even if all
+/// endpoints that have the model are ejected.
 #[test]
 fn a_request_goes_only_to_the_kinds_that_it_allows() {
     let specs = vec![
@@ -259,14 +260,14 @@
         endpoint_spec(3, 1, 0),
         endpoint_spec(4, 2, 0),
     ];
-    let mixed = |id, now| RequestSpec {
+    let only_mixed = |id, now| RequestSpec {
         allowed_kinds: Some(1 << 2),
         ..request_spec(id, now)
     };
     let sent = |allowed_kinds: Option<u64>| {
         let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), specs.clone());
         let mut endpoints = Vec::new();
-        // None of them ends: each goes where there is most room.
+        // No attempt ends, so each request goes to the endpoint with the most spare capacity.
         for id in 0..40 {
             let now = driver.now;
             endpoints.extend(
@@ -287,10 +288,10 @@
         (sent(None), sent(Some(1 << 2))),
         (vec![1, 2, 4], vec![1, 4])
     );
-    // None of them is left: it waits, and is rejected by its deadline.
+    // No endpoint of the allowed kind is listed: the request waits and is rejected by its deadline.
     let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), specs[1..3].to_vec());
     let now = driver.now;
-    let mut actions = driver.arrive(mixed(1, now));
+    let mut actions = driver.arrive(only_mixed(1, now));
     actions.extend(
         driver
             .advance(4 * SECOND)
--- a/crates/routing-policy/tests/many_routers.rs
+++ b/crates/routing-policy/tests/many_routers.rs
@@ -1,4 +1,4 @@
-//! Habits that are harmless in one router and harmful when a hundred have them.
+//! Decisions that are harmless in one router and harmful when a hundred routers take them.
 
 mod common;
 
@@ -12,11 +12,11 @@
     }
 }
 
-/// Where a cell's decode endpoints have just been replaced, most of them are not open yet at each
-/// router, and the cell's warm prefill endpoints would stand idle while those of other cells are
-/// overloaded.
+/// Where the decode endpoints of a cell have just been replaced, most of them do not yet accept
+/// requests of any given router. Without lanes across cells, the warm prefill endpoints of the cell
+/// would stand idle while those of other cells are overloaded.
 #[test]
-fn prefill_endpoints_whose_decode_endpoints_are_not_open_pair_across_cells() {
+fn prefill_endpoints_whose_decode_endpoints_are_not_open_are_paired_across_cells() {
     let specs = vec![
         endpoint_spec(1, 0, 0),
         cold(2, 1, 0),
@@ -36,12 +36,13 @@
     }
     assert!(
         sent[0] > 15 && sent[1] > 15,
-        "{sent:?} at the two endpoints"
+        "sends to the two prefill endpoints: {sent:?}"
     );
 }
 
-/// With as many routers as sessions, a session's turns come through different ones, and their
-/// choices agree only if none depends on whose turn it is at an endpoint in slow start.
+/// With as many routers as sessions, the turns of a session arrive at different routers. These
+/// choose the same affinity target only if the choice does not depend on which router may send next
+/// to an endpoint in slow start.
 #[test]
 fn routers_agree_on_affinity_targets_while_an_endpoint_is_in_slow_start() {
     let specs = vec![
@@ -75,17 +76,20 @@
     );
     for seed in 2..20 {
         let others = targets(seed);
-        let differ = first
+        let different_targets = first
             .iter()
             .zip(&others)
             .filter(|(a, b)| **a != 1 && **b != 1 && a != b)
             .count();
-        assert_eq!(differ, 0, "{first:?} {others:?}");
+        assert_eq!(
+            different_targets, 0,
+            "routers choose different targets: {first:?} and {others:?}"
+        );
     }
 }
 
-/// With few requests at each router, most endpoints have not reported their load: they must not
-/// draw all work.
+/// Where each router has few requests, most endpoints have not reported their load to it. They must
+/// not attract all requests.
 #[test]
 fn an_endpoint_without_a_load_report_is_no_better_than_the_mean() {
     let specs = vec![
@@ -110,8 +114,9 @@
     assert_eq!(routes(&driver.arrive(request_spec(1, START))), vec![(1, 2)]);
 }
 
-/// Sends by each of 200 routers, which know nothing yet, of one request of a session of its own.
-/// Reader 1 is cold.
+/// Has each of 200 routers that have just started send one request, and returns how many requests
+/// went to prefill endpoint 1, which is cold. Each request has a session of its own, numbered from
+/// `session` on, or none if that is `None`.
 fn first_sends_to_a_cold_endpoint(session: Option<u64>) -> usize {
     let specs = vec![
         cold(1, 0, 0),
@@ -135,24 +140,30 @@
     (0..200).map(to_cold).sum()
 }
 
-/// Where each of many routers waits for a turn of its own before its first send, an endpoint in
-/// slow start would get nothing for as long as it takes to warm up.
+/// If each of many routers waited for a turn of its own before its first send, an endpoint in slow
+/// start would get nothing for as long as it takes to warm up.
 #[test]
 fn a_cold_endpoint_gets_the_sessions_whose_target_it_is_from_new_routers() {
-    // Its weight as an affinity target is the part of its capacity that it has, 0.28 of 2.28: 25 of
-    // 200. It bears 2.5 times that.
+    // The weight of the cold endpoint as an affinity target is its warm fraction, 0.28 of a total of
+    // 2.28, so that it is the target of about 25 of 200 sessions. It can bear 2.5 times that.
     let targets = first_sends_to_a_cold_endpoint(Some(1_000));
-    assert!((12..50).contains(&targets), "{targets} of 200 sessions");
+    assert!(
+        (12..50).contains(&targets),
+        "{targets} of 200 sessions were sent to the cold endpoint"
+    );
     let others = first_sends_to_a_cold_endpoint(None);
-    assert!(others <= 2, "{others} requests that have no target there");
+    assert!(
+        others <= 2,
+        "{others} requests without an affinity target were sent to the cold endpoint"
+    );
 }
 
-/// Routers that have all just started must not take their endpoints for idle: what the warm ones
-/// complete is known from the first seconds, so that the part of a cold one is no smaller than at
-/// old routers.
+/// Routers that have all just started must not take their endpoints for idle. From the first seconds
+/// on they know how much the warm ones complete, so that they send a cold endpoint no smaller share
+/// than routers do that have run for longer.
 #[test]
 fn a_new_router_gives_a_cold_endpoint_as_much_as_an_old_one() {
-    let sent_after = |lived: u32| -> usize {
+    let sent_after = |age_s: u32| -> usize {
         let sent = |seed: u64| {
             let specs = vec![
                 endpoint_spec(1, 0, 0),
@@ -164,7 +175,7 @@
                 ..settings(Idempotency::Idempotent)
             };
             let (mut driver, _) = Driver::with_seed(settings, specs, seed);
-            let served = |driver: &mut Driver, id: u32| {
+            let serve = |driver: &mut Driver, id: u32| {
                 let sent = routes(&driver.arrive(request_spec(id, driver.now)));
                 for (id, endpoint) in &sent {
                     driver.deliver(attempt_ended(*id, 0, *endpoint, PREFILLED));
@@ -180,22 +191,22 @@
                 driver.advance(SECOND / 2);
                 sent.iter().filter(|(_, endpoint)| *endpoint == 5).count()
             };
-            let before: usize = (0..2 * lived).map(|id| served(&mut driver, id)).sum();
-            assert_eq!(before, 0, "it is not listed yet");
+            let before: usize = (0..2 * age_s).map(|id| serve(&mut driver, id)).sum();
+            assert_eq!(before, 0, "the cold endpoint is not listed yet");
             let cold = EndpointSpec {
                 started_at: Some(driver.now),
                 ..endpoint_spec(5, 0, 0)
             };
             driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![cold])));
             (1_000..1_020)
-                .map(|id| served(&mut driver, id))
+                .map(|id| serve(&mut driver, id))
                 .sum::<usize>()
         };
         (0..40).map(sent).sum()
     };
-    let (young, old) = (sent_after(3), sent_after(60));
+    let (by_new_routers, by_old_routers) = (sent_after(3), sent_after(60));
     assert!(
-        old > 40 && young * 10 >= old * 9,
-        "{young} sends after 3 s, {old} after 60 s"
+        by_old_routers > 40 && by_new_routers * 10 >= by_old_routers * 9,
+        "sends to the cold endpoint: {by_new_routers} after 3 s, {by_old_routers} after 60 s"
     );
 }
--- a/crates/routing-policy/tests/outliers.rs
+++ b/crates/routing-policy/tests/outliers.rs
@@ -7,7 +7,8 @@
 
 const PREFILL: u64 = 1;
 const DECODE: u64 = 2;
-fn pair() -> Vec<EndpointSpec> {
+
+fn one_lane() -> Vec<EndpointSpec> {
     vec![endpoint_spec(PREFILL, 0, 0), endpoint_spec(DECODE, 1, 0)]
 }
 
@@ -18,13 +19,13 @@
         classes: vec![base.classes[0].clone(), base.classes[0].clone()],
         ..base
     };
-    let (mut driver, _) = Driver::new(settings, pair());
+    let (mut driver, _) = Driver::new(settings, one_lane());
     driver.arrive(request_spec(1, START));
     driver.deliver(attempt_ended(1, 0, PREFILL, Outcome::ServerError));
     assert_eq!(
         routes(&driver.arrive(request_spec(2, START))),
         vec![],
-        "the class that failed stays away"
+        "the endpoint is ejected for the class that failed"
     );
     let other = RequestSpec {
         class: ClassId(1),
@@ -35,14 +36,18 @@
 
 #[test]
 fn an_overloaded_endpoint_is_not_retried_at_once() {
-    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), pair());
+    let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), one_lane());
     driver.arrive(request_spec(1, START));
     assert_eq!(
         routes(&driver.deliver(attempt_ended(1, 0, PREFILL, OVERLOADED))),
         vec![]
     );
     let later: Vec<Action> = driver.advance(SECOND).into_iter().map(|(_, a)| a).collect();
-    assert_eq!(routes(&later), vec![(1, PREFILL)], "nor ejected for good");
+    assert_eq!(
+        routes(&later),
+        vec![(1, PREFILL)],
+        "the overloaded endpoint is retried later"
+    );
 }
 
 #[test]
@@ -59,8 +64,8 @@
     assert!((1..6).all(|id| routes(&driver.arrive(request_spec(id, START)))[0].1 == second));
 }
 
-/// An endpoint that fails at once looks idle and draws all that is queued: one success among its
-/// errors does not end its ejection.
+/// An endpoint that fails at once looks idle and attracts all queued requests, so one success among
+/// its errors does not end its ejection.
 #[test]
 fn a_success_among_errors_does_not_end_an_ejection() {
     let specs = vec![
@@ -71,19 +76,20 @@
     let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), specs);
     let mut at_prefill = Vec::new();
     for id in 0..8 {
-        let sent = routes(&driver.arrive(request_spec(id, driver.now)));
+        let sends = routes(&driver.arrive(request_spec(id, driver.now)));
         at_prefill.extend(
-            sent.iter()
+            sends
+                .iter()
                 .filter(|(_, endpoint)| *endpoint == PREFILL)
                 .map(|(id, _)| *id),
         );
     }
     assert!(at_prefill.len() >= 3, "{at_prefill:?}");
-    let good = at_prefill.pop().unwrap();
+    let successful = at_prefill.pop().unwrap();
     at_prefill
         .iter()
         .for_each(|id| drop(driver.deliver(attempt_ended(*id, 0, PREFILL, Outcome::ServerError))));
-    driver.deliver(attempt_ended(good, 0, PREFILL, PREFILLED));
+    driver.deliver(attempt_ended(successful, 0, PREFILL, PREFILLED));
     assert_eq!(
         routes(&driver.arrive(request_spec(20, driver.now))),
         [(20, 3)]
