--- a/crates/routing-policy/tests/decision_trace.rs
+++ b/crates/routing-policy/tests/decision_trace.rs
@@ -1,10 +1,11 @@
 //! Long courses of events through the policy, its actions held against recorded digests.
 //!
 //! The endpoints of a course respond, fail, fall silent, drain and restart by a random number
-//! generator with a fixed seed, and react to what the policy does. Each action is rendered as a line
-//! in a form of this test's own, which no rename in the policy touches. `recorded.txt` holds the
-//! number of lines and a digest for each course. Each run writes the lines of each course to a file
-//! under the target folder; where a digest differs, compare that file with the earlier version's.
+//! generator with a fixed seed, and react to what the policy does. Each action is rendered as a
+//! line in a form of this test's own, which no rename in the policy touches. `recorded.txt` holds
+//! the number of lines and a digest for each course. Each run writes the lines of each course to a
+//! file under the target folder; where a digest differs, compare that file with the earlier
+//! version's.
 
 #[path = "decision_trace/attempt_key.rs"]
 mod attempt_key;
--- a/crates/routing-policy/tests/decision_trace/rendering.rs
+++ b/crates/routing-policy/tests/decision_trace/rendering.rs
@@ -1,5 +1,5 @@
-//! Actions as lines. This is the one place that knows how the policy names its actions; the lines stay as
-//! they are.
+//! Actions as lines. This is the one place that knows how the policy names its actions; the lines
+//! stay as they are.
 
 use cranetack_routing_policy::*;
 
--- a/crates/routing-policy/tests/kv_lease.rs
+++ b/crates/routing-policy/tests/kv_lease.rs
@@ -56,9 +56,8 @@
         .count()
 }
 
-/// Connections can fall silent without an error, so the attempt to fetch KV state may never arrive at
-/// the endpoint: the KV state must be released all the same. If the attempt has arrived, the release
-/// changes nothing.
+/// Connections can fall silent without an error, so the attempt to fetch KV state may never arrive.
+/// The KV state must be released all the same; if the attempt has arrived, that changes nothing.
 #[test]
 fn kv_state_is_released_in_time_though_the_attempt_to_fetch_it_may_not_have_arrived() {
     let specs = vec![endpoint_spec(PREFILL, 0, 0), endpoint_spec(DECODE, 1, 0)];
--- a/crates/routing-policy/tests/lane_choice.rs
+++ b/crates/routing-policy/tests/lane_choice.rs
@@ -250,8 +250,8 @@
     }
 }
 
-/// Endpoints of other kinds do not have the model of the request, so it does not go there even if all
-/// endpoints that have the model are ejected.
+/// Endpoints of other kinds do not have the model of the request, so it does not go there even if
+/// all endpoints that have the model are ejected.
 #[test]
 fn a_request_goes_only_to_the_kinds_that_it_allows() {
     let specs = vec![
--- a/crates/routing-policy/tests/many_routers.rs
+++ b/crates/routing-policy/tests/many_routers.rs
@@ -114,8 +114,8 @@
     assert_eq!(routes(&driver.arrive(request_spec(1, START))), vec![(1, 2)]);
 }
 
-/// Has each of 200 routers that have just started send one request, and returns how many requests
-/// went to prefill endpoint 1, which is cold. Each request has a session of its own, numbered from
+/// Has each of 200 routers that have just started send one request, and returns how many of them
+/// go to prefill endpoint 1, which is cold. Each request has a session of its own, numbered from
 /// `session` on, or none if that is `None`.
 fn first_sends_to_a_cold_endpoint(session: Option<u64>) -> usize {
     let specs = vec![
@@ -144,8 +144,8 @@
 /// start would get nothing for as long as it takes to warm up.
 #[test]
 fn a_cold_endpoint_gets_the_sessions_whose_target_it_is_from_new_routers() {
-    // The weight of the cold endpoint as an affinity target is its warm fraction, 0.28 of a total of
-    // 2.28, so that it is the target of about 25 of 200 sessions. It can bear 2.5 times that.
+    // The weight of the cold endpoint as an affinity target is its warm fraction, 0.28 of a total
+    // of 2.28, so that it is the target of about 25 of 200 sessions. It can bear 2.5 times that.
     let targets = first_sends_to_a_cold_endpoint(Some(1_000));
     assert!(
         (12..50).contains(&targets),
@@ -158,9 +158,9 @@
     );
 }
 
-/// Routers that have all just started must not take their endpoints for idle. From the first seconds
-/// on they know how much the warm ones complete, so that they send a cold endpoint no smaller share
-/// than routers do that have run for longer.
+/// Routers that have all just started must not take their endpoints for idle. From the first
+/// seconds on they know how much the warm ones complete, so that they send a cold endpoint no
+/// smaller share than routers do that have run for longer.
 #[test]
 fn a_new_router_gives_a_cold_endpoint_as_much_as_an_old_one() {
     let sent_after = |age_s: u32| -> usize {
--- a/crates/routing-policy/tests/rules.rs
+++ b/crates/routing-policy/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The five rules hold whatever legal course events take.
+//! Property tests: the five rules that `model` checks hold for every legal sequence of events.
 
 mod common;
 #[path = "rules/model.rs"]
@@ -11,8 +11,8 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
 fn run(idempotency: Idempotency, decode_can_prefill: bool, steps: &[Step]) {
-    // Half of the runs hold requests for a health check of their prefill endpoint, which is never
-    // answered.
+    // In half of the runs, requests wait for a health check of their prefill endpoint, which never
+    // gets a response.
     let health_checks = steps.len().is_multiple_of(2);
     run_with(
         Settings {
@@ -31,7 +31,7 @@
         idempotency: settings.classes[0].idempotency,
         ..Model::default()
     };
-    let (mut driver, _) = Driver::new(settings, (0..ENDPOINTS).map(listed).collect());
+    let (mut driver, _) = Driver::new(settings, (0..ENDPOINTS).map(list_entry).collect());
     let mut last_id = 0;
     for step in steps {
         let now = driver.now;
@@ -40,8 +40,8 @@
                 last_id += 1;
                 Some(model.arrive(last_id, now, arrival))
             }
-            Step::Pass(span) => {
-                for _ in 0..span / TIME_STEP {
+            Step::Advance(duration) => {
+                for _ in 0..duration / TIME_STEP {
                     advance(&mut driver, &mut model);
                 }
                 None
@@ -57,9 +57,9 @@
                 .pick(pick, false)
                 .and_then(|id| model.start_stream(id)),
             Step::Disconnect { pick } => model.pick(pick, false).map(|id| model.disconnect(id)),
-            Step::AnswerReservation { pick, granted } => model
+            Step::RespondToReservation { pick, granted } => model
                 .pick(pick, false)
-                .map(|id| model.answer_reservation(id, granted)),
+                .map(|id| model.respond_to_reservation(id, granted)),
             Step::UpdateEndpoint {
                 endpoint,
                 state,
@@ -71,13 +71,14 @@
             model.check(now, &actions);
         }
     }
-    // Attempts still in flight end at their deadlines, as the driver's timeouts would have it.
+    // The clock advances past all deadlines, at which attempts still in flight time out.
     for _ in 0..700 {
         advance(&mut driver, &mut model);
     }
 }
 
-/// Time passes; attempts whose time is up end, as the driver would end them.
+/// Advances the clock by one step. Attempts whose deadline has passed time out, as the driver would
+/// have it.
 fn advance(driver: &mut Driver, model: &mut Model) {
     for (at, action) in driver.advance(TIME_STEP) {
         model.check(at, &[action]);
@@ -112,18 +113,18 @@
     prop_oneof![
         4 => (200_000..6 * SECOND, 1..30_000u64, 0..9u64)
             .prop_map(|(time_left, tokens, session)| Step::Arrive(Arrival { time_left, tokens, session })),
-        3 => (10_000..900_000i64).prop_map(Step::Pass),
+        3 => (10_000..900_000i64).prop_map(Step::Advance),
         6 => (any::<usize>(), outcome, 0..2_000u64)
             .prop_map(|(pick, outcome, detail)| Step::Finish { pick, outcome, detail }),
         2 => any::<usize>().prop_map(|pick| Step::StartStream { pick }),
         1 => any::<usize>().prop_map(|pick| Step::Disconnect { pick }),
-        1 => (any::<usize>(), any::<bool>()).prop_map(|(pick, granted)| Step::AnswerReservation { pick, granted }),
+        1 => (any::<usize>(), any::<bool>()).prop_map(|(pick, granted)| Step::RespondToReservation { pick, granted }),
         1 => (0..ENDPOINTS, state, any::<bool>())
             .prop_map(|(endpoint, state, restart)| Step::UpdateEndpoint { endpoint, state, restart }),
     ]
 }
 
-fn holds_under(idempotency: Idempotency) {
+fn check_rules_for(idempotency: Idempotency) {
     let config = Config {
         cases: 150,
         failure_persistence: None,
@@ -131,32 +132,32 @@
     };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[17; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let course = (any::<bool>(), prop::collection::vec(step(), 1..90));
-    let ran = runner.run(&course, |(decode_can_prefill, steps)| {
+    let inputs = (any::<bool>(), prop::collection::vec(step(), 1..90));
+    let result = runner.run(&inputs, |(decode_can_prefill, steps)| {
         run(idempotency, decode_can_prefill, &steps);
         Ok(())
     });
-    ran.unwrap_or_else(|error| panic!("{error}"));
+    result.unwrap_or_else(|error| panic!("{error}"));
 }
 
 #[test]
 fn the_rules_hold_for_idempotent_requests() {
-    holds_under(Idempotency::Idempotent);
+    check_rules_for(Idempotency::Idempotent);
 }
 
 #[test]
 fn the_rules_hold_for_keyed_requests() {
-    holds_under(Idempotency::Keyed(KeyScope::Cell));
-    holds_under(Idempotency::Keyed(KeyScope::All));
+    check_rules_for(Idempotency::Keyed(KeyScope::Cell));
+    check_rules_for(Idempotency::Keyed(KeyScope::All));
 }
 
 #[test]
 fn the_rules_hold_for_non_idempotent_requests() {
-    holds_under(Idempotency::NonIdempotent);
+    check_rules_for(Idempotency::NonIdempotent);
 }
 
-/// Settings of another deployment: any effect, window, limits and permissions, each of which may be
-/// missing.
+/// Settings of any deployment: any idempotency, deduplication window, limits and permissions, each
+/// of which may be missing.
 fn any_settings() -> impl Strategy<Value = Settings> {
     let idempotency = prop_oneof![
         Just(Idempotency::Idempotent),
@@ -182,11 +183,11 @@
     );
     let permissions = prop::array::uniform8(any::<bool>());
     (class, limits, permissions, load_reporting).prop_map(|(class, limits, permissions, load_reporting)| {
-        let (idempotency, dedup_window, latency_objective, worthless) = class;
-        let (kv_lease_timeout, max_attempts, period) = limits;
-        let [slot_reservations, decode_can_prefill, resumable_streams, health_checks, cancellation, gossip, retry_after, stateless] =
+        let (idempotency, dedup_window, latency_objective, unweighted) = class;
+        let (kv_lease_timeout, max_attempts, interval) = limits;
+        let [slot_reservations, decode_can_prefill, resumable_streams, health_checks, cancellation, gossip, retry_after, has_limit] =
             permissions;
-        let priority_weight = (!worthless).then_some(1.0);
+        let priority_weight = (!unweighted).then_some(1.0);
         let class = Class {
             idempotency,
             dedup_window,
@@ -198,7 +199,7 @@
             classes: vec![class],
             kv_lease_timeout,
             max_attempts,
-            event_interval: period.map(|period| period.min(4_000)),
+            event_interval: interval.map(|interval| interval.min(4_000)),
             slot_reservations,
             decode_can_prefill,
             resumable_streams,
@@ -207,13 +208,13 @@
             gossip,
             retry_after,
             load_reporting,
-            max_retry_after: stateless.then_some(SECOND),
+            max_retry_after: has_limit.then_some(SECOND),
             ..settings(Idempotency::Idempotent)
         }
     })
 }
 
-/// No value, order or key of one deployment may be taken for granted.
+/// The policy must not rely on any value, order or key of one deployment.
 #[test]
 fn the_rules_hold_under_any_settings() {
     let config = Config {
@@ -222,10 +223,10 @@
         ..Config::default()
     };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[29; 32]);
-    let course = (any_settings(), prop::collection::vec(step(), 1..60));
-    let ran = TestRunner::new_with_rng(config, rng).run(&course, |(settings, steps)| {
+    let inputs = (any_settings(), prop::collection::vec(step(), 1..60));
+    let result = TestRunner::new_with_rng(config, rng).run(&inputs, |(settings, steps)| {
         run_with(settings, &steps);
         Ok(())
     });
-    ran.unwrap_or_else(|error| panic!("{error}"));
+    result.unwrap_or_else(|error| panic!("{error}"));
 }
--- a/crates/routing-policy/tests/rules/model.rs
+++ b/crates/routing-policy/tests/rules/model.rs
@@ -1,4 +1,5 @@
-//! What the rules allow, as a model of all requests and endpoints of one router.
+//! A model of all requests and endpoints of one router, which checks each action of the policy
+//! against the rules.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,10 +7,13 @@
 
 use crate::common::*;
 
+/// The number of endpoints; their ids are 0 to 6.
 pub(crate) const ENDPOINTS: u64 = 7;
-const COLD: u64 = 3;
-const SLACK: Micros = 8_000;
-/// The span by which time passes at once.
+/// The prefill endpoint that is in slow start during the whole run.
+const COLD_ENDPOINT: u64 = 3;
+/// The time after its deadline within which a request may get its final response, as in `settings`.
+const RESPONSE_SLACK: Micros = 8_000;
+/// The step by which the clock advances.
 pub(crate) const TIME_STEP: Micros = 10_000;
 
 /// A request that arrives.
@@ -20,10 +24,11 @@
     pub(crate) session: u64,
 }
 
+/// A step of a run. `pick` chooses among the requests with an attempt in flight.
 #[derive(Debug, Clone)]
 pub(crate) enum Step {
     Arrive(Arrival),
-    Pass(Micros),
+    Advance(Micros),
     Finish {
         pick: usize,
         outcome: Outcome,
@@ -35,7 +40,7 @@
     Disconnect {
         pick: usize,
     },
-    AnswerReservation {
+    RespondToReservation {
         pick: usize,
         granted: bool,
     },
@@ -46,12 +51,12 @@
     },
 }
 
-/// What the settings bound; those that are missing have the policy's defaults.
+/// The limits in the settings, with the policy's defaults for those that are missing.
 #[derive(Debug, Clone)]
 pub(crate) struct Bounds {
-    pub(crate) attempts: u32,
-    pub(crate) window: Micros,
-    pub(crate) kv_lease: Micros,
+    pub(crate) max_attempts: u32,
+    pub(crate) dedup_window: Micros,
+    pub(crate) kv_lease_timeout: Micros,
 }
 
 impl Default for Bounds {
@@ -63,9 +68,9 @@
 impl Bounds {
     pub(crate) fn of(settings: &Settings) -> Bounds {
         Bounds {
-            attempts: settings.max_attempts.unwrap_or(4),
-            window: settings.classes[0].dedup_window.unwrap_or(0),
-            kv_lease: settings.kv_lease_timeout.unwrap_or(SECOND / 2),
+            max_attempts: settings.max_attempts.unwrap_or(4),
+            dedup_window: settings.classes[0].dedup_window.unwrap_or(0),
+            kv_lease_timeout: settings.kv_lease_timeout.unwrap_or(SECOND / 2),
         }
     }
 }
@@ -74,7 +79,8 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct OpenRequest {
     pub(crate) deadline: Micros,
-    pub(crate) is_answered: bool,
+    /// The request has its final response, or its client has disconnected.
+    pub(crate) client_done: bool,
 }
 
 /// An attempt in flight.
@@ -93,6 +99,7 @@
     pub(crate) sent_at: Micros,
 }
 
+/// The state of all requests and endpoints, as the rules see it.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Model {
     pub(crate) bounds: Bounds,
@@ -100,12 +107,15 @@
     pub(crate) requests: BTreeMap<u32, OpenRequest>,
     pub(crate) attempts_made: BTreeMap<u32, u32>,
     pub(crate) in_flight: BTreeMap<u32, Attempt>,
-    /// Since when something is held with nothing in flight.
+    /// For each request with no attempt in flight, since when KV state or a slot may be held for
+    /// it.
     pub(crate) held_since: BTreeMap<u32, Micros>,
     pub(crate) executions: BTreeMap<u32, Execution>,
     pub(crate) draining: BTreeSet<u64>,
+    /// The times of the sends to the cold endpoint.
     pub(crate) cold_sends: Vec<Micros>,
-    pub(crate) served: usize,
+    /// The number of attempts that succeeded, at any endpoint.
+    pub(crate) succeeded: usize,
 }
 
 pub(crate) fn kind_of(endpoint: u64) -> usize {
@@ -128,16 +138,19 @@
                 } => self.check_send(now, id.0, endpoint.0, *expires_at, *write_by),
                 Action::ReserveSlot { endpoint, .. } => {
                     let is_draining = self.draining.contains(&endpoint.0);
-                    assert!(!is_draining, "slot reserved at a draining endpoint");
+                    assert!(
+                        !is_draining,
+                        "slot reserved at draining endpoint {endpoint:?}"
+                    );
                 }
                 Action::ReleaseState(id) => {
                     self.held_since.remove(&id.0);
                 }
                 Action::Reject { id, .. } => {
                     self.check_rejection(id.0);
-                    self.answer(now, id.0);
+                    self.record_final_response(now, id.0);
                 }
-                Action::Fail(id) => self.answer(now, id.0),
+                Action::Fail(id) => self.record_final_response(now, id.0),
                 _ => {}
             }
         }
@@ -153,14 +166,26 @@
         write_by: Micros,
     ) {
         let request = self.requests[&id];
-        let is_open = !request.is_answered && now <= request.deadline;
-        assert!(is_open, "sent after its end");
+        let is_open = !request.client_done && now <= request.deadline;
+        assert!(
+            is_open,
+            "request {id} was sent after its response or its deadline"
+        );
         assert!(expires_at == 0 || expires_at <= request.deadline);
-        assert!(!self.in_flight.contains_key(&id), "two attempts in flight");
+        assert!(
+            !self.in_flight.contains_key(&id),
+            "request {id} has two attempts in flight"
+        );
         let is_draining = self.draining.contains(&endpoint);
-        assert!(!is_draining, "sent to a draining endpoint");
+        assert!(
+            !is_draining,
+            "request {id} was sent to draining endpoint {endpoint}"
+        );
         let number = *self.attempts_made.entry(id).or_default();
-        assert!(number < self.bounds.attempts, "too many attempts");
+        assert!(
+            number < self.bounds.max_attempts,
+            "request {id} had {number} attempts already, the most allowed"
+        );
         if let Some(execution) = self.executions.get(&id) {
             self.check_retry(*execution, endpoint, write_by);
         }
@@ -173,12 +198,13 @@
         self.in_flight.insert(id, attempt);
         self.attempts_made.insert(id, number + 1);
         self.held_since.remove(&id);
-        if endpoint == COLD {
+        if endpoint == COLD_ENDPOINT {
             self.cold_sends.push(now);
         }
     }
 
-    /// Prefills too: a retry goes to the group of the endpoint where it may have been executed.
+    /// Checks a retry of a request that may have been executed, prefills included: it must go to
+    /// the group of the endpoint where that may have happened, and in time.
     fn check_retry(&self, execution: Execution, endpoint: u64, write_by: Micros) {
         let may_repeat = self.idempotency != Idempotency::NonIdempotent;
         assert!(may_repeat, "a non-idempotent request may be executed twice");
@@ -186,24 +212,31 @@
             return;
         };
         let is_in_group = cell(execution.endpoint) == cell(endpoint);
-        assert!(scope == KeyScope::All || is_in_group, "wrong group");
-        // It is written once a connection is up, by `write_by` at the latest, and has a way to go.
+        assert!(
+            scope == KeyScope::All || is_in_group,
+            "a retry was sent to endpoint {endpoint}, which is in another group"
+        );
+        // The retry is written once a connection is up, at `write_by` at the latest, and then takes
+        // some time to reach the endpoint.
         let write_by = if write_by == 0 { Micros::MAX } else { write_by };
-        let window_end = execution.sent_at + self.bounds.window;
-        assert!(write_by + SECOND / 20 < window_end, "too late for the key");
+        let window_end = execution.sent_at + self.bounds.dedup_window;
+        assert!(
+            write_by + SECOND / 20 < window_end,
+            "a retry may reach the endpoint after the deduplication window"
+        );
     }
 
     fn check_rejection(&self, id: u32) {
-        let has_run = self.executions.contains_key(&id);
+        let has_executed = self.executions.contains_key(&id);
         let attempt = self.in_flight.get(&id);
         let may_be_running = attempt.is_some_and(|attempt| kind_of(attempt.endpoint) != 0);
-        let is_harmless = matches!(
+        let repetition_is_harmless = matches!(
             self.idempotency,
             Idempotency::Idempotent | Idempotency::Keyed(KeyScope::All)
         );
         assert!(
-            is_harmless || !(has_run || may_be_running),
-            "rejected though it may have been executed"
+            repetition_is_harmless || !(has_executed || may_be_running),
+            "request {id} was rejected though it may have been executed"
         );
     }
 
@@ -212,34 +245,47 @@
         attempt.is_some_and(|attempt| attempt.is_streaming)
     }
 
-    fn answer(&mut self, now: Micros, id: u32) {
-        assert!(!self.is_streaming(id), "answered while its stream runs");
+    fn record_final_response(&mut self, now: Micros, id: u32) {
+        assert!(
+            !self.is_streaming(id),
+            "request {id} got a final response while its stream runs"
+        );
         let request = self.requests.get_mut(&id).unwrap();
-        assert!(!request.is_answered, "answered twice");
-        assert!(now <= request.deadline + SLACK, "answered too late");
-        request.is_answered = true;
+        assert!(!request.client_done, "request {id} got two final responses");
+        assert!(
+            now <= request.deadline + RESPONSE_SLACK,
+            "request {id} got its final response too late"
+        );
+        request.client_done = true;
     }
 
     pub(crate) fn check_time(&self, now: Micros) {
         for (id, request) in &self.requests {
-            let is_in_time = now <= request.deadline + SLACK;
-            let is_served = request.is_answered || self.is_streaming(*id);
-            assert!(is_served || is_in_time, "request {id} was lost");
+            let is_in_time = now <= request.deadline + RESPONSE_SLACK;
+            let is_served = request.client_done || self.is_streaming(*id);
+            assert!(
+                is_served || is_in_time,
+                "request {id} got no response in time"
+            );
         }
         for (id, since) in &self.held_since {
-            let is_in_time = now <= since + self.bounds.kv_lease;
-            assert!(is_in_time, "the state of request {id} was not released");
+            let is_in_time = now <= since + self.bounds.kv_lease_timeout;
+            assert!(
+                is_in_time,
+                "the KV state of request {id} was not released in time"
+            );
         }
         let is_recent = |at: &&Micros| **at > now - 2 * SECOND;
         let recent = self.cold_sends.iter().filter(is_recent).count();
         assert!(
-            recent <= 1 + self.served,
-            "the cold endpoint got {recent} sends after {} served",
-            self.served
+            recent <= 1 + self.succeeded,
+            "the cold endpoint got {recent} sends within 2 s after {} attempts succeeded",
+            self.succeeded
         );
     }
 
-    /// An attempt ends; returns the event if it is legal.
+    /// Ends the attempt in flight of a request. Where its endpoint may not report `outcome`, the
+    /// attempt ends with a similar one that it may.
     pub(crate) fn finish(&mut self, now: Micros, id: u32, outcome: Outcome, detail: u64) -> Event {
         let attempt = self.in_flight.remove(&id).unwrap();
         let is_prefill = kind_of(attempt.endpoint) == 0;
@@ -251,8 +297,8 @@
         };
         let request = self.requests.get_mut(&id).unwrap();
         let client_done =
-            request.is_answered || outcome == Outcome::Completed || attempt.is_streaming;
-        request.is_answered = client_done;
+            request.client_done || outcome == Outcome::Completed || attempt.is_streaming;
+        request.client_done = client_done;
         let was_not_executed = matches!(outcome, OVERLOADED | UNREACHABLE | Outcome::NotSent);
         if !was_not_executed && !is_prefill {
             self.executions.entry(id).or_insert(Execution {
@@ -263,7 +309,7 @@
         if !attempt.is_streaming && outcome != Outcome::Completed {
             self.held_since.insert(id, now);
         }
-        self.served += usize::from(matches!(outcome, Outcome::Completed | PREFILLED));
+        self.succeeded += usize::from(matches!(outcome, Outcome::Completed | PREFILLED));
         let detail = if outcome == OVERLOADED {
             detail % 2
         } else {
@@ -280,7 +326,8 @@
         }
     }
 
-    /// One of the requests with an attempt in flight.
+    /// Returns one of the requests with an attempt in flight, chosen by `pick`, or `None` if there
+    /// is none.
     pub(crate) fn pick(&self, pick: usize, include_streaming: bool) -> Option<u32> {
         let is_included = |attempt: &Attempt| include_streaming || !attempt.is_streaming;
         let in_flight = self.in_flight.iter();
@@ -294,24 +341,24 @@
         Some(ids[pick % ids.len()])
     }
 
-    pub(crate) fn arrive(&mut self, id: u32, now: Micros, step: Arrival) -> Event {
+    pub(crate) fn arrive(&mut self, id: u32, now: Micros, arrival: Arrival) -> Event {
         let request = OpenRequest {
-            deadline: now + step.time_left,
-            is_answered: false,
+            deadline: now + arrival.time_left,
+            client_done: false,
         };
         self.requests.insert(id, request);
         Event::RequestArrived(RequestSpec {
             deadline: request.deadline,
-            prompt_tokens: step.tokens,
-            session: Some(SessionId(step.session)),
+            prompt_tokens: arrival.tokens,
+            session: Some(SessionId(arrival.session)),
             ..request_spec(id, now)
         })
     }
 
     pub(crate) fn start_stream(&mut self, id: u32) -> Option<Event> {
-        let is_answered = self.requests[&id].is_answered;
+        let client_done = self.requests[&id].client_done;
         let attempt = self.in_flight.get_mut(&id)?;
-        if kind_of(attempt.endpoint) == 0 || is_answered {
+        if kind_of(attempt.endpoint) == 0 || client_done {
             return None;
         }
         attempt.is_streaming = true;
@@ -325,12 +372,12 @@
 
     pub(crate) fn disconnect(&mut self, id: u32) -> Event {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.is_answered = true;
+            request.client_done = true;
         }
         Event::ClientDisconnected(RequestId(id))
     }
 
-    pub(crate) fn answer_reservation(&self, id: u32, granted: bool) -> Event {
+    pub(crate) fn respond_to_reservation(&self, id: u32, granted: bool) -> Event {
         Event::SlotReservationAnswered {
             id: RequestId(id),
             endpoint: EndpointId(self.in_flight[&id].endpoint),
@@ -347,9 +394,9 @@
     ) -> Event {
         let mut spec = EndpointSpec {
             state,
-            ..listed(endpoint)
+            ..list_entry(endpoint)
         };
-        if restart && endpoint != COLD {
+        if restart && endpoint != COLD_ENDPOINT {
             spec.started_at = Some(now - 60 * SECOND);
         }
         if state == EndpointState::Active {
@@ -361,10 +408,11 @@
     }
 }
 
-/// The entry of an endpoint. The cold one stays cold for the whole course.
-pub(crate) fn listed(endpoint: u64) -> EndpointSpec {
+/// Returns the list entry of an endpoint. The cold endpoint starts an hour after the run begins, so
+/// that it stays cold.
+pub(crate) fn list_entry(endpoint: u64) -> EndpointSpec {
     let spec = endpoint_spec(endpoint, kind_of(endpoint), cell(endpoint));
-    if endpoint != COLD {
+    if endpoint != COLD_ENDPOINT {
         return spec;
     }
     EndpointSpec {
--- a/crates/routing-policy/tests/shared_prefixes.rs
+++ b/crates/routing-policy/tests/shared_prefixes.rs
@@ -1,5 +1,5 @@
-//! Where shared prefixes that many sessions share are read: at few prefill endpoints, on which
-//! routers agree without talking.
+//! Prefixes that many sessions share are prefilled at few endpoints, on which the routers agree
+//! without messages.
 
 mod common;
 
@@ -12,15 +12,17 @@
 const PREFIX_TOKENS: u64 = 4_000;
 const TURN_TOKENS: u64 = 1_000;
 
-/// Dispatchers of one fleet, each with a seed of its own, and prefill endpoints that keep all that
-/// they have read.
+/// The routers of one fleet, each with a seed of its own, and prefill endpoints that cache all
+/// prefixes that they have processed.
 struct Fleet {
     drivers: Vec<Driver>,
+    /// The shared prefixes that each prefill endpoint has cached.
     cached: BTreeMap<u64, BTreeSet<u64>>,
-    asked: u32,
-    /// Tokens that were read, and those of them that belong to shared prefixes.
-    read: u64,
-    of_prefixes: u64,
+    request_count: u32,
+    /// The number of tokens that were processed.
+    processed_tokens: u64,
+    /// The number of processed tokens that belong to shared prefixes.
+    processed_prefix_tokens: u64,
 }
 
 impl Fleet {
@@ -45,34 +47,34 @@
         Fleet {
             drivers: (0..routers).map(driver).collect(),
             cached: BTreeMap::new(),
-            asked: 0,
-            read: 0,
-            of_prefixes: 0,
+            request_count: 0,
+            processed_tokens: 0,
+            processed_prefix_tokens: 0,
         }
     }
 
-    /// A new session that begins with this shared prefix, at the next router in turn. Gives its
-    /// prefill endpoint.
+    /// Serves the first request of a new session with this shared prefix, at the next router in
+    /// turn. Returns its prefill endpoint.
     fn arrive(&mut self, prefix: u64) -> u64 {
-        let id = self.asked;
+        let id = self.request_count;
         let turn = id as usize % self.drivers.len();
         let driver = &mut self.drivers[turn];
-        self.asked += 1;
-        let asked = RequestSpec {
+        self.request_count += 1;
+        let request = RequestSpec {
             session: Some(SessionId(u64::from(id) * 7_919 + 1)),
             shared_prefix: Some(PrefixId(prefix * 104_729 + 5)),
             prompt_tokens: PREFIX_TOKENS + TURN_TOKENS,
             shared_prefix_tokens: PREFIX_TOKENS,
             ..request_spec(id, driver.now)
         };
-        let sent = routes(&driver.arrive(asked));
+        let sent = routes(&driver.arrive(request));
         let prefill = sent[0].1;
-        let known = !self.cached.entry(prefill).or_default().insert(prefix);
-        self.of_prefixes += if known { 0 } else { PREFIX_TOKENS };
-        self.read += TURN_TOKENS + if known { 0 } else { PREFIX_TOKENS };
+        let is_cached = !self.cached.entry(prefill).or_default().insert(prefix);
+        self.processed_prefix_tokens += if is_cached { 0 } else { PREFIX_TOKENS };
+        self.processed_tokens += TURN_TOKENS + if is_cached { 0 } else { PREFIX_TOKENS };
         driver.advance(10_000);
-        let answers = routes(&driver.deliver(attempt_ended(id, 0, prefill, PREFILLED)));
-        assert_eq!(answers, vec![(id, 100)]);
+        let decodes = routes(&driver.deliver(attempt_ended(id, 0, prefill, PREFILLED)));
+        assert_eq!(decodes, vec![(id, 100)]);
         driver.deliver(Event::StreamStarted {
             id: RequestId(id),
             attempt: 1,
@@ -92,27 +94,30 @@
     }
 }
 
-/// With hundreds of routers each sees a shared prefix once or never, and draws by sessions alone
-/// would spread it over all prefill endpoints.
+/// With hundreds of routers, each sees a shared prefix once or never, and affinity targets drawn by
+/// session alone would spread it over all prefill endpoints.
 #[test]
 fn an_unpopular_prefix_is_prefilled_at_few_endpoints_by_all_routers() {
     let mut fleet = Fleet::new(100);
     for turn in 0..2_000 {
-        // Each shared prefix comes to every router in its turn.
+        // Each shared prefix arrives at all routers in turn.
         fleet.arrive((turn + turn / 100) % 100);
     }
     let most = (0..100).map(|prefix| fleet.endpoints_with(prefix)).max();
-    assert!(most <= Some(3), "{most:?} endpoints");
-    // Each shared prefix is asked for 20 times. Read at every prefill endpoint that its sessions
-    // reach it would be most of the work.
-    let share = fleet.of_prefixes as f64 / fleet.read as f64;
+    assert!(
+        most <= Some(3),
+        "an unpopular prefix was prefilled at {most:?} endpoints"
+    );
+    // Each shared prefix is requested 20 times. If it were processed at every prefill endpoint that
+    // its sessions reach, it would be most of the work.
+    let share = fleet.processed_prefix_tokens as f64 / fleet.processed_tokens as f64;
     assert!(
         share < 0.25,
-        "a share of {share} of the tokens read belongs to shared prefixes"
+        "a share of {share} of the processed tokens belongs to shared prefixes"
     );
 }
 
-/// No single endpoint must bear a shared prefix that half of all requests have.
+/// A shared prefix that half of all requests have must not be left to a single endpoint.
 #[test]
 fn a_popular_prefix_is_spread_over_many_endpoints() {
     let mut fleet = Fleet::new(3);
@@ -128,7 +133,7 @@
     let prefill_endpoints = fleet.endpoints_with(0);
     assert!(
         prefill_endpoints >= PREFILL_ENDPOINTS as usize / 2,
-        "{prefill_endpoints} endpoints"
+        "the popular prefix was prefilled at {prefill_endpoints} endpoints"
     );
     let most = sends.values().max().copied().unwrap_or(0);
     assert!(
@@ -137,20 +142,21 @@
     );
 }
 
-/// With few prefill endpoints a single target where two are nearer to the share would be a good
-/// part of them.
+/// With few prefill endpoints, the rounding of the number of affinity targets matters: one target
+/// instead of two is a difference of a large part of the endpoints.
 #[test]
 fn a_prefix_has_as_many_targets_as_are_nearest_to_its_share_of_few_endpoints() {
     let mut fleet = Fleet::with(1, 4);
     for turn in 0..400 {
-        // A share of 0.2 of 4 prefill endpoints is 0.8 of one; twice that many affinity targets are
-        // 1.6.
+        // The prefix has a share of 0.2 of the requests, which is 0.8 of 4 prefill endpoints. Twice
+        // as many affinity targets are 1.6, which is rounded to 2.
         fleet.arrive(if turn % 5 == 0 { 0 } else { 1 + turn });
     }
     assert_eq!(fleet.endpoints_with(0), 2);
 }
 
-/// Targets must not leave endpoints idle, also where more prefixes arrive than are counted.
+/// Affinity targets must not leave endpoints idle, even where more prefixes arrive than a router
+/// counts.
 #[test]
 fn prefixes_that_are_requested_once_are_spread_evenly() {
     let mut fleet = Fleet::new(1);
@@ -161,6 +167,6 @@
     let (least, most) = (sends.values().min(), sends.values().max());
     assert!(
         sends.len() == PREFILL_ENDPOINTS as usize && least > Some(&60) && most < Some(&240),
-        "{sends:?}"
+        "sends to each prefill endpoint: {sends:?}"
     );
 }
--- a/crates/routing-policy/tests/shutdown.rs
+++ b/crates/routing-policy/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! What becomes of open requests when the router is about to end.
+//! What becomes of open requests during the graceful shutdown of a router.
 
 mod common;
 
@@ -7,10 +7,13 @@
 
 const PREFILL: u64 = 1;
 const DECODE: u64 = 2;
-const FROM: Micros = SECOND / 2;
-const BY: Micros = 3 * SECOND;
+/// The time from the start of a shutdown until streams may be migrated.
+const MIGRATE_FROM: Micros = SECOND / 2;
+/// The time from the start of a shutdown until all requests must have their final response.
+const ANSWER_BY: Micros = 3 * SECOND;
 
-/// A router among so many, with so many streams running and one request being read.
+/// Returns one of `router_count` routers, which has just begun its shutdown with `streams` running
+/// streams and one request whose prompt is being processed.
 fn driver(router_count: u32, streams: u32) -> Driver {
     let settings = Settings {
         router_count: Some(router_count),
@@ -39,16 +42,17 @@
         [(streams, PREFILL)]
     );
     driver.deliver(Event::ShutdownStarted {
-        migrate_from: driver.now + FROM,
-        answer_by: driver.now + BY,
+        migrate_from: driver.now + MIGRATE_FROM,
+        answer_by: driver.now + ANSWER_BY,
     });
     driver
 }
 
-/// Lets time pass; who is moved, in order. Each ends at once.
-fn migrated(driver: &mut Driver, span: Micros) -> Vec<u32> {
+/// Advances the clock by `duration`. Returns the requests whose streams are migrated, in order;
+/// each stream ends at once.
+fn migrated(driver: &mut Driver, duration: Micros) -> Vec<u32> {
     let mut migrated = Vec::new();
-    let end = driver.now + span;
+    let end = driver.now + duration;
     while driver.now < end {
         for (_, action) in driver.advance(SECOND / 100) {
             if let Action::Migrate(id) = action {
@@ -72,20 +76,20 @@
 fn streams_are_migrated_newest_first_while_another_router_serves() {
     let mut driver = driver(2, 7);
     assert_eq!(
-        migrated(&mut driver, FROM - SECOND / 10),
+        migrated(&mut driver, MIGRATE_FROM - SECOND / 10),
         [0; 0],
-        "clients may still be sent to this router"
+        "clients that ask again may still be sent to this router"
     );
-    let all = migrated(&mut driver, SECOND / 2);
+    let migrated_streams = migrated(&mut driver, SECOND / 2);
     assert_eq!(
-        all,
+        migrated_streams,
         [6, 5, 4, 3, 2, 1, 0],
-        "well before the end, and a few at a time"
+        "all streams are migrated well before the end, a few at a time and the newest first"
     );
 }
 
-/// Clients must not be sent where nobody serves: the only other router began its shutdown shortly
-/// before.
+/// Clients must not be sent to routers that serve no requests. Here the only other router began its
+/// shutdown shortly before.
 #[test]
 fn streams_are_not_migrated_while_all_peers_are_shutting_down() {
     let mut driver = driver(2, 3);
@@ -93,11 +97,11 @@
         from: 1,
         payload: vec![1],
     });
-    assert_eq!(migrated(&mut driver, BY - SECOND / 10), [0; 0]);
+    assert_eq!(migrated(&mut driver, ANSWER_BY - SECOND / 10), [0; 0]);
     assert_eq!(
         migrated(&mut driver, SECOND / 5).len(),
         3,
-        "at the end they are"
+        "at the end of the shutdown all streams are migrated"
     );
 }
 
@@ -115,11 +119,12 @@
     assert_eq!(migrated(&mut driver, 7 * SECOND).len(), 3);
 }
 
-/// A request whose prompt is being processed at the end is rejected, and its attempt cancelled.
+/// A request whose prompt is still being processed at the end of the shutdown is rejected, and its
+/// attempt is cancelled.
 #[test]
-fn requests_without_a_response_get_their_final_one_by_the_end() {
+fn requests_without_a_response_get_a_final_response_by_the_end() {
     let mut driver = driver(1, 0);
-    let before = driver.advance(BY - SECOND / 10);
+    let before = driver.advance(ANSWER_BY - SECOND / 10);
     assert!(before
         .iter()
         .all(|(_, a)| !matches!(a, Action::Reject { .. } | Action::CancelAttempt { .. })));
@@ -154,19 +159,20 @@
                 ..
             }
         )),
-        "nor later"
+        "a request that arrives after the end is rejected"
     );
 }
 
-/// Messages from all to all would cost more than the requests: 300 routers that are restarted in
-/// turn notified each of the others 46 times each.
+/// Messages from all routers to all others would cost more than the requests: 300 routers that were
+/// restarted one after another notified each of the others 46 times.
 #[test]
 fn shutdown_gossip_grows_linearly_with_the_fleet_and_is_spread_evenly() {
-    for (all, each) in [(2, 1), (3, 2), (4, 3), (5, 3), (30, 3), (100, 3), (300, 3)] {
-        let mut heard = vec![0; all as usize];
-        for router_index in 0..all {
+    for (router_count, peer_count) in [(2, 1), (3, 2), (4, 3), (5, 3), (30, 3), (100, 3), (300, 3)]
+    {
+        let mut notifications = vec![0; router_count as usize];
+        for router_index in 0..router_count {
             let settings = Settings {
-                router_count: Some(all),
+                router_count: Some(router_count),
                 router_index: Some(router_index),
                 resumable_streams: true,
                 gossip: true,
@@ -178,26 +184,35 @@
                 router_index.into(),
             );
             driver.deliver(Event::ShutdownStarted {
-                migrate_from: driver.now + FROM,
-                answer_by: driver.now + BY,
+                migrate_from: driver.now + MIGRATE_FROM,
+                answer_by: driver.now + ANSWER_BY,
             });
             let mut notified: Vec<u32> = Vec::new();
-            for (_, action) in driver.advance(BY) {
+            for (_, action) in driver.advance(ANSWER_BY) {
                 match action {
                     Action::Gossip { to: Some(to), .. } => notified.push(to),
-                    Action::Gossip { to: None, .. } => panic!("all are notified"),
+                    Action::Gossip { to: None, .. } => panic!("gossip was sent to all routers"),
                     _ => {}
                 }
             }
-            assert_eq!(notified.len(), 2 * each, "twice, as any may be lost");
+            assert_eq!(
+                notified.len(),
+                2 * peer_count,
+                "each peer is notified twice, as any message may be lost"
+            );
             notified.sort_unstable();
             notified.dedup();
             assert!(
-                notified.len() == each && !notified.contains(&router_index),
-                "{all}: {router_index} notified {notified:?}"
+                notified.len() == peer_count && !notified.contains(&router_index),
+                "router {router_index} of {router_count} notified {notified:?}"
             );
-            notified.iter().for_each(|to| heard[*to as usize] += 1);
+            notified
+                .iter()
+                .for_each(|to| notifications[*to as usize] += 1);
         }
-        assert!(heard.iter().all(|n| *n == each), "{all}: {heard:?}");
+        assert!(
+            notifications.iter().all(|n| *n == peer_count),
+            "notifications of each of {router_count} routers: {notifications:?}"
+        );
     }
 }
--- a/crates/routing-policy/tests/slow_start.rs
+++ b/crates/routing-policy/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! What endpoints are sent after their start.
+//! How many requests endpoints in slow start are sent.
 
 mod common;
 
@@ -8,9 +8,10 @@
 const PREFILL: u64 = 1;
 const DECODE: u64 = 2;
 
-/// Sends to a restarted prefill endpoint within any two seconds of its warm-up, by all of
-/// `router_count` routers together, each of which carried one request a second at two warm prefill
-/// endpoints before.
+/// Returns the number of sends to a restarted prefill endpoint during 12 s of its warm-up, and the
+/// largest ratio of its sends within two seconds to what it can bear. The sends are those of all
+/// `router_count` routers together, each of which sends one request per second, before the restart
+/// and after it. Two further prefill endpoints stay warm.
 fn most_sends_to_a_cold_endpoint(router_count: u32) -> (usize, f64) {
     let mut times = Vec::new();
     for router_index in 0..router_count {
@@ -26,7 +27,7 @@
             endpoint_spec(DECODE, 1, 0),
         ];
         let (mut driver, _) = Driver::with_seed(settings, specs, u64::from(router_index) + 1);
-        let served = |driver: &mut Driver, id: u32| {
+        let serve = |driver: &mut Driver, id: u32| {
             let sent = routes(&driver.arrive(request_spec(id, driver.now)));
             for (id, endpoint) in &sent {
                 driver.deliver(attempt_ended(*id, 0, *endpoint, PREFILLED));
@@ -41,7 +42,7 @@
             driver.advance(SECOND);
             sent
         };
-        (0..10).for_each(|id| drop(served(&mut driver, id)));
+        (0..10).for_each(|id| drop(serve(&mut driver, id)));
         let cold = EndpointSpec {
             started_at: Some(driver.now),
             ..endpoint_spec(PREFILL, 0, 0)
@@ -49,16 +50,16 @@
         driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![cold])));
         for id in 10..22 {
             let at = driver.now;
-            let to_cold = served(&mut driver, id)
+            let to_cold = serve(&mut driver, id)
                 .iter()
                 .filter(|(_, endpoint)| *endpoint == PREFILL)
                 .count();
             times.extend(vec![at; to_cold]);
         }
     }
-    let bears = |t: Micros| {
-        let warmth = 0.25 + 0.75 * (t - START - 10 * SECOND) as f64 / (13 * SECOND) as f64;
-        (2.0 * f64::from(router_count) / 2.0 * 2.5 * warmth).max(1.0)
+    let bearable_sends = |t: Micros| {
+        let warm_fraction = 0.25 + 0.75 * (t - START - 10 * SECOND) as f64 / (13 * SECOND) as f64;
+        (2.0 * f64::from(router_count) / 2.0 * 2.5 * warm_fraction).max(1.0)
     };
     let sent = |t: Micros| {
         times
@@ -68,26 +69,30 @@
     };
     let worst = times
         .iter()
-        .map(|t| sent(*t) as f64 / bears(*t))
+        .map(|t| sent(*t) as f64 / bearable_sends(*t))
         .fold(0.0, f64::max);
     (times.len(), worst)
 }
 
 #[test]
 fn many_routers_together_do_not_overload_a_restarted_endpoint() {
-    // Half of what comes in is what each of the two warm prefill endpoints carries meanwhile; the
-    // cold one bears 2.5 times the part of that which it can do by then in two seconds: a quarter
-    // at first, all of it after 13 s.
+    // Each of the two warm prefill endpoints carries half of all requests meanwhile. In two
+    // seconds, the cold one can bear 2.5 times its warm fraction of that, which is a quarter at
+    // first and the whole after 13 s.
     for router_count in [3, 120] {
         let (sent, worst) = most_sends_to_a_cold_endpoint(router_count);
         assert!(
             worst <= 1.0,
-            "{router_count} routers sent {sent}, {worst} of its capacity"
+            "{router_count} routers made {sent} sends, up to {worst} of what it can bear"
         );
     }
-    // It is given a good part of what it can do as it warms, else the warm ones carry all of it.
+    // The restarted endpoint gets a good part of what it can bear, else the warm ones would carry
+    // all requests.
     let (sent, _) = most_sends_to_a_cold_endpoint(120);
-    assert!(sent > 120, "{sent} sends in 12 s");
+    assert!(
+        sent > 120,
+        "only {sent} sends to the restarted endpoint in 12 s"
+    );
 }
 
 #[test]
@@ -105,6 +110,9 @@
         let sent: usize = (0..20)
             .map(|id| routes(&driver.arrive(request_spec(id, START))).len())
             .sum();
-        assert!(sent <= 1, "{sent} with {router_count:?} routers");
+        assert!(
+            sent <= 1,
+            "{sent} sends at once by one of {router_count:?} routers"
+        );
     }
 }
--- a/crates/routing-policy/tests/start_clock.rs
+++ b/crates/routing-policy/tests/start_clock.rs
@@ -1,6 +1,6 @@
-//! Starts of endpoints are told as points on a clock that all machines share; the router's own may
-//! have been stepped before its process began. A start that a watch brings as news is known to be
-//! recent, whatever the two clocks say.
+//! The starts of endpoints are given on a clock that all machines share; the router's own clock may
+//! have been stepped before its process began. A start that a watch reports as new is known to be
+//! recent, whatever the difference between the two clocks.
 
 mod common;
 
@@ -8,12 +8,12 @@
 use cranetack_routing_policy::*;
 
 const PREFILL_ENDPOINTS: std::ops::Range<u64> = 1..5;
-const NEW: u64 = 9;
+const NEW_ENDPOINT: u64 = 9;
 const HOUR: Micros = 3_600 * SECOND;
 
-/// How many reads a prefill endpoint is sent in the two seconds after the list has told that it is
-/// new, by a router whose own clock is `ahead` of the one on which starts are told, and which has
-/// served for a while.
+/// Returns the number of prefills that a router sends to an endpoint in the two seconds after the
+/// list has reported it as new. The router has served for a while, and its own clock is ahead of
+/// the one on which starts are given, by `ahead`.
 fn prefills_at_a_new_endpoint(ahead: Micros) -> usize {
     let settings = Settings {
         router_count: Some(1),
@@ -24,16 +24,16 @@
         .collect();
     specs.push(endpoint_spec(20, 1, 0));
     let (mut driver, _) = Driver::new(settings, specs.clone());
-    driver.advance(HOUR + HOUR / 10); // so that a start an hour before it is a point on the clock
+    driver.advance(HOUR + HOUR / 10); // a start an hour earlier must be a positive time
     driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Snapshot(specs)));
-    let mut next = 0;
+    let mut last_id = 0;
     let mut sent = 0;
-    let mut serve = |driver: &mut Driver, spans: usize, counts: bool| {
-        for _ in 0..spans {
+    let mut serve = |driver: &mut Driver, steps: usize, is_counted: bool| {
+        for _ in 0..steps {
             driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![])));
-            next += 1;
-            for (id, prefill) in routes(&driver.arrive(request_spec(next, driver.now))) {
-                sent += usize::from(counts && prefill == NEW);
+            last_id += 1;
+            for (id, prefill) in routes(&driver.arrive(request_spec(last_id, driver.now))) {
+                sent += usize::from(is_counted && prefill == NEW_ENDPOINT);
                 for (id, decode) in
                     routes(&driver.deliver(attempt_ended(id, 0, prefill, PREFILLED)))
                 {
@@ -54,24 +54,24 @@
     let started = driver.now - ahead - SECOND / 10;
     let new = EndpointSpec {
         started_at: Some(started),
-        ..endpoint_spec(NEW, 0, 0)
+        ..endpoint_spec(NEW_ENDPOINT, 0, 0)
     };
     driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![new])));
     serve(&mut driver, 100, true);
     sent
 }
 
-/// An endpoint in slow start must not count as warm (own clock ahead), or as not yet started for an
-/// hour (own clock behind).
+/// An endpoint in slow start must not count as warm where the router's own clock is ahead, or as
+/// not yet started for an hour where it is behind.
 #[test]
-fn a_start_received_through_a_watch_is_recent_whatever_the_own_clock_says() {
+fn a_start_received_through_a_watch_is_recent_whatever_the_routers_clock_says() {
     let right = prefills_at_a_new_endpoint(0);
-    assert!(right > 0, "a cold endpoint gets its part");
+    assert!(right > 0, "a cold endpoint is sent some requests");
     for ahead in [HOUR, 5 * SECOND, -5 * SECOND, -HOUR] {
         assert_eq!(
             prefills_at_a_new_endpoint(ahead),
             right,
-            "own clock ahead by {} s",
+            "number of prefills with the router's own clock ahead by {} s",
             ahead / SECOND
         );
     }
