--- a/crates/routing-policy/tests/decision_trace.rs
+++ b/crates/routing-policy/tests/decision_trace.rs
@@ -1,11 +1,11 @@
-//! Long courses of events through the policy, its actions held against recorded digests.
+//! Runs long courses of events through the policy and compares its actions with recorded digests.
 //!
-//! The endpoints of a course respond, fail, fall silent, drain and restart by a random number
-//! generator with a fixed seed, and react to what the policy does. Each action is rendered as a
-//! line in a form of this test's own, which no rename in the policy touches. `recorded.txt` holds
-//! the number of lines and a digest for each course. Each run writes the lines of each course to a
-//! file under the target folder; where a digest differs, compare that file with the earlier
-//! version's.
+//! The endpoints of a course respond, fail, fall silent, drain and restart as a script and a random
+//! number generator with a fixed seed decide, and they react to the actions of the policy. Each
+//! action is rendered as a line in a format of this test's own, which a rename in the policy does
+//! not change. `recorded.txt` contains the number of lines and a digest for each course. Each run
+//! writes the lines of each course to a file under the target directory; if a digest differs,
+//! compare that file with the one that an earlier version of the policy wrote.
 
 #[path = "decision_trace/attempt_key.rs"]
 mod attempt_key;
@@ -24,7 +24,7 @@
 
 const RECORDED: &str = include_str!("decision_trace/recorded.txt");
 
-/// FNV-1a over the lines.
+/// Returns the FNV-1a hash of the lines.
 fn digest(lines: &[String]) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
@@ -36,33 +36,33 @@
 
 #[test]
 fn decisions_are_the_recorded_ones() {
-    let mut found = String::new();
+    let mut digests = String::new();
     for (name, course) in courses() {
         writeln!(
-            found,
+            digests,
             "{name} {} {:016x}",
             course.lines.len(),
             digest(&course.lines)
         )
-        .expect("to a string");
+        .expect("writing to a string does not fail");
         let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.trace"));
-        std::fs::write(&file, course.lines.join("\n")).expect("the lines are written");
+        std::fs::write(&file, course.lines.join("\n")).expect("the lines are written to a file");
     }
     assert_eq!(
-        found,
+        digests,
         RECORDED,
-        "the lines of each course are in {}",
+        "a digest or a number of lines differs; the lines of each course are in {}",
         env!("CARGO_TARGET_TMPDIR")
     );
 }
 
 #[test]
-fn the_courses_reach_each_decision() {
+fn the_courses_reach_each_kind_of_action() {
     let lines: Vec<String> = courses()
         .into_iter()
         .flat_map(|(_, course)| course.lines)
         .collect();
-    let reached = [
+    let expected = [
         ("send", 3_000),
         ("reserve", 500),
         ("release", 500),
@@ -75,11 +75,14 @@
         ("subscribe", 5),
         ("status", 50),
     ];
-    for (action, least) in reached {
+    for (action, least) in expected {
         let count = lines
             .iter()
             .filter(|line| line.split(' ').nth(1) == Some(action))
             .count();
-        assert!(count >= least, "{action}: {count}, wanted {least}");
+        assert!(
+            count >= least,
+            "the courses take the action {action} {count} times, at least {least} are needed"
+        );
     }
 }
--- a/crates/routing-policy/tests/decision_trace/attempt_key.rs
+++ b/crates/routing-policy/tests/decision_trace/attempt_key.rs
@@ -1,8 +1,8 @@
-//! What attempts are known by.
+//! The key by which an attempt is identified.
 
 use cranetack_routing_policy::*;
 
-/// An attempt at an endpoint.
+/// The request, the number and the endpoint of an attempt.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) struct AttemptKey {
     pub(crate) id: RequestId,
@@ -11,7 +11,7 @@
 }
 
 impl AttemptKey {
-    /// The attempt that an event is of.
+    /// Returns the key of the attempt that an event belongs to, or `None` if it belongs to none.
     pub(crate) fn of(event: &Event) -> Option<AttemptKey> {
         match event {
             Event::AttemptEnded {
--- a/crates/routing-policy/tests/decision_trace/course.rs
+++ b/crates/routing-policy/tests/decision_trace/course.rs
@@ -1,4 +1,5 @@
-//! A course of events: a policy with endpoints that react to what it does.
+//! A course of events: a scripted run of the policy with simulated endpoints that react to its
+//! actions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,24 +14,29 @@
 pub(crate) const MILLISECOND: Micros = 1_000;
 pub(crate) const SECOND: Micros = 1_000_000;
 const START: Micros = 3_000 * SECOND;
-/// The span between two looks at what arrives and what is scripted.
+/// The time step at which requests arrive and the changes of the script are made.
 const STEP: Micros = 10 * MILLISECOND;
 
-/// What a server does with what it is sent.
+/// How an endpoint responds to attempts and health checks.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Behaviour {
     Normal,
+    /// Responds to everything with an error.
     Failing,
+    /// Responds to nothing.
     Silent,
+    /// Processes prompts at a twelfth of the usual rate.
     Slow,
+    /// Rejects all attempts as overloaded.
     Full,
 }
 
-/// What the script of a course changes at a time.
+/// A change that the script of a course makes at some time.
 #[derive(Clone)]
 pub(crate) enum Change {
-    Rate(f64),
-    Behave(u64, Behaviour),
+    /// Sets the mean number of requests that arrive per second.
+    SetRate(f64),
+    SetBehaviour(u64, Behaviour),
     Drain(u64),
     Remove(u64),
     Restart(u64),
@@ -38,12 +44,16 @@
     Snapshot,
     Restored,
     PollFailed,
-    PeerLeaves(u32),
-    Shutdown { from: Micros, by: Micros },
-    Statuses,
+    PeerShutsDown(u32),
+    Shutdown {
+        from: Micros,
+        by: Micros,
+    },
+    /// Writes the status of each endpoint to the lines.
+    RecordStatuses,
 }
 
-/// The kind of prefill endpoints.
+/// The index of the kind of prefill endpoints.
 const PREFILL_KIND: usize = 0;
 
 /// A policy with simulated endpoints.
@@ -53,21 +63,27 @@
     rng: Pcg32,
     now: Micros,
     rate: f64,
+    /// The number of requests that are due to arrive; a fraction carries over to the next step.
     arrivals: f64,
     next_request: u32,
-    servers: BTreeMap<u64, EndpointSpec>,
+    endpoints: BTreeMap<u64, EndpointSpec>,
     behaviours: BTreeMap<u64, Behaviour>,
     timers: BTreeSet<(Micros, TimerKey)>,
+    /// The scheduled events, by time and by the order in which they were scheduled.
     pending: BTreeMap<(Micros, u64), Event>,
     sequence: u64,
+    /// The number of attempts made for each request.
     attempts: BTreeMap<u32, u32>,
+    /// The prefill endpoint that each request was sent to last.
     prefill_endpoints: BTreeMap<u32, u64>,
+    /// The number of prompt tokens of each request.
     prompts: BTreeMap<u32, u64>,
+    /// The rendered actions and statuses, each with its time.
     pub(crate) lines: Vec<String>,
 }
 
 impl Course {
-    pub(crate) fn new(settings: Settings, servers: Vec<EndpointSpec>, seed: u64) -> Course {
+    pub(crate) fn new(settings: Settings, endpoints: Vec<EndpointSpec>, seed: u64) -> Course {
         let mut course = Course {
             policy: Policy::new(settings.clone(), seed, START),
             settings,
@@ -76,10 +92,7 @@
             rate: 10.0,
             arrivals: 0.0,
             next_request: 0,
-            servers: servers
-                .iter()
-                .map(|member| (member.id.0, *member))
-                .collect(),
+            endpoints: endpoints.iter().map(|spec| (spec.id.0, *spec)).collect(),
             behaviours: BTreeMap::new(),
             timers: BTreeSet::new(),
             pending: BTreeMap::new(),
@@ -89,27 +102,27 @@
             prompts: BTreeMap::new(),
             lines: Vec::new(),
         };
-        course.deliver(Event::EndpointsUpdated(EndpointUpdate::Restored(servers)));
+        course.deliver(Event::EndpointsUpdated(EndpointUpdate::Restored(endpoints)));
         course
     }
 
-    /// Plays for a span; the changes come at their times from now on.
-    pub(crate) fn play(&mut self, span: Micros, mut script: Vec<(Micros, Change)>) {
-        let (began, end) = (self.now, self.now + span);
+    /// Runs the course for `duration`. The times of the changes are relative to the present time.
+    pub(crate) fn play(&mut self, duration: Micros, mut script: Vec<(Micros, Change)>) {
+        let (start, end) = (self.now, self.now + duration);
         script.sort_by_key(|(at, _)| *at);
         let mut script = script.into_iter().peekable();
         while self.now < end {
             self.now += STEP;
-            while let Some((_, change)) = script.next_if(|(at, _)| began + at <= self.now) {
+            while let Some((_, change)) = script.next_if(|(at, _)| start + at <= self.now) {
                 self.change(change);
             }
             self.arrive();
-            self.pass();
+            self.deliver_due();
         }
     }
 
-    /// Delivers what is due, in the order of time.
-    fn pass(&mut self) {
+    /// Delivers the timers and events that are due, in the order of their times.
+    fn deliver_due(&mut self) {
         loop {
             let timer = self
                 .timers
@@ -128,7 +141,10 @@
                     self.deliver(Event::TimerFired(timer.1));
                 }
                 (_, Some(key)) => {
-                    let event = self.pending.remove(&key).expect("it has just been seen");
+                    let event = self
+                        .pending
+                        .remove(&key)
+                        .expect("the key was just read from the pending events");
                     self.deliver(event);
                 }
                 _ => return,
@@ -137,35 +153,35 @@
     }
 
     fn change(&mut self, change: Change) {
-        let patch = |course: &mut Course, server: u64, edit: &dyn Fn(&mut EndpointSpec)| {
-            let member = course
-                .servers
-                .get_mut(&server)
-                .expect("a server of the course");
-            edit(member);
-            let specs = vec![*member];
+        let patch = |course: &mut Course, id: u64, edit: &dyn Fn(&mut EndpointSpec)| {
+            let spec = course
+                .endpoints
+                .get_mut(&id)
+                .expect("the endpoint belongs to the course");
+            edit(spec);
+            let specs = vec![*spec];
             course.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(specs)));
         };
         let now = self.now;
-        let all = self.servers.values().copied().collect();
+        let all = self.endpoints.values().copied().collect();
         match change {
-            Change::Rate(rate) => self.rate = rate,
-            Change::Behave(server, behaviour) => {
-                self.behaviours.insert(server, behaviour);
+            Change::SetRate(rate) => self.rate = rate,
+            Change::SetBehaviour(id, behaviour) => {
+                self.behaviours.insert(id, behaviour);
             }
-            Change::Drain(server) => patch(self, server, &|m| m.state = EndpointState::Draining),
-            Change::Remove(server) => {
-                patch(self, server, &|m| m.state = EndpointState::Removed);
-                self.servers.remove(&server);
+            Change::Drain(id) => patch(self, id, &|s| s.state = EndpointState::Draining),
+            Change::Remove(id) => {
+                patch(self, id, &|s| s.state = EndpointState::Removed);
+                self.endpoints.remove(&id);
             }
-            Change::Restart(server) => patch(self, server, &|m| {
-                m.state = EndpointState::Active;
-                m.started_at = Some(now - 300 * MILLISECOND);
+            Change::Restart(id) => patch(self, id, &|s| {
+                s.state = EndpointState::Active;
+                s.started_at = Some(now - 300 * MILLISECOND);
             }),
-            Change::Add(member) => {
-                self.servers.insert(member.id.0, member);
-                patch(self, member.id.0, &|m| {
-                    m.started_at = Some(now - 100 * MILLISECOND)
+            Change::Add(spec) => {
+                self.endpoints.insert(spec.id.0, spec);
+                patch(self, spec.id.0, &|s| {
+                    s.started_at = Some(now - 100 * MILLISECOND)
                 });
             }
             Change::Snapshot => {
@@ -177,7 +193,7 @@
             Change::PollFailed => {
                 self.deliver(Event::EndpointsUpdated(EndpointUpdate::PollFailed));
             }
-            Change::PeerLeaves(from) => self.deliver(Event::GossipReceived {
+            Change::PeerShutsDown(from) => self.deliver(Event::GossipReceived {
                 from,
                 payload: vec![1],
             }),
@@ -187,57 +203,59 @@
                     answer_by: now + by,
                 });
             }
-            Change::Statuses => self.statuses(),
+            Change::RecordStatuses => self.record_statuses(),
         }
     }
 
-    fn statuses(&mut self) {
+    fn record_statuses(&mut self) {
         for status in self.policy.endpoint_statuses(self.now) {
             let line = format!(
                 "status server={} takes={} score={:.6}",
                 status.endpoint.0, status.accepts_work, status.score
             );
-            self.note(line);
+            self.record_line(line);
         }
     }
 
-    fn note(&mut self, line: String) {
+    fn record_line(&mut self, line: String) {
         self.lines.push(format!("{} {line}", self.now - START));
     }
 
     fn arrive(&mut self) {
-        self.arrivals += self.rate * STEP as f64 / SECOND as f64 * 2.0 * self.share();
+        self.arrivals += self.rate * STEP as f64 / SECOND as f64 * 2.0 * self.random_share();
         while self.arrivals >= 1.0 {
             self.arrivals -= 1.0;
             let request = self.request();
-            if self.below(25) == 0 {
-                let after = Micros::from(self.below(2_000)) * MILLISECOND;
+            if self.random_below(25) == 0 {
+                let after = Micros::from(self.random_below(2_000)) * MILLISECOND;
                 self.schedule(after, Event::ClientDisconnected(request.id));
             }
             self.deliver(Event::RequestArrived(request));
         }
     }
 
+    /// Draws a request at random.
     fn request(&mut self) -> RequestSpec {
         let id = self.next_request;
         self.next_request += 1;
-        let prompt_tokens = 200 + u64::from(self.below(90)).pow(2);
+        let prompt_tokens = 200 + u64::from(self.random_below(90)).pow(2);
         self.prompts.insert(id, prompt_tokens);
-        let with_prefix = self.below(3) == 0;
+        let with_prefix = self.random_below(3) == 0;
         let shared_prefix_tokens = if with_prefix { prompt_tokens / 2 } else { 0 };
         RequestSpec {
             id: RequestId(id),
-            class: ClassId(self.below(self.settings.classes.len() as u32) as usize),
-            session: (self.below(5) != 0).then(|| SessionId(u64::from(self.below(40)))),
-            shared_prefix: with_prefix.then(|| PrefixId(u64::from(self.below(3)))),
-            deadline: self.now + SECOND + Micros::from(self.below(5_000)) * MILLISECOND,
-            expected_duration: Some(Micros::from(self.below(900)) * MILLISECOND),
+            class: ClassId(self.random_below(self.settings.classes.len() as u32) as usize),
+            session: (self.random_below(5) != 0)
+                .then(|| SessionId(u64::from(self.random_below(40)))),
+            shared_prefix: with_prefix.then(|| PrefixId(u64::from(self.random_below(3)))),
+            deadline: self.now + SECOND + Micros::from(self.random_below(5_000)) * MILLISECOND,
+            expected_duration: Some(Micros::from(self.random_below(900)) * MILLISECOND),
             prompt_tokens,
             shared_prefix_tokens,
             max_tokens: 300,
-            is_retry: self.below(10) == 0,
-            is_resumed: self.below(30) == 0,
-            allowed_kinds: (self.below(30) == 0).then_some(0b11),
+            is_retry: self.random_below(10) == 0,
+            is_resumed: self.random_below(30) == 0,
+            allowed_kinds: (self.random_below(30) == 0).then_some(0b11),
         }
     }
 
@@ -245,17 +263,17 @@
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
         for action in actions {
-            self.record(&action);
+            self.record_action(&action);
             self.react(action);
         }
     }
 
-    fn record(&mut self, action: &Action) {
+    fn record_action(&mut self, action: &Action) {
         let line = render(action, START);
-        self.note(line);
+        self.record_line(line);
     }
 
-    /// What the driver and the servers make of an action.
+    /// Carries out an action as the driver would, and schedules what the endpoints respond.
     fn react(&mut self, action: Action) {
         match action {
             Action::Send {
@@ -265,15 +283,15 @@
                 ..
             } => self.serve(id, endpoint, expires_at),
             Action::ReserveSlot { id, endpoint: _ } => {
-                let held = self.below(4) != 0;
+                let is_granted = self.random_below(4) != 0;
                 let endpoint = EndpointId(self.prefill_endpoints.get(&id.0).copied().unwrap_or(0));
-                let after = self.millis(2, 12);
+                let after = self.random_millis(2, 12);
                 self.schedule(
                     after,
                     Event::SlotReservationAnswered {
                         id,
                         endpoint,
-                        granted: held,
+                        granted: is_granted,
                     },
                 );
             }
@@ -284,8 +302,8 @@
             }
             Action::HealthCheck(endpoint) => self.check_health(endpoint),
             Action::SubscribeEndpoints(_) => {
-                let after = self.millis(5, 40);
-                let update = if self.below(5) == 0 {
+                let after = self.random_millis(5, 40);
+                let update = if self.random_below(5) == 0 {
                     EndpointUpdate::PollFailed
                 } else {
                     EndpointUpdate::Delta(Vec::new())
@@ -303,7 +321,7 @@
         let (outcome, after) = match self.behaviour(endpoint) {
             Behaviour::Silent => (Outcome::TimedOut, SECOND),
             Behaviour::Failing => (Outcome::ServerError, 3 * MILLISECOND),
-            _ => (Outcome::Completed, self.millis(2, 20)),
+            _ => (Outcome::Completed, self.random_millis(2, 20)),
         };
         let load = (outcome == Outcome::Completed).then(|| self.load());
         self.schedule(
@@ -325,34 +343,37 @@
     }
 
     fn serve(&mut self, id: RequestId, endpoint: EndpointId, expires_at: Micros) {
-        let made = self.attempts.entry(id.0).or_insert(0);
-        let number = *made;
-        *made += 1;
+        let attempts_made = self.attempts.entry(id.0).or_insert(0);
+        let number = *attempts_made;
+        *attempts_made += 1;
         let attempt = AttemptKey {
             id,
             number,
             endpoint,
         };
-        let kind = self.servers.get(&endpoint.0).map_or(0, |spec| spec.kind.0);
+        let kind = self
+            .endpoints
+            .get(&endpoint.0)
+            .map_or(0, |spec| spec.kind.0);
         if kind == PREFILL_KIND {
             self.prefill_endpoints.insert(id.0, endpoint.0);
         }
         let tokens = self.prompts.get(&id.0).copied().unwrap_or(0) as Micros;
         let behaviour = self.behaviour(endpoint);
-        let pace = if behaviour == Behaviour::Slow { 12 } else { 1 };
-        let prefill_time = (tokens * 25 + self.millis(1, 30)) * pace;
+        let slowdown = if behaviour == Behaviour::Slow { 12 } else { 1 };
+        let prefill_time = (tokens * 25 + self.random_millis(1, 30)) * slowdown;
         let expires_after = (expires_at - self.now).max(MILLISECOND);
         match behaviour {
-            Behaviour::Silent => self.fail(attempt, expires_after, Outcome::TimedOut),
-            Behaviour::Failing => self.fail(attempt, 2 * MILLISECOND, Outcome::ServerError),
-            Behaviour::Full => self.fail(attempt, 2 * MILLISECOND, OVERLOADED),
+            Behaviour::Silent => self.end_directly(attempt, expires_after, Outcome::TimedOut),
+            Behaviour::Failing => self.end_directly(attempt, 2 * MILLISECOND, Outcome::ServerError),
+            Behaviour::Full => self.end_directly(attempt, 2 * MILLISECOND, OVERLOADED),
             Behaviour::Normal | Behaviour::Slow => {
                 self.respond(attempt, kind, tokens, prefill_time, expires_after);
             }
         }
     }
 
-    /// Most attempts are served; some fail in each way that there is.
+    /// Serves most attempts; a few fail in each of the possible ways.
     fn respond(
         &mut self,
         attempt: AttemptKey,
@@ -361,61 +382,68 @@
         prefill_time: Micros,
         expires_after: Micros,
     ) {
-        let early = self.millis(1, 60);
-        let (after, outcome) = match self.below(100) {
-            0..=2 => (early, OVERLOADED),
-            3..=4 => (early, with_detail(OVERLOADED, 1)),
-            5..=6 => (early, Outcome::ServerError),
-            7 => (early, UNREACHABLE),
-            8 => (early, with_detail(UNREACHABLE, 1)),
-            9..=10 => (early, CONNECTION_RESET),
-            11 => (early, with_detail(CONNECTION_RESET, 1)),
+        let soon = self.random_millis(1, 60);
+        let (after, outcome) = match self.random_below(100) {
+            0..=2 => (soon, OVERLOADED),
+            3..=4 => (soon, with_detail(OVERLOADED, 1)),
+            5..=6 => (soon, Outcome::ServerError),
+            7 => (soon, UNREACHABLE),
+            8 => (soon, with_detail(UNREACHABLE, 1)),
+            9..=10 => (soon, CONNECTION_RESET),
+            11 => (soon, with_detail(CONNECTION_RESET, 1)),
             12 => (expires_after, Outcome::TimedOut),
-            13 => (early, Outcome::NotSent),
-            14 => (early, PREFILLED),
+            13 => (soon, Outcome::NotSent),
+            14 => (soon, PREFILLED),
             _ if kind == PREFILL_KIND => {
-                let cached_tokens = u64::from(self.below(tokens.max(1) as u32));
+                let cached_tokens = u64::from(self.random_below(tokens.max(1) as u32));
                 (prefill_time, Outcome::Prefilled { cached_tokens })
             }
             _ => return self.stream(attempt, prefill_time),
         };
-        self.fail(attempt, after.min(expires_after), outcome);
+        self.end_directly(attempt, after.min(expires_after), outcome);
     }
 
-    /// A stream that begins and ends, some of them before their time.
+    /// Schedules the start and the end of a stream. One stream in twelve breaks before it
+    /// completes.
     fn stream(&mut self, attempt: AttemptKey, prefill_time: Micros) {
-        let begins = prefill_time / 4 + self.millis(5, 120);
+        let starts_after = prefill_time / 4 + self.random_millis(5, 120);
         let started = Event::StreamStarted {
             id: attempt.id,
             attempt: attempt.number,
             endpoint: attempt.endpoint,
-            elapsed: begins,
+            elapsed: starts_after,
         };
-        self.schedule(begins, started);
-        let lasts = self.millis(100, 1_500);
-        let breaks = self.below(12) == 0;
-        let outcome = if breaks {
+        self.schedule(starts_after, started);
+        let stream_duration = self.random_millis(100, 1_500);
+        let is_broken = self.random_below(12) == 0;
+        let outcome = if is_broken {
             CONNECTION_RESET
         } else {
             Outcome::Completed
         };
-        // A few of the connections that break had been idle before.
-        let detail = u64::from(self.below(400));
-        self.end(attempt, begins + lasts, with_detail(outcome, detail), true);
+        // One of 400 resets is that of a connection that had been idle.
+        let detail = u64::from(self.random_below(400));
+        self.end(
+            attempt,
+            starts_after + stream_duration,
+            with_detail(outcome, detail),
+            true,
+        );
     }
 
-    /// An end without a stream.
-    fn fail(&mut self, attempt: AttemptKey, after: Micros, outcome: Outcome) {
+    /// Schedules the end of an attempt that has no stream.
+    fn end_directly(&mut self, attempt: AttemptKey, after: Micros, outcome: Outcome) {
         self.end(attempt, after, outcome, false);
     }
 
+    /// Schedules the end of an attempt.
     fn end(&mut self, attempt: AttemptKey, after: Micros, outcome: Outcome, client_done: bool) {
-        let reports = self.settings.load_reporting == LoadReporting::WithOutcomes
+        let has_load_report = self.settings.load_reporting == LoadReporting::WithOutcomes
             && matches!(
                 outcome,
                 Outcome::Completed | Outcome::Prefilled { .. } | Outcome::Rejected(_)
             );
-        let load = reports.then(|| self.load());
+        let load = has_load_report.then(|| self.load());
         let ended = Event::AttemptEnded {
             id: attempt.id,
             attempt: attempt.number,
@@ -428,18 +456,21 @@
         self.schedule(after, ended);
     }
 
+    /// Draws a load report at random.
     fn load(&mut self) -> LoadReport {
         LoadReport {
-            in_flight: Some(f64::from(self.below(20))),
-            queued: Some(f64::from(self.below(6))),
-            slot_utilization: Some(self.share()),
-            memory_utilization: (self.below(8) != 0)
-                .then(|| f64::from(self.below(1_000)) / 1_000.0),
-            pending_kilotokens: (self.below(8) != 0).then(|| f64::from(self.below(40))),
+            in_flight: Some(f64::from(self.random_below(20))),
+            queued: Some(f64::from(self.random_below(6))),
+            slot_utilization: Some(self.random_share()),
+            memory_utilization: (self.random_below(8) != 0)
+                .then(|| f64::from(self.random_below(1_000)) / 1_000.0),
+            pending_kilotokens: (self.random_below(8) != 0)
+                .then(|| f64::from(self.random_below(40))),
         }
     }
 
-    /// The pending events of an attempt, or of the request's stream, give way to its end.
+    /// Replaces the pending events of an attempt by its cancellation. Without a `number`, this is
+    /// the attempt of the request that has the next pending event, and its stream is migrated.
     fn cancel(&mut self, id: RequestId, number: Option<u32>) {
         let is_meant = |attempt: &AttemptKey| {
             attempt.id == id && number.is_none_or(|number| number == attempt.number)
@@ -461,15 +492,18 @@
             .insert((self.now + after, self.sequence), event);
     }
 
-    fn below(&mut self, bound: u32) -> u32 {
+    /// Draws an integer below `bound`.
+    fn random_below(&mut self, bound: u32) -> u32 {
         self.rng.next_u32() % bound
     }
 
-    fn share(&mut self) -> f64 {
-        f64::from(self.below(10_000)) / 10_000.0
+    /// Draws a number from 0 to 1, without 1.
+    fn random_share(&mut self) -> f64 {
+        f64::from(self.random_below(10_000)) / 10_000.0
     }
 
-    fn millis(&mut self, least: u32, most: u32) -> Micros {
-        Micros::from(least + self.below(most - least)) * MILLISECOND
+    /// Draws a duration of whole milliseconds, from `least` up to but without `most`.
+    fn random_millis(&mut self, least: u32, most: u32) -> Micros {
+        Micros::from(least + self.random_below(most - least)) * MILLISECOND
     }
 }
--- a/crates/routing-policy/tests/decision_trace/rendering.rs
+++ b/crates/routing-policy/tests/decision_trace/rendering.rs
@@ -1,9 +1,9 @@
-//! Actions as lines. This is the one place that knows how the policy names its actions; the lines
-//! stay as they are.
+//! Renders actions as lines. Only this module depends on the names that the policy gives its
+//! actions. The lines themselves must not change, as the recorded digests depend on them.
 
 use cranetack_routing_policy::*;
 
-/// The line of an action; times are relative to `start`.
+/// Returns the line of an action, whose times are relative to `start`.
 pub(crate) fn render(action: &Action, start: Micros) -> String {
     match action {
         Action::Send {
--- a/crates/routing-policy/tests/decision_trace/scenarios.rs
+++ b/crates/routing-policy/tests/decision_trace/scenarios.rs
@@ -1,4 +1,4 @@
-//! The courses: settings, endpoints and scripts.
+//! The courses, each with its settings, its endpoints and its script.
 
 use cranetack_routing_policy::*;
 
@@ -29,8 +29,8 @@
             class(Idempotency::NonIdempotent, SECOND, 2.0),
         ],
         kinds: [Role::Prefill, Role::Decode, Role::Mixed]
-            .map(|kind_of| Kind {
-                role: Some(kind_of),
+            .map(|role| Kind {
+                role: Some(role),
                 memory_tokens: Some(100_000.0),
             })
             .to_vec(),
@@ -53,64 +53,65 @@
     }
 }
 
-fn server(number: u64, kind: usize, cell: i64) -> EndpointSpec {
+fn endpoint(number: u64, kind: usize, cell: i64) -> EndpointSpec {
     EndpointSpec {
         zone: ZoneId((cell / 2) as usize),
         ..common::endpoint_spec(number, kind, cell)
     }
 }
 
-/// Prefill servers 1 to 9, decode servers from 11, in four cells of two zones.
-fn split_servers() -> Vec<EndpointSpec> {
-    let prefill_endpoints = (1..=7).map(|n| server(n, 0, (n % 4) as i64));
-    let decode_endpoints = (11..=16).map(|n| server(n, 1, (n % 4) as i64));
+/// Prefill endpoints 1 to 7 and decode endpoints 11 to 16, in four cells of two zones.
+fn prefill_and_decode_endpoints() -> Vec<EndpointSpec> {
+    let prefill_endpoints = (1..=7).map(|n| endpoint(n, 0, (n % 4) as i64));
+    let decode_endpoints = (11..=16).map(|n| endpoint(n, 1, (n % 4) as i64));
     prefill_endpoints.chain(decode_endpoints).collect()
 }
 
-fn mixed_servers() -> Vec<EndpointSpec> {
-    let whole = (21..=25).map(|n| server(n, 2, (n % 4) as i64));
-    let decode_endpoints = (11..=12).map(|n| server(n, 1, (n % 4) as i64));
-    whole.chain(decode_endpoints).collect()
+/// Mixed endpoints 21 to 25 and decode endpoints 11 and 12, in four cells of two zones.
+fn mixed_and_decode_endpoints() -> Vec<EndpointSpec> {
+    let mixed_endpoints = (21..=25).map(|n| endpoint(n, 2, (n % 4) as i64));
+    let decode_endpoints = (11..=12).map(|n| endpoint(n, 1, (n % 4) as i64));
+    mixed_endpoints.chain(decode_endpoints).collect()
 }
 
 fn calm_then_faults() -> Course {
-    let mut course = Course::new(settings(), split_servers(), 1);
+    let mut course = Course::new(settings(), prefill_and_decode_endpoints(), 1);
     let script = vec![
-        (0, Change::Rate(25.0)),
-        (4 * SECOND, Change::Behave(3, Behaviour::Failing)),
-        (6 * SECOND, Change::Behave(12, Behaviour::Full)),
-        (8 * SECOND, Change::Behave(5, Behaviour::Slow)),
-        (10 * SECOND, Change::Behave(3, Behaviour::Normal)),
-        (12 * SECOND, Change::Statuses),
-        (14 * SECOND, Change::Behave(12, Behaviour::Normal)),
-        (15 * SECOND, Change::Behave(14, Behaviour::Silent)),
-        (18 * SECOND, Change::Behave(2, Behaviour::Silent)),
-        (22 * SECOND, Change::Behave(14, Behaviour::Normal)),
-        (23 * SECOND, Change::Statuses),
+        (0, Change::SetRate(25.0)),
+        (4 * SECOND, Change::SetBehaviour(3, Behaviour::Failing)),
+        (6 * SECOND, Change::SetBehaviour(12, Behaviour::Full)),
+        (8 * SECOND, Change::SetBehaviour(5, Behaviour::Slow)),
+        (10 * SECOND, Change::SetBehaviour(3, Behaviour::Normal)),
+        (12 * SECOND, Change::RecordStatuses),
+        (14 * SECOND, Change::SetBehaviour(12, Behaviour::Normal)),
+        (15 * SECOND, Change::SetBehaviour(14, Behaviour::Silent)),
+        (18 * SECOND, Change::SetBehaviour(2, Behaviour::Silent)),
+        (22 * SECOND, Change::SetBehaviour(14, Behaviour::Normal)),
+        (23 * SECOND, Change::RecordStatuses),
     ];
     course.play(26 * SECOND, script);
     course
 }
 
 fn list_updates() -> Course {
-    let mut course = Course::new(settings(), split_servers(), 2);
+    let mut course = Course::new(settings(), prefill_and_decode_endpoints(), 2);
     let script = vec![
-        (0, Change::Rate(20.0)),
+        (0, Change::SetRate(20.0)),
         (SECOND, Change::Snapshot),
         (3 * SECOND, Change::Drain(1)),
         (3 * SECOND, Change::Drain(11)),
         (5 * SECOND, Change::Remove(1)),
         (6 * SECOND, Change::Restart(11)),
-        (7 * SECOND, Change::Add(server(8, 0, 1))),
+        (7 * SECOND, Change::Add(endpoint(8, 0, 1))),
         (8 * SECOND, Change::PollFailed),
         (9 * SECOND, Change::Restart(2)),
         (9 * SECOND, Change::Restart(3)),
-        (12 * SECOND, Change::Statuses),
+        (12 * SECOND, Change::RecordStatuses),
         (13 * SECOND, Change::Restored),
-        (14 * SECOND, Change::Add(server(17, 1, 3))),
+        (14 * SECOND, Change::Add(endpoint(17, 1, 3))),
         (16 * SECOND, Change::Remove(12)),
         (17 * SECOND, Change::Snapshot),
-        (20 * SECOND, Change::Statuses),
+        (20 * SECOND, Change::RecordStatuses),
     ];
     course.play(24 * SECOND, script);
     course
@@ -121,7 +122,7 @@
         router_count: Some(40),
         ..settings()
     };
-    let mut course = Course::new(settings, split_servers(), 3);
+    let mut course = Course::new(settings, prefill_and_decode_endpoints(), 3);
     let restarts = [1, 2, 3, 4, 11, 12, 13].map(|n| {
         (
             8 * SECOND + n as Micros * 20 * MILLISECOND,
@@ -129,25 +130,25 @@
         )
     });
     let mut script = vec![
-        (0, Change::Rate(6.0)),
+        (0, Change::SetRate(6.0)),
         (SECOND, Change::Snapshot),
         (8 * SECOND, Change::Snapshot),
     ];
     script.extend(restarts);
-    script.push((10 * SECOND, Change::Statuses));
-    script.push((12 * SECOND, Change::Rate(20.0)));
+    script.push((10 * SECOND, Change::RecordStatuses));
+    script.push((12 * SECOND, Change::SetRate(20.0)));
     course.play(20 * SECOND, script);
     course
 }
 
 fn overload() -> Course {
-    let mut course = Course::new(settings(), split_servers(), 4);
+    let mut course = Course::new(settings(), prefill_and_decode_endpoints(), 4);
     let script = vec![
-        (0, Change::Rate(150.0)),
-        (4 * SECOND, Change::Behave(2, Behaviour::Full)),
-        (5 * SECOND, Change::Behave(13, Behaviour::Slow)),
-        (8 * SECOND, Change::Rate(15.0)),
-        (12 * SECOND, Change::Statuses),
+        (0, Change::SetRate(150.0)),
+        (4 * SECOND, Change::SetBehaviour(2, Behaviour::Full)),
+        (5 * SECOND, Change::SetBehaviour(13, Behaviour::Slow)),
+        (8 * SECOND, Change::SetRate(15.0)),
+        (12 * SECOND, Change::RecordStatuses),
     ];
     course.play(14 * SECOND, script);
     course
@@ -164,16 +165,16 @@
         router_count: Some(0),
         ..settings()
     };
-    let mut course = Course::new(settings, mixed_servers(), 5);
+    let mut course = Course::new(settings, mixed_and_decode_endpoints(), 5);
     let script = vec![
-        (0, Change::Rate(12.0)),
-        (4 * SECOND, Change::Behave(22, Behaviour::Silent)),
-        (6 * SECOND, Change::Behave(23, Behaviour::Slow)),
+        (0, Change::SetRate(12.0)),
+        (4 * SECOND, Change::SetBehaviour(22, Behaviour::Silent)),
+        (6 * SECOND, Change::SetBehaviour(23, Behaviour::Slow)),
         (8 * SECOND, Change::Restart(24)),
-        (9 * SECOND, Change::Rate(50.0)),
-        (11 * SECOND, Change::Statuses),
-        (12 * SECOND, Change::Behave(22, Behaviour::Normal)),
-        (13 * SECOND, Change::Rate(8.0)),
+        (9 * SECOND, Change::SetRate(50.0)),
+        (11 * SECOND, Change::RecordStatuses),
+        (12 * SECOND, Change::SetBehaviour(22, Behaviour::Normal)),
+        (13 * SECOND, Change::SetRate(8.0)),
         (14 * SECOND, Change::Remove(21)),
     ];
     course.play(18 * SECOND, script);
@@ -186,13 +187,13 @@
         health_checks: true,
         ..settings()
     };
-    let mut course = Course::new(settings, split_servers(), 6);
+    let mut course = Course::new(settings, prefill_and_decode_endpoints(), 6);
     let script = vec![
-        (0, Change::Rate(6.0)),
-        (5 * SECOND, Change::Behave(4, Behaviour::Silent)),
-        (8 * SECOND, Change::Rate(25.0)),
-        (10 * SECOND, Change::Behave(4, Behaviour::Normal)),
-        (11 * SECOND, Change::Statuses),
+        (0, Change::SetRate(6.0)),
+        (5 * SECOND, Change::SetBehaviour(4, Behaviour::Silent)),
+        (8 * SECOND, Change::SetRate(25.0)),
+        (10 * SECOND, Change::SetBehaviour(4, Behaviour::Normal)),
+        (11 * SECOND, Change::RecordStatuses),
     ];
     course.play(14 * SECOND, script);
     course
@@ -203,14 +204,14 @@
         router_count: Some(9),
         ..settings()
     };
-    let mut course = Course::new(settings, split_servers(), 7);
+    let mut course = Course::new(settings, prefill_and_decode_endpoints(), 7);
     let script = vec![
-        (0, Change::Rate(40.0)),
-        (SECOND, Change::PeerLeaves(2)),
-        (2 * SECOND, Change::PeerLeaves(1)),
-        (3 * SECOND, Change::PeerLeaves(3)),
-        (5 * SECOND, Change::Behave(6, Behaviour::Silent)),
-        (5 * SECOND, Change::PeerLeaves(5)),
+        (0, Change::SetRate(40.0)),
+        (SECOND, Change::PeerShutsDown(2)),
+        (2 * SECOND, Change::PeerShutsDown(1)),
+        (3 * SECOND, Change::PeerShutsDown(3)),
+        (5 * SECOND, Change::SetBehaviour(6, Behaviour::Silent)),
+        (5 * SECOND, Change::PeerShutsDown(5)),
         (
             6 * SECOND,
             Change::Shutdown {
@@ -218,7 +219,7 @@
                 by: 3 * SECOND,
             },
         ),
-        (6_500 * MILLISECOND, Change::Rate(4.0)),
+        (6_500 * MILLISECOND, Change::SetRate(4.0)),
     ];
     course.play(12 * SECOND, script);
     course
@@ -229,11 +230,11 @@
         router_count: Some(3),
         ..settings()
     };
-    let mut course = Course::new(settings, split_servers(), 8);
+    let mut course = Course::new(settings, prefill_and_decode_endpoints(), 8);
     let script = vec![
-        (0, Change::Rate(30.0)),
-        (2 * SECOND, Change::PeerLeaves(0)),
-        (2 * SECOND, Change::PeerLeaves(2)),
+        (0, Change::SetRate(30.0)),
+        (2 * SECOND, Change::PeerShutsDown(0)),
+        (2 * SECOND, Change::PeerShutsDown(2)),
         (
             3 * SECOND,
             Change::Shutdown {
@@ -241,7 +242,7 @@
                 by: 6 * SECOND,
             },
         ),
-        (4 * SECOND, Change::Rate(10.0)),
+        (4 * SECOND, Change::SetRate(10.0)),
     ];
     course.play(12 * SECOND, script);
     course
@@ -259,11 +260,11 @@
         kinds: settings().kinds,
         ..Settings::default()
     };
-    let mut course = Course::new(settings, split_servers(), 9);
+    let mut course = Course::new(settings, prefill_and_decode_endpoints(), 9);
     let script = vec![
-        (0, Change::Rate(25.0)),
+        (0, Change::SetRate(25.0)),
         (4 * SECOND, Change::Restart(3)),
-        (5 * SECOND, Change::Behave(15, Behaviour::Silent)),
+        (5 * SECOND, Change::SetBehaviour(15, Behaviour::Silent)),
         (
             8 * SECOND,
             Change::Shutdown {
@@ -277,56 +278,59 @@
 }
 
 fn many_sessions_and_prefixes_in_skewed_cells() -> Course {
-    let mut servers = split_servers();
-    servers.retain(|member| member.cell.0 != 2 || member.kind.0 == 0);
-    servers.extend((31..=33).map(|n| server(n, 2, 1)));
+    let mut endpoints = prefill_and_decode_endpoints();
+    endpoints.retain(|spec| spec.cell.0 != 2 || spec.kind.0 == 0);
+    endpoints.extend((31..=33).map(|n| endpoint(n, 2, 1)));
     let settings = Settings {
         zone: Some(ZoneId(1)),
         cancellation: false,
         ..settings()
     };
-    let mut course = Course::new(settings, servers, 10);
+    let mut course = Course::new(settings, endpoints, 10);
     let script = vec![
-        (0, Change::Rate(60.0)),
-        (6 * SECOND, Change::Behave(31, Behaviour::Slow)),
-        (8 * SECOND, Change::Behave(4, Behaviour::Slow)),
-        (10 * SECOND, Change::Statuses),
+        (0, Change::SetRate(60.0)),
+        (6 * SECOND, Change::SetBehaviour(31, Behaviour::Slow)),
+        (8 * SECOND, Change::SetBehaviour(4, Behaviour::Slow)),
+        (10 * SECOND, Change::RecordStatuses),
     ];
     course.play(16 * SECOND, script);
     course
 }
 
 fn zones_and_kinds_that_differ_in_lateness() -> Course {
-    let prefill = (1..=20).map(|n| server(n, 0, (n % 4) as i64));
-    let decode = (41..=52).map(|n| server(n, 1, (n % 4) as i64));
-    let mixed = (61..=68).map(|n| server(n, 2, (n % 4) as i64));
-    let servers = prefill.chain(decode).chain(mixed).collect();
-    let mut course = Course::new(settings(), servers, 11);
-    let mut script = vec![(0, Change::Rate(50.0)), (18 * SECOND, Change::Statuses)];
-    // Cells 0 and 1 are the local zone.
+    let prefill = (1..=20).map(|n| endpoint(n, 0, (n % 4) as i64));
+    let decode = (41..=52).map(|n| endpoint(n, 1, (n % 4) as i64));
+    let mixed = (61..=68).map(|n| endpoint(n, 2, (n % 4) as i64));
+    let endpoints = prefill.chain(decode).chain(mixed).collect();
+    let mut course = Course::new(settings(), endpoints, 11);
+    let mut script = vec![
+        (0, Change::SetRate(50.0)),
+        (18 * SECOND, Change::RecordStatuses),
+    ];
+    // These prefill endpoints are in cells 0 and 1, which are the local zone.
     for n in [1, 4, 5, 8, 9, 12, 13] {
-        script.push((5 * SECOND, Change::Behave(n, Behaviour::Slow)));
-        script.push((14 * SECOND, Change::Behave(n, Behaviour::Normal)));
+        script.push((5 * SECOND, Change::SetBehaviour(n, Behaviour::Slow)));
+        script.push((14 * SECOND, Change::SetBehaviour(n, Behaviour::Normal)));
     }
     for n in [61, 64, 65, 68] {
-        script.push((9 * SECOND, Change::Behave(n, Behaviour::Slow)));
+        script.push((9 * SECOND, Change::SetBehaviour(n, Behaviour::Slow)));
     }
     course.play(20 * SECOND, script);
     course
 }
 
 fn one_lane_with_more_requests_than_it_serves() -> Course {
-    let servers = vec![server(1, 0, 0), server(2, 0, 0), server(11, 1, 0)];
-    let mut course = Course::new(settings(), servers, 12);
+    let endpoints = vec![endpoint(1, 0, 0), endpoint(2, 0, 0), endpoint(11, 1, 0)];
+    let mut course = Course::new(settings(), endpoints, 12);
     let script = vec![
-        (0, Change::Rate(6.0)),
-        (3 * SECOND, Change::Behave(1, Behaviour::Slow)),
-        (5 * SECOND, Change::Rate(12.0)),
-        (9 * SECOND, Change::Rate(3.0)),
-        (12 * SECOND, Change::Behave(1, Behaviour::Normal)),
-        (14 * SECOND, Change::Rate(20.0)),
-        (16 * SECOND, Change::Behave(2, Behaviour::Slow)),
-        (20 * SECOND, Change::Rate(5.0)),
+        (0, Change::SetRate(6.0)),
+        (3 * SECOND, Change::SetBehaviour(1, Behaviour::Slow)),
+        (5 * SECOND, Change::SetRate(12.0)),
+        (9 * SECOND, Change::SetRate(3.0)),
+        (12 * SECOND, Change::SetBehaviour(1, Behaviour::Normal)),
+        (14 * SECOND, Change::SetRate(20.0)),
+        (16 * SECOND, Change::SetBehaviour(2, Behaviour::Slow)),
+        (20 * SECOND, Change::SetRate(5.0)),
     ];
     course.play(26 * SECOND, script);
     course
@@ -338,8 +342,8 @@
         poll_interval: Some(300 * MILLISECOND),
         ..settings()
     };
-    let mut course = Course::new(settings, split_servers(), 13);
-    course.play(10 * SECOND, vec![(0, Change::Rate(3.0))]);
+    let mut course = Course::new(settings, prefill_and_decode_endpoints(), 13);
+    course.play(10 * SECOND, vec![(0, Change::SetRate(3.0))]);
     course
 }
 
@@ -349,31 +353,31 @@
         health_checks: true,
         ..settings()
     };
-    let mut course = Course::new(settings, split_servers(), 14);
+    let mut course = Course::new(settings, prefill_and_decode_endpoints(), 14);
     let mut script = vec![
-        (0, Change::Rate(4.0)),
-        (12 * SECOND, Change::Rate(1.0)),
-        (20 * SECOND, Change::Rate(8.0)),
+        (0, Change::SetRate(4.0)),
+        (12 * SECOND, Change::SetRate(1.0)),
+        (20 * SECOND, Change::SetRate(8.0)),
     ];
     for n in [1, 2, 4, 5, 6] {
-        script.push((6 * SECOND, Change::Behave(n, Behaviour::Silent)));
-        script.push((22 * SECOND, Change::Behave(n, Behaviour::Normal)));
+        script.push((6 * SECOND, Change::SetBehaviour(n, Behaviour::Silent)));
+        script.push((22 * SECOND, Change::SetBehaviour(n, Behaviour::Normal)));
     }
     course.play(28 * SECOND, script);
     course
 }
 
 fn endpoints_that_fail_for_long() -> Course {
-    let servers = (1..=3)
-        .map(|n| server(n, 0, 0))
-        .chain((11..=12).map(|n| server(n, 1, 0)))
+    let endpoints = (1..=3)
+        .map(|n| endpoint(n, 0, 0))
+        .chain((11..=12).map(|n| endpoint(n, 1, 0)))
         .collect();
-    let mut course = Course::new(settings(), servers, 15);
+    let mut course = Course::new(settings(), endpoints, 15);
     let script = vec![
-        (0, Change::Rate(10.0)),
-        (2 * SECOND, Change::Behave(1, Behaviour::Failing)),
-        (3 * SECOND, Change::Behave(2, Behaviour::Full)),
-        (40 * SECOND, Change::Behave(1, Behaviour::Normal)),
+        (0, Change::SetRate(10.0)),
+        (2 * SECOND, Change::SetBehaviour(1, Behaviour::Failing)),
+        (3 * SECOND, Change::SetBehaviour(2, Behaviour::Full)),
+        (40 * SECOND, Change::SetBehaviour(1, Behaviour::Normal)),
     ];
     course.play(60 * SECOND, script);
     course
@@ -385,11 +389,11 @@
         kinds: settings().kinds,
         ..Settings::default()
     };
-    let mut course = Course::new(settings, split_servers(), 16);
+    let mut course = Course::new(settings, prefill_and_decode_endpoints(), 16);
     let mut script = vec![
-        (0, Change::Rate(4.0)),
+        (0, Change::SetRate(4.0)),
         (SECOND, Change::Snapshot),
-        (3 * SECOND, Change::Rate(12.0)),
+        (3 * SECOND, Change::SetRate(12.0)),
     ];
     for n in [1, 2, 3, 4, 5, 6, 11, 12, 13, 14] {
         let at = SECOND + 200 * MILLISECOND + n as Micros * 10 * MILLISECOND;
@@ -410,18 +414,18 @@
         classes: vec![unweighted, light, heavy],
         ..settings()
     };
-    let servers = vec![server(1, 0, 0), server(2, 0, 0), server(11, 1, 0)];
-    let mut course = Course::new(settings, servers, 17);
+    let endpoints = vec![endpoint(1, 0, 0), endpoint(2, 0, 0), endpoint(11, 1, 0)];
+    let mut course = Course::new(settings, endpoints, 17);
     let script = vec![
-        (0, Change::Rate(8.0)),
-        (5 * SECOND, Change::Rate(0.0)),
-        (70 * SECOND, Change::Rate(30.0)),
+        (0, Change::SetRate(8.0)),
+        (5 * SECOND, Change::SetRate(0.0)),
+        (70 * SECOND, Change::SetRate(30.0)),
     ];
     course.play(76 * SECOND, script);
     course
 }
 
-/// All courses with their names in the record.
+/// All courses, with their names in `recorded.txt`.
 pub(crate) fn courses() -> Vec<(&'static str, Course)> {
     vec![
         ("calm_then_faults", calm_then_faults()),
