--- a/crates/routing-policy/tests/affinity.rs
+++ b/crates/routing-policy/tests/affinity.rs
@@ -157,8 +157,8 @@
     (0..200).map(elsewhere).sum::<f64>() / 200.0
 }
 
-/// Without this rule, the routers of a zone whose prefill endpoints have all just been replaced
-/// would keep its traffic there.
+/// Where all prefill endpoints of a zone have just been replaced, the routers of that zone must not
+/// keep all of its traffic there.
 #[test]
 fn sessions_leave_a_zone_that_is_colder_than_the_others() {
     let elsewhere = share_in_other_zones_with_cold_endpoints([true, false, false]);
--- a/crates/routing-policy/tests/attempts.rs
+++ b/crates/routing-policy/tests/attempts.rs
@@ -22,7 +22,9 @@
     };
     let (mut driver, _) = Driver::new(
         with_health_checks,
-        (0..40).map(|h| endpoint_spec(h, 1, 0)).collect(),
+        (0..40)
+            .map(|endpoint| endpoint_spec(endpoint, 1, 0))
+            .collect(),
     );
     let mut sent_checks = 0;
     for id in 0..20 {
--- a/crates/routing-policy/tests/common/fleet.rs
+++ b/crates/routing-policy/tests/common/fleet.rs
@@ -249,7 +249,7 @@
     endpoint_spec(endpoint_id, (endpoint_id % 2) as usize, 0)
 }
 
-/// An endpoint like [`warm`]'s that has just started.
+/// An endpoint that has started at `now`, with the role that `warm` gives to its id.
 pub(crate) fn cold(endpoint_id: u64, now: Micros) -> EndpointSpec {
     EndpointSpec {
         started_at: Some(now),
--- a/crates/routing-policy/tests/fleet_sums.rs
+++ b/crates/routing-policy/tests/fleet_sums.rs
@@ -84,7 +84,7 @@
 /// With spare capacity, hardly any request is rejected: neither the longest prompts nor all
 /// requests of a session, even at a router that gets several times the mean load.
 #[test]
-fn a_fleet_with_spare_capacity_rejects_nothing() {
+fn a_fleet_with_spare_capacity_rejects_hardly_any_request() {
     for routers in [3, 30] {
         // At this rate the prefill endpoints are busy for two fifths of the time.
         let light_load = Load {
--- a/crates/routing-policy/tests/rules.rs
+++ b/crates/routing-policy/tests/rules.rs
@@ -71,7 +71,7 @@
             model.check(now, &actions);
         }
     }
-    // The clock advances past all deadlines, at which attempts still in flight time out.
+    // The clock advances past all deadlines, so that attempts without a response time out.
     for _ in 0..700 {
         advance(&mut driver, &mut model);
     }
