--- a/crates/routing-policy/tests/lane_choice.rs
+++ b/crates/routing-policy/tests/lane_choice.rs
@@ -1,4 +1,4 @@
-//! Which lane a request gets: cells, slots, affinity, prompts and kinds.
+//! The choice of a request's lane by cells, slots, affinity, prompt lengths and kinds of endpoints.
 
 mod common;
 
@@ -26,31 +26,31 @@
         .map(|(endpoint, kind, cell)| endpoint_spec(*endpoint, *kind, *cell))
         .collect();
     let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), specs);
-    let mut answered = [0; 8];
+    let mut served = [0; 8];
     for id in 0..240 {
         let session = Some(SessionId(u64::from(id)));
         for (id, prefill) in routes(&driver.arrive(RequestSpec {
             session,
             ..request_spec(id, driver.now)
         })) {
-            for (id, decode) in routes(&driver.on(result(id, 0, prefill, PREFILLED))) {
-                answered[decode as usize] += 1;
-                driver.on(Event::StreamStarted {
+            for (id, decode) in routes(&driver.deliver(attempt_ended(id, 0, prefill, PREFILLED))) {
+                served[decode as usize] += 1;
+                driver.deliver(Event::StreamStarted {
                     id: RequestId(id),
                     attempt: 1,
                     endpoint: EndpointId(decode),
                     elapsed: 1,
                 });
-                driver.on(result(id, 1, decode, Outcome::Completed));
+                driver.deliver(attempt_ended(id, 1, decode, Outcome::Completed));
             }
         }
-        driver.pass(SECOND / 10);
+        driver.advance(SECOND / 10);
     }
     assert!(
-        answered[3] < 120,
-        "half of all at one of four decode endpoints: {answered:?}"
+        served[3] < 120,
+        "one of four decode endpoints serves half of all requests: {served:?}"
     );
-    assert!(answered[5..].iter().all(|n| *n > 30), "{answered:?}");
+    assert!(served[5..].iter().all(|n| *n > 30), "{served:?}");
 }
 
 #[test]
@@ -68,15 +68,15 @@
         })
     };
     let first = reserved_at(&driver.arrive(request_spec(1, START))).expect("a slot is reserved");
-    let refused = Event::SlotReservationAnswered {
+    let not_granted = Event::SlotReservationAnswered {
         id: RequestId(1),
         endpoint: EndpointId(PREFILL),
         granted: false,
     };
-    let second = reserved_at(&driver.on(refused)).expect("another is asked for");
+    let second = reserved_at(&driver.deliver(not_granted)).expect("another slot is reserved");
     assert_eq!(second, DECODE + 3 - first);
     assert_eq!(
-        routes(&driver.on(result(1, 0, PREFILL, PREFILLED))),
+        routes(&driver.deliver(attempt_ended(1, 0, PREFILL, PREFILLED))),
         vec![(1, second)]
     );
 }
@@ -96,14 +96,14 @@
         };
         let first = session as u32 * 2;
         let prefill = routes(&driver.arrive(turn(first)))[0].1;
-        driver.on(result(first, 0, prefill, PREFILLED));
-        driver.on(result(first, 1, 2, Outcome::Completed));
+        driver.deliver(attempt_ended(first, 0, prefill, PREFILLED));
+        driver.deliver(attempt_ended(first, 1, 2, Outcome::Completed));
         assert_eq!(
             routes(&driver.arrive(turn(first + 1))),
             vec![(first + 1, prefill)]
         );
-        driver.on(result(first + 1, 0, prefill, PREFILLED));
-        driver.on(result(first + 1, 1, 2, Outcome::Completed));
+        driver.deliver(attempt_ended(first + 1, 0, prefill, PREFILLED));
+        driver.deliver(attempt_ended(first + 1, 1, 2, Outcome::Completed));
     }
 }
 
@@ -138,7 +138,7 @@
     );
     assert!(
         targets.contains(&1) && targets.contains(&3),
-        "sessions are spread"
+        "sessions are spread over both prefill endpoints"
     );
 }
 
@@ -156,17 +156,17 @@
         ..request_spec(id, START)
     };
     let prefill = routes(&driver.arrive(prefix(0)))[0].1;
-    driver.on(result(0, 0, prefill, PREFILLED));
-    driver.on(result(0, 1, 2, Outcome::Completed));
+    driver.deliver(attempt_ended(0, 0, prefill, PREFILLED));
+    driver.deliver(attempt_ended(0, 1, 2, Outcome::Completed));
     let restarted = EndpointSpec {
         started_at: Some(START - 60 * SECOND),
         ..endpoint_spec(prefill, 0, 0)
     };
-    driver.on(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![
+    driver.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![
         restarted,
     ])));
-    // With nothing kept anywhere the prefill endpoints tie, so that requests with the same shared
-    // prefix meet both.
+    // Nothing is cached any more, so the prefill endpoints have equal scores and requests with the
+    // same shared prefix go to both.
     let mut seen = std::collections::BTreeSet::new();
     for id in 1..30 {
         let at = routes(&driver.arrive(RequestSpec {
@@ -175,8 +175,8 @@
         }))[0]
             .1;
         seen.insert(at);
-        driver.on(result(id, 0, at, PREFILLED));
-        driver.on(result(id, 1, 2, Outcome::Completed));
+        driver.deliver(attempt_ended(id, 0, at, PREFILLED));
+        driver.deliver(attempt_ended(id, 1, 2, Outcome::Completed));
     }
     assert_eq!(seen.len(), 2);
 }
@@ -190,8 +190,8 @@
     ];
     let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), specs);
     let first = routes(&driver.arrive(request_spec(0, START)))[0].1;
-    driver.on(result(0, 0, first, PREFILLED));
-    driver.on(result(0, 1, 2, Outcome::Completed));
+    driver.deliver(attempt_ended(0, 0, first, PREFILLED));
+    driver.deliver(attempt_ended(0, 1, 2, Outcome::Completed));
     let huge = routes(&driver.arrive(RequestSpec {
         prompt_tokens: 30_000,
         ..request_spec(1, START)
@@ -202,12 +202,12 @@
         .collect();
     assert!(
         small.iter().all(|prefill| *prefill != huge),
-        "{small:?} beside {huge}"
+        "small prompts went to endpoints {small:?}, the huge one to {huge}"
     );
 }
 
 #[test]
-fn prefill_endpoints_of_a_cell_without_decode_endpoints_take_part_under_load() {
+fn prefill_endpoints_of_a_cell_without_decode_endpoints_are_used_under_load() {
     let specs = vec![
         endpoint_spec(1, 0, 0),
         endpoint_spec(2, 1, 0),
@@ -239,18 +239,19 @@
             }),
             "{actions:?}"
         );
-        driver.on(result(id, 0, prefill, PREFILLED));
-        driver.on(Event::StreamStarted {
+        driver.deliver(attempt_ended(id, 0, prefill, PREFILLED));
+        driver.deliver(Event::StreamStarted {
             id: RequestId(id),
             attempt: 1,
             endpoint: EndpointId(prefill + 1),
             elapsed: 1,
         });
-        driver.on(result(id, 1, prefill + 1, Outcome::Completed));
+        driver.deliver(attempt_ended(id, 1, prefill + 1, Outcome::Completed));
     }
 }
 
-/// Endpoints of other kinds do not have its model, also where all that have it are ejected.
+/// Endpoints of other kinds do not have the model of the request, so it does not go there even if
+/// all endpoints that have the model are ejected.
 #[test]
 fn a_request_goes_only_to_the_kinds_that_it_allows() {
     let specs = vec![
@@ -259,14 +260,14 @@
         endpoint_spec(3, 1, 0),
         endpoint_spec(4, 2, 0),
     ];
-    let mixed = |id, now| RequestSpec {
+    let only_mixed = |id, now| RequestSpec {
         allowed_kinds: Some(1 << 2),
         ..request_spec(id, now)
     };
     let sent = |allowed_kinds: Option<u64>| {
         let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), specs.clone());
         let mut endpoints = Vec::new();
-        // None of them ends: each goes where there is most room.
+        // No attempt ends, so each request goes to the endpoint with the most spare capacity.
         for id in 0..40 {
             let now = driver.now;
             endpoints.extend(
@@ -277,7 +278,7 @@
                 .iter()
                 .map(|(_, endpoint)| *endpoint),
             );
-            driver.pass(SECOND / 50);
+            driver.advance(SECOND / 50);
         }
         endpoints.sort_unstable();
         endpoints.dedup();
@@ -287,13 +288,13 @@
         (sent(None), sent(Some(1 << 2))),
         (vec![1, 2, 4], vec![1, 4])
     );
-    // None of them is left: it waits, and is rejected by its deadline.
+    // No endpoint of the allowed kind is listed: the request waits and is rejected by its deadline.
     let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), specs[1..3].to_vec());
     let now = driver.now;
-    let mut actions = driver.arrive(mixed(1, now));
+    let mut actions = driver.arrive(only_mixed(1, now));
     actions.extend(
         driver
-            .pass(4 * SECOND)
+            .advance(4 * SECOND)
             .into_iter()
             .map(|(_, action)| action),
     );
