--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -1,9 +1,10 @@
-//! Where the server side and the client side of the router meet.
+//! The channels for responses between the frontends, the core and the upstream.
 //!
-//! A frontend opens an exchange for a request and waits for its [`FinalResponse`]; the core holds
-//! the other half and gives that response. A response that streams is a pair too: the upstream
-//! pushes data into a [`BodySender`], the frontend reads it from a [`BodyStream`]. Neither side
-//! knows the other.
+//! An exchange carries the final response of one request: a frontend waits for the
+//! [`FinalResponse`] at its [`ResponseHandle`], and the core gives it through the [`Responder`].
+//! The body of a response that streams has its own channel: the upstream writes data to a
+//! [`BodySender`], and the frontend reads it from a [`BodyStream`]. The frontends and the upstream
+//! do not depend on each other.
 
 use std::fmt;
 use std::task::{Context, Poll};
@@ -13,17 +14,18 @@
 use http::HeaderMap;
 use tokio::sync::{mpsc, oneshot};
 
-/// Chunks that may wait between the two sides: a client that reads slowly slows its endpoint.
-const CHUNKS_IN_FLIGHT: usize = 32;
+/// The maximum number of body chunks that are buffered for the frontend. The limit creates
+/// backpressure: an endpoint is slowed down by a client that reads slowly.
+const MAX_BUFFERED_CHUNKS: usize = 32;
 
-/// What an endpoint is to be sent, as it arrived.
+/// A request as it is forwarded to an endpoint.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Message {
     /// The target of the request: its path and query.
     pub target: String,
     /// The media type of the body.
     pub media_type: String,
-    /// Further headers that are meant for the endpoint, as the client sent them.
+    /// The client's further headers that are meant for the endpoint, unchanged.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
@@ -32,23 +34,23 @@
 /// The one final response to a request.
 #[derive(Debug)]
 pub enum FinalResponse {
-    /// Served: the response of one endpoint.
+    /// The request is served by an endpoint, whose response streams.
     Streaming {
         /// The media type that the endpoint gave.
         media_type: String,
-        /// The body, as it arrives.
+        /// The body of the response.
         body: BodyStream,
     },
-    /// Rejected: it is harmless to try again, best after this span.
+    /// The request is rejected. It is harmless to try again, best after this delay.
     Rejected(Duration),
-    /// Failed: the request may have been executed.
+    /// The request failed; it may have been executed.
     Failed,
-    /// Not accepted: another request with its id is open.
+    /// The request is not accepted, as another request with the same id is open.
     DuplicateId,
 }
 
 impl FinalResponse {
-    /// A word for it, for the log.
+    /// The name of the response for the log.
     pub fn name(&self) -> &'static str {
         match self {
             FinalResponse::Streaming { .. } => "streaming",
@@ -59,7 +61,7 @@
     }
 }
 
-/// A response body that broke off.
+/// The error for a response body that ended before it was complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the response body is incomplete")]
 pub struct IncompleteBody;
@@ -69,8 +71,8 @@
     End,
 }
 
-/// The frontend's half of an exchange. Dropping it before the response has ended means that the
-/// client has disconnected.
+/// The frontend's half of an exchange. If it is dropped before the response has ended, the client
+/// has disconnected.
 pub struct ResponseHandle {
     response: oneshot::Receiver<FinalResponse>,
     disconnect: DisconnectGuard,
@@ -79,10 +81,10 @@
 /// The core's half of an exchange.
 pub struct Responder(oneshot::Sender<FinalResponse>);
 
-/// Reports, when it is dropped, that the client has disconnected: the one place that does.
+/// Reports when it is dropped that the client has disconnected. No other type reports that.
 pub struct DisconnectGuard(Option<Box<dyn FnOnce()>>);
 
-/// Opens an exchange; `on_disconnect` runs when the frontend's half ends.
+/// Opens an exchange. `on_disconnect` runs when the frontend's [`DisconnectGuard`] is dropped.
 pub fn channel(on_disconnect: impl FnOnce() + 'static) -> (ResponseHandle, Responder) {
     let (sender, response) = oneshot::channel();
     let disconnect = DisconnectGuard(Some(Box::new(on_disconnect)));
@@ -94,9 +96,9 @@
 }
 
 impl ResponseHandle {
-    /// Waits for the response. The guard must live as long as the client is being answered. A core
-    /// that has failed drops its half, which counts as a failure: the request may have been
-    /// executed.
+    /// Waits for the response. The caller must keep the guard until the client has the whole
+    /// response. If the core drops its half without a response, the request has failed, as it may
+    /// have been executed.
     pub async fn response(self) -> (FinalResponse, DisconnectGuard) {
         let response = self.response.await.unwrap_or(FinalResponse::Failed);
         (response, self.disconnect)
@@ -104,9 +106,10 @@
 }
 
 impl Responder {
-    /// Gives the final response. Consumes the half, so there is no second one.
+    /// Gives the final response. This consumes the responder, so that there can be only one
+    /// response.
     pub fn respond(self, response: FinalResponse) {
-        // A frontend that has gone needs no response; its guard has notified the core.
+        // The frontend may have dropped its half, which has reported the disconnect to the core.
         let _ = self.0.send(response);
     }
 }
@@ -125,10 +128,10 @@
     }
 }
 
-/// Where an upstream puts the data of a response body.
+/// The upstream's half of a response body.
 pub struct BodySender(mpsc::Sender<Chunk>);
 
-/// The data of a response body, in order.
+/// The frontend's half of a response body: its data in order.
 #[derive(Debug)]
 pub struct BodyStream {
     chunks: mpsc::Receiver<Chunk>,
@@ -144,9 +147,9 @@
     }
 }
 
-/// Opens a response body.
+/// Opens the channel for a response body.
 pub fn body_channel() -> (BodySender, BodyStream) {
-    let (sender, chunks) = mpsc::channel(CHUNKS_IN_FLIGHT);
+    let (sender, chunks) = mpsc::channel(MAX_BUFFERED_CHUNKS);
     let stream = BodyStream {
         chunks,
         ended: false,
@@ -155,25 +158,27 @@
 }
 
 impl BodySender {
-    /// Passes data on; an error means that nobody reads any more.
+    /// Sends data to the frontend. An error means that the [`BodyStream`] has been dropped.
     pub async fn send(&self, data: Bytes) -> Result<(), IncompleteBody> {
         let chunk = Chunk::Data(data);
         self.0.send(chunk).await.map_err(|_| IncompleteBody)
     }
 
-    /// Marks the body as complete. A sender that is dropped without this leaves an incomplete one.
+    /// Marks the body as complete. If a sender is dropped without this call, its body is
+    /// incomplete.
     pub async fn finish(self) -> Result<(), IncompleteBody> {
         self.0.send(Chunk::End).await.map_err(|_| IncompleteBody)
     }
 
-    /// Waits until nobody reads any more.
+    /// Waits until the [`BodyStream`] has been dropped.
     pub async fn closed(&self) {
         self.0.closed().await;
     }
 }
 
 impl BodyStream {
-    /// The next chunk, `None` at the end of a complete body, an error where it broke off.
+    /// Polls for the next chunk: `None` at the end of a complete body, and an error once at the end
+    /// of an incomplete one.
     pub fn poll_next(
         &mut self,
         cx: &mut Context<'_>,
--- a/crates/router/src/exchange/tests.rs
+++ b/crates/router/src/exchange/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test]
-async fn a_finished_body_is_complete_and_a_late_reader_gets_all_of_it() {
+async fn a_finished_body_is_complete_and_can_be_read_after_its_sender_is_gone() {
     let (sender, mut body) = body_channel();
     sender.send(Bytes::from_static(b"a")).await.unwrap();
     sender.finish().await.unwrap();
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test]
-async fn a_dropped_handle_is_reported_once_and_a_dropped_responder_is_a_failure() {
+async fn a_dropped_handle_is_reported_once_and_a_dropped_responder_counts_as_a_failure() {
     let reported = Rc::new(Cell::new(0));
     let count = reported.clone();
     let (handle, responder) = channel(move || count.set(count.get() + 1));
