--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -1,8 +1,8 @@
-//! The core: it drives the policy.
+//! The core runs the routing policy.
 //!
-//! It owns the policy, the clock, the timers, and the tables of requests and endpoints. Typed
-//! events become the policy's events, and the policy's actions are carried out through
-//! [`Outbound`]. It knows no wire, and it is the one place that ends a request.
+//! It owns the policy, the clock, the timers, and the tables of requests and endpoints. It turns
+//! each [`CoreEvent`] into events of the policy, and carries out the policy's actions through
+//! [`Outbound`]. It does no network I/O, and it is the only part of the router that ends a request.
 
 mod clock;
 mod dispatch;
@@ -37,10 +37,11 @@
 use requests::Request;
 use timers::TimerQueue;
 
-/// The longest wait for a timer: the clock is looked at anew after it.
+/// The maximum time in microseconds that the core sleeps before it reads the clock again.
 const MAX_TIMER_WAIT: Micros = 1_000_000;
 
-/// The policy and its tables. It takes one event at a time and does not wait.
+/// The policy with its timers and its tables of requests and endpoints. It handles one event at a
+/// time and never blocks.
 pub struct Core<O> {
     settings: Settings,
     seed: u64,
@@ -50,13 +51,13 @@
     endpoints: EndpointTable,
     requests: HashMap<RequestId, Request>,
     timers: TimerQueue,
-    /// Events that carrying out an action has led to at once.
+    /// Events for the policy that arose while an action was carried out.
     pending_events: VecDeque<Event>,
     violations: u64,
 }
 
 impl<O: Outbound> Core<O> {
-    /// A core that knows no endpoints yet.
+    /// Creates a core with an empty endpoint list.
     pub fn new(settings: Settings, seed: u64, clock: Clock, outbound: O) -> Core<O> {
         Core {
             policy: Policy::new(settings.clone(), seed, clock.now()),
@@ -72,35 +73,36 @@
         }
     }
 
-    /// Runs until all handles are gone.
+    /// Runs until all handles have been dropped.
     pub async fn run(mut self, mut events: mpsc::UnboundedReceiver<CoreEvent>) {
-        // The policy's first timer is among the actions of its first event.
+        // The policy sets its first timer in response to its first event, so it gets an empty one.
         self.catching_panics(|core| {
-            core.decide(Event::EndpointsUpdated(EndpointUpdate::Delta(Vec::new())));
+            core.handle_policy_event(Event::EndpointsUpdated(EndpointUpdate::Delta(Vec::new())));
         });
         loop {
             let latest = self.clock.now() + MAX_TIMER_WAIT;
             let wake_at = self.timers.next().map_or(latest, |at| at.min(latest));
-            let wake_at = self.clock.instant(wake_at);
+            let wake_at = self.clock.instant_of(wake_at);
             tokio::select! {
                 event = events.recv() => match event {
                     Some(event) => self.catching_panics(|core| core.handle(event)),
                     None => return,
                 },
-                () = tokio::time::sleep_until(wake_at) => self.catching_panics(Self::fire),
+                () = tokio::time::sleep_until(wake_at) =>
+                    self.catching_panics(Self::fire_due_timers),
             }
         }
     }
 
-    /// Delivers the timers that are due.
-    pub fn fire(&mut self) {
+    /// Reports all timers that are due to the policy.
+    pub fn fire_due_timers(&mut self) {
         let now = self.clock.now();
         while let Some(key) = self.timers.pop_due(now) {
-            self.decide(Event::TimerFired(key));
+            self.handle_policy_event(Event::TimerFired(key));
         }
     }
 
-    /// Takes one event.
+    /// Handles one event.
     pub fn handle(&mut self, event: CoreEvent) {
         match event {
             CoreEvent::RequestSubmitted {
@@ -135,42 +137,42 @@
                 migrate_from,
                 answer_by,
             } => {
-                let migrate_from = self.clock.at(migrate_from);
-                let answer_by = self.clock.at(answer_by);
-                self.decide(Event::ShutdownStarted {
+                let migrate_from = self.clock.time_of(migrate_from);
+                let answer_by = self.clock.time_of(answer_by);
+                self.handle_policy_event(Event::ShutdownStarted {
                     migrate_from,
                     answer_by,
                 });
             }
             CoreEvent::EndpointReportsRequested(reply) => {
-                // Whoever asked may have gone.
+                // The receiver may have been dropped.
                 let _ = reply.send(self.endpoint_reports());
             }
             CoreEvent::GossipReceived { from, payload } => {
-                self.decide(Event::GossipReceived { from, payload });
+                self.handle_policy_event(Event::GossipReceived { from, payload });
             }
         }
     }
 
-    /// Delivers an event to the policy, and carries out what it says and what that leads to at
-    /// once.
-    fn decide(&mut self, event: Event) {
+    /// Passes an event to the policy and carries out the resulting actions, then does the same for
+    /// the events that these actions produce.
+    fn handle_policy_event(&mut self, event: Event) {
         self.pending_events.push_back(event);
         while let Some(event) = self.pending_events.pop_front() {
-            let request = request_ended_by(&event);
+            let request = request_maybe_done_after(&event);
             let now = self.clock.now();
             let mut actions = Vec::new();
             self.policy.handle(now, event, &mut actions);
             for action in actions {
-                self.carry_out(action);
+                self.apply_action(action);
             }
             if let Some(id) = request {
-                self.forget_if_done(id);
+                self.remove_if_done(id);
             }
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn apply_action(&mut self, action: Action) {
         match action {
             Action::Send {
                 id,
@@ -194,22 +196,23 @@
                 }
             }
             Action::Gossip { to, payload } => self.outbound.gossip(to, payload),
-            // The endpoint list is watched from the start to the end.
+            // The router watches the endpoint list for as long as it runs.
             Action::SubscribeEndpoints(_) => {}
         }
     }
 
-    /// Takes a step. A panic, in the policy or beside it, must not end the process.
+    /// Runs a step. After a panic in the policy or in the core the policy is restarted: a panic
+    /// must not end the process.
     fn catching_panics(&mut self, step: impl FnOnce(&mut Self)) {
         if catch_unwind(AssertUnwindSafe(|| step(self))).is_err() {
             self.restart_policy();
         }
     }
 
-    /// The policy begins anew with the present endpoint list. What was open is answered as failed:
-    /// it may have been executed.
+    /// Replaces the policy by a new one with the current endpoint list. Open requests fail, as they
+    /// may have been executed.
     fn restart_policy(&mut self) {
-        tracing::error!("a decision failed: the module starts anew");
+        tracing::error!("a decision failed: the policy is restarted and all open requests fail");
         let now = self.clock.now();
         self.policy = Policy::new(self.settings.clone(), self.seed ^ now as u64, now);
         self.timers.clear();
@@ -219,28 +222,29 @@
             self.cancel_unless_streaming(id);
             self.finish(id, Some(FinalResponse::Failed));
             self.release_state(id);
-            self.forget_if_done(id);
+            self.remove_if_done(id);
         }
         let specs = self.endpoints.specs();
-        self.decide(Event::EndpointsUpdated(EndpointUpdate::Snapshot(specs)));
+        self.handle_policy_event(Event::EndpointsUpdated(EndpointUpdate::Snapshot(specs)));
     }
 
-    /// Notes a step in the trace of a request.
-    fn note(&mut self, id: RequestId, step: Step) {
+    /// Records a step in the trace of a request.
+    fn record_step(&mut self, id: RequestId, step: Step) {
         let now = self.clock.now();
         if let Some(request) = self.requests.get_mut(&id) {
-            request.trace.note(now, step);
+            request.trace.record(now, step);
         }
     }
 
-    /// The number of decisions that were not carried out as they would have broken a rule.
+    /// The number of the policy's decisions that were not carried out because they would have
+    /// violated the rule on idempotency.
     pub fn violations(&self) -> u64 {
         self.violations
     }
 }
 
-/// The request that may be done with an event.
-fn request_ended_by(event: &Event) -> Option<RequestId> {
+/// The request whose record may no longer be needed once an event has been handled.
+fn request_maybe_done_after(event: &Event) -> Option<RequestId> {
     match event {
         Event::RequestArrived(spec) => Some(spec.id),
         Event::AttemptEnded { id, .. } | Event::ClientDisconnected(id) => Some(*id),
--- a/crates/router/src/core/dispatch.rs
+++ b/crates/router/src/core/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: the policy's decisions on attempts, slots and rejections, checked and carried out.
+//! Checks the policy's decisions on attempts, slots and rejections, and carries them out.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,11 +13,11 @@
 use super::Core;
 use crate::exchange::FinalResponse;
 
-/// Stands for "no such limit" in an action of the policy.
+/// The value by which an action of the policy says that a point in time is not limited.
 const NO_LIMIT: Micros = 0;
 
 impl<O: Outbound> Core<O> {
-    /// Makes an attempt, if the request still needs one and no rule forbids it.
+    /// Starts an attempt if the request still needs one and no rule forbids it.
     pub(super) fn send(
         &mut self,
         id: RequestId,
@@ -41,11 +41,11 @@
                     endpoint: to,
                     reason,
                 };
-                request.trace.note(now, step);
+                request.trace.record(now, step);
                 return self.attempt_not_sent(id, number, to);
             }
         };
-        request.is_released = false;
+        request.is_state_released = false;
         let rule = RetryRule::of(self.settings.classes.get(request.incoming.class.0));
         if let Err(violation) = request.executions.check_send(rule, spec, now) {
             self.record_violation(id, violation);
@@ -72,8 +72,10 @@
             },
             request_id: request.incoming.request_id.clone(),
             endpoint: endpoint.clone(),
-            expires_at: self.clock.instant(limit_or_deadline(expires_at, deadline)),
-            write_by: self.clock.instant(limit_or_deadline(write_by, deadline)),
+            expires_at: self
+                .clock
+                .instant_of(limit_or_deadline(expires_at, deadline)),
+            write_by: self.clock.instant_of(limit_or_deadline(write_by, deadline)),
             is_live: request.is_live.clone(),
             prefill_only,
             non_idempotent: is_non_idempotent && !prefill_only,
@@ -81,10 +83,10 @@
         });
     }
 
-    /// Tells the policy of an attempt that was not made.
+    /// Reports to the policy that an attempt was not made.
     fn attempt_not_sent(&mut self, id: RequestId, attempt: u32, endpoint: EndpointId) {
         let request = self.requests.get(&id);
-        let client_done = request.is_none_or(|request| request.is_over);
+        let client_done = request.is_none_or(|request| request.is_finished);
         self.pending_events.push_back(Event::AttemptEnded {
             id,
             attempt,
@@ -97,7 +99,7 @@
     }
 
     pub(super) fn cancel(&mut self, id: RequestId, attempt: u32) {
-        self.note(id, Step::Cancelled { attempt });
+        self.record_step(id, Step::Cancelled { attempt });
         let attempt = AttemptId {
             request: id,
             number: attempt,
@@ -105,7 +107,7 @@
         self.outbound.cancel(attempt, false);
     }
 
-    /// Cancels the attempt in flight while its response has not begun.
+    /// Cancels the attempt in flight unless its response has begun to stream.
     pub(super) fn cancel_unless_streaming(&mut self, id: RequestId) {
         let request = self.requests.get(&id);
         if let Some(attempt) = request.and_then(Request::waiting_attempt) {
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Breaks off a stream, so that its client resumes it elsewhere.
+    /// Breaks off a stream, so that its client resumes it at another router.
     pub(super) fn migrate(&mut self, id: RequestId) {
         let request = self.requests.get(&id);
         if let Some(attempt) = request.and_then(Request::streaming_attempt) {
@@ -129,9 +131,9 @@
         }
     }
 
-    /// Rejects a request, once the attempt in flight has been cancelled, which takes no wait: a
-    /// rejection must not overtake its attempt, as the client may try again while the endpoint
-    /// still works for it.
+    /// Rejects a request. If an attempt is in flight, it is cancelled now and the rejection is sent
+    /// once it has ended. The client may try again as soon as it is rejected, and the endpoint must
+    /// not be working on the earlier attempt then.
     pub(super) fn reject(&mut self, id: RequestId, retry_after: Duration) {
         if let Err(violation) = self.check_rejection(id) {
             self.record_violation(id, violation);
@@ -142,7 +144,7 @@
         let request = self
             .requests
             .get_mut(&id)
-            .filter(|request| !request.is_over);
+            .filter(|request| !request.is_finished);
         let Some(request) = request else {
             return self.finish(id, Some(rejection));
         };
@@ -151,7 +153,7 @@
         };
         request.pending_rejection = Some(rejection);
         request.is_live.set(false);
-        request.trace.note(now, Step::Cancelled { attempt });
+        request.trace.record(now, Step::Cancelled { attempt });
         let attempt = AttemptId {
             request: id,
             number: attempt,
@@ -160,7 +162,10 @@
     }
 
     fn check_rejection(&self, id: RequestId) -> Result<(), Violation> {
-        let request = self.requests.get(&id).filter(|request| !request.is_over);
+        let request = self
+            .requests
+            .get(&id)
+            .filter(|request| !request.is_finished);
         let Some(request) = request else {
             return Ok(());
         };
@@ -170,8 +175,7 @@
         request.executions.check_rejection(rule, may_be_executing)
     }
 
-    /// Counts a decision that is not carried out, and logs it with all that happened to the
-    /// request.
+    /// Counts a decision that is not carried out, and logs it with the trace of the request.
     fn record_violation(&mut self, id: RequestId, violation: Violation) {
         self.violations += 1;
         if let Some(request) = self.requests.get(&id) {
@@ -202,13 +206,15 @@
         let endpoint = decode.name.as_str().into();
         self.outbound
             .reserve_slot(prefill_attempt, request_id, decode.clone());
-        self.note(id, Step::SlotReservationSent { endpoint });
+        self.record_step(id, Step::SlotReservationSent { endpoint });
     }
 
-    /// A slot that may be reserved for a request that no longer needs one is released: the response
-    /// may have crossed the policy's own release. So is one of which the decode endpoint is not
-    /// sure while the prefill is still waited for: it saw no attempt in flight, so the prefill may
-    /// be under way on a connection that has fallen silent, and the slot would be held for nobody.
+    /// Handles the outcome of a slot reservation. The slot is released in two cases:
+    /// - The slot may be reserved, but the request no longer needs one. The policy's own release
+    ///   may have been sent before the decode endpoint responded.
+    /// - The outcome is unknown while the prefill is in flight. The decode endpoint saw no attempt
+    ///   in flight, so the prefill may have been written to an unresponsive connection, and the
+    ///   slot would stay reserved without being used.
     pub(super) fn slot_reservation_answered(
         &mut self,
         prefill_attempt: AttemptId,
@@ -217,26 +223,28 @@
         reservation: SlotReservation,
     ) {
         let id = prefill_attempt.request;
-        self.note(id, Step::SlotReservationAnswered { reservation });
+        self.record_step(id, Step::SlotReservationAnswered { reservation });
         if reservation != SlotReservation::Unknown {
             self.endpoint_responded(endpoint);
         }
         let request = self.requests.get(&id);
         let needs_slot = request.is_some_and(|request| {
-            !request.is_over && !request.is_released && request.streaming_attempt().is_none()
+            !request.is_finished
+                && !request.is_state_released
+                && request.streaming_attempt().is_none()
         });
         tracing::debug!(%request_id, ?reservation, needs_slot, "slot reservation answered");
         let in_flight = request.and_then(|request| request.in_flight.as_ref());
         let is_prefilling =
             in_flight.is_some_and(|attempt| attempt.number == prefill_attempt.number);
         let has_attempt = in_flight.is_some();
-        let is_stray = !needs_slot && reservation != SlotReservation::Refused;
-        let is_unseen = reservation == SlotReservation::Unknown && is_prefilling;
-        if is_stray || is_unseen {
+        let is_unneeded = !needs_slot && reservation != SlotReservation::Refused;
+        let is_unconfirmed = reservation == SlotReservation::Unknown && is_prefilling;
+        if is_unneeded || is_unconfirmed {
             let endpoints = self.endpoints_for_release();
             self.outbound.release_state(id, request_id, endpoints);
         } else if needs_slot && reservation != SlotReservation::Unknown && has_attempt {
-            self.decide(Event::SlotReservationAnswered {
+            self.handle_policy_event(Event::SlotReservationAnswered {
                 id,
                 endpoint,
                 granted: reservation == SlotReservation::Granted,
@@ -249,22 +257,22 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.is_released = true;
-        request.trace.note(now, Step::StateReleased);
+        request.is_state_released = true;
+        request.trace.record(now, Step::StateReleased);
         let request_id = request.incoming.request_id.clone();
         let endpoints = self.endpoints_for_release();
         self.outbound.release_state(id, request_id, endpoints);
     }
 }
 
-/// Why a request must not be sent, whatever the endpoint.
+/// Returns why a request must not be sent to any endpoint, or `None` if it may be sent.
 fn reason_not_to_send(
     request: &Request,
     number: u32,
     max_attempts: Option<u32>,
     now: Micros,
 ) -> Option<NotSentReason> {
-    if request.is_over {
+    if request.is_finished {
         Some(NotSentReason::RequestOver)
     } else if request.in_flight.is_some() {
         Some(NotSentReason::AttemptInFlight)
--- a/crates/router/src/core/endpoint.rs
+++ b/crates/router/src/core/endpoint.rs
@@ -1,11 +1,11 @@
-//! Endpoints as the core knows them.
+//! The core's endpoints, and the entries of the endpoint list from which they come.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
 
 use cranetack_routing_policy::{CellId, EndpointId, EndpointState, KindId, Micros, ZoneId};
 
-/// A number for a name that is the same at every router: FNV-1a.
+/// The FNV-1a hash of a name. All routers compute the same number for a name.
 pub(super) fn stable_hash(name: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
@@ -14,22 +14,22 @@
     })
 }
 
-/// An endpoint with its present state. The upstream shares it, as it must look at the state at the
-/// moment of writing.
+/// An endpoint with its current state. The core shares it with the upstream, which checks the state
+/// right before it writes a request.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// Its number.
+    /// The endpoint's id, which is the hash of its name.
     pub id: EndpointId,
-    /// Its name, the same at every router.
+    /// The endpoint's name, the same at every router.
     pub name: String,
     pub(super) address: Cell<SocketAddr>,
     pub(super) active: Cell<bool>,
-    /// When this router last had a response from it.
+    /// When this router last received a response from the endpoint.
     pub(super) last_response: Cell<Micros>,
 }
 
 impl Endpoint {
-    /// An endpoint that takes requests.
+    /// Creates an endpoint that accepts new requests.
     pub fn new(name: &str, address: SocketAddr) -> Endpoint {
         Endpoint {
             id: EndpointId(stable_hash(name)),
@@ -40,12 +40,13 @@
         }
     }
 
-    /// The address at which it listens.
+    /// The address at which the endpoint listens.
     pub fn address(&self) -> SocketAddr {
         self.address.get()
     }
 
-    /// Whether new requests may be written to it: the endpoint list says that it is active.
+    /// Whether new requests may be written to the endpoint, that is, whether the endpoint list says
+    /// that it is active.
     pub fn is_active(&self) -> bool {
         self.active.get()
     }
@@ -56,19 +57,19 @@
 pub struct EndpointEntry {
     /// The endpoint's name.
     pub name: String,
-    /// The address at which it listens.
+    /// The address at which the endpoint listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The endpoint's zone.
     pub zone: ZoneId,
-    /// Its kind.
+    /// The endpoint's kind.
     pub kind: KindId,
-    /// Its cell.
+    /// The endpoint's cell.
     pub cell: CellId,
-    /// Whether it takes requests.
+    /// Whether the endpoint is active, draining or removed.
     pub state: EndpointState,
-    /// Its size relative to other endpoints of its role.
+    /// The size of the endpoint relative to other endpoints of its role.
     pub weight: f64,
-    /// When its present process started; absent for long ago.
+    /// When the endpoint's current process started; absent if that was long ago.
     pub started_at: Option<Micros>,
 }
 
@@ -77,8 +78,8 @@
 pub enum EndpointListUpdate {
     /// The entries that have changed.
     Delta(Vec<EndpointEntry>),
-    /// All entries; an endpoint that is missing has been removed.
+    /// All entries; an endpoint that is not among them has been removed.
     Snapshot(Vec<EndpointEntry>),
-    /// All entries as this router last had them before its restart.
+    /// All entries as this router had them before it restarted; they may be out of date.
     Restored(Vec<EndpointEntry>),
 }
--- a/crates/router/src/core/endpoints.rs
+++ b/crates/router/src/core/endpoints.rs
@@ -1,4 +1,5 @@
-//! The table of endpoints, and the updates of the endpoint list.
+//! The table of endpoints, and the handling of endpoint list updates, health checks and endpoint
+//! reports.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -14,12 +15,14 @@
 use super::messages::{EndpointReport, Outbound};
 use super::Core;
 
-/// All endpoints: the handles that the upstream shares, and the entries that the policy is given.
+/// All endpoints: the handles that are shared with the upstream, and the entries that are passed to
+/// the policy.
 #[derive(Debug, Default)]
 pub(super) struct EndpointTable {
     handles: HashMap<EndpointId, Rc<Endpoint>>,
     specs: HashMap<EndpointId, EndpointSpec>,
-    /// Rotates the order of endpoints that have not responded.
+    /// The offset by which the order of endpoints is rotated, so that those that have not responded
+    /// take turns.
     rotation: usize,
 }
 
@@ -36,7 +39,7 @@
         self.specs.values().copied().collect()
     }
 
-    /// The active endpoints, those that responded last first.
+    /// Returns the active endpoints, the one that responded most recently first.
     fn active_by_last_response(&mut self) -> Vec<Rc<Endpoint>> {
         let handles = self.handles.values();
         let mut active: Vec<_> = handles
@@ -58,7 +61,7 @@
         self.specs.clear();
     }
 
-    /// Stores an entry; returns the one before.
+    /// Stores an entry and returns the previous entry of the same endpoint.
     fn store(&mut self, entry: &EndpointEntry, id: EndpointId) -> Option<EndpointSpec> {
         let endpoint = self
             .handles
@@ -69,9 +72,9 @@
         self.specs.insert(id, spec_of(entry, id))
     }
 
-    /// Machines are replaced by others for as long as the router runs: those that were removed are
-    /// forgotten. Returns their ids.
-    fn forget_removed(&mut self) -> Vec<EndpointId> {
+    /// Deletes the removed endpoints from the table and returns their ids. Without this the table
+    /// would grow for as long as the router runs, as machines are replaced by others.
+    fn delete_removed(&mut self) -> Vec<EndpointId> {
         self.specs
             .retain(|_, spec| spec.state != EndpointState::Removed);
         let specs = &self.specs;
@@ -109,7 +112,7 @@
                 EndpointUpdate::Restored(self.store_entries(&entries))
             }
         };
-        self.decide(Event::EndpointsUpdated(update));
+        self.handle_policy_event(Event::EndpointsUpdated(update));
     }
 
     fn store_entries(&mut self, entries: &[EndpointEntry]) -> Vec<EndpointSpec> {
@@ -117,7 +120,7 @@
             .iter()
             .map(|entry| self.store_entry(entry))
             .collect();
-        for id in self.endpoints.forget_removed() {
+        for id in self.endpoints.delete_removed() {
             self.outbound.close_idle(id);
         }
         specs
@@ -125,10 +128,10 @@
 
     fn store_entry(&mut self, entry: &EndpointEntry) -> EndpointSpec {
         let id = EndpointId(stable_hash(&entry.name));
-        let before = self.endpoints.store(entry, id);
-        // Idle connections to the process before are of no use, and may never show that they are
-        // dead.
-        if before.is_some_and(|before| before.started_at != entry.started_at) {
+        let previous = self.endpoints.store(entry, id);
+        // Idle connections to the previous process cannot be used any more, and it may never be
+        // detected that they are dead.
+        if previous.is_some_and(|previous| previous.started_at != entry.started_at) {
             self.outbound.close_idle(id);
         }
         tracing::debug!(
@@ -140,8 +143,8 @@
             started_at = entry.started_at,
             "endpoint listed"
         );
-        let has_changed = before.is_some_and(|before| {
-            before.state != entry.state || before.started_at != entry.started_at
+        let has_changed = previous.is_some_and(|previous| {
+            previous.state != entry.state || previous.started_at != entry.started_at
         });
         if has_changed {
             tracing::info!(
@@ -156,7 +159,7 @@
         spec_of(entry, id)
     }
 
-    /// Drains endpoints of which no more is known than that they take no new requests.
+    /// Marks endpoints as draining when nothing else is known from their entries.
     pub(super) fn endpoints_draining(&mut self, names: &[String]) {
         let mut specs = Vec::new();
         for name in names {
@@ -169,7 +172,7 @@
                 specs.push(*spec);
             }
         }
-        self.decide(Event::EndpointsUpdated(EndpointUpdate::Delta(specs)));
+        self.handle_policy_event(Event::EndpointsUpdated(EndpointUpdate::Delta(specs)));
     }
 
     pub(super) fn health_checked(
@@ -186,7 +189,7 @@
         if matches!(outcome, Outcome::Completed | Outcome::Rejected(_)) {
             self.endpoint_responded(endpoint);
         }
-        self.decide(Event::HealthChecked {
+        self.handle_policy_event(Event::HealthChecked {
             endpoint,
             outcome,
             elapsed: micros(elapsed),
@@ -215,8 +218,9 @@
         reports
     }
 
-    /// The endpoints through which state may be released: any of them can, so the likeliest to be
-    /// reached come first, and a call is not tried at one unreachable endpoint after another.
+    /// Returns the endpoints through which state can be released. Any active endpoint can do it, so
+    /// the ones most likely to be reachable come first: a release must not be tried at one
+    /// unreachable endpoint after another.
     pub(super) fn endpoints_for_release(&mut self) -> Vec<Rc<Endpoint>> {
         self.endpoints.active_by_last_response()
     }
--- a/crates/router/src/core/guard.rs
+++ b/crates/router/src/core/guard.rs
@@ -1,57 +1,60 @@
 //! The run-time check of the rule on idempotency.
 //!
-//! The policy decides by [`cranetack_routing_policy::idempotency`], and the core asks the same rule
-//! again, by its own record of the request, at the moment in which it carries a decision out. A
-//! decision that would break the rule is not carried out, is counted, and is logged with all that
-//! happened to the request.
+//! The policy's decisions follow the rule in [`cranetack_routing_policy::idempotency`]. The core
+//! applies the same rule to its own record of the request right before it carries a decision out. A
+//! decision that would violate the rule is not carried out. It is counted, and it is logged with
+//! the trace of the request.
 
 use cranetack_routing_policy::idempotency::{may_have_executed, PossibleExecution, RetryRule};
 use cranetack_routing_policy::{EndpointSpec, Micros, Outcome, Role};
 
-/// A decision that would have broken a rule.
+/// How a decision of the policy would have violated the rule on idempotency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Violation {
-    /// A retry of what may have been executed, where its class does not permit it.
+    /// A retry of a request that may have been executed, where its class does not permit that.
     Retry,
-    /// A rejection, which says that trying again is harmless, after what may have been executed.
+    /// A rejection of a request that may have been executed: a rejection tells the client that it
+    /// is harmless to try again.
     Rejection,
 }
 
-/// What may have been executed of one request, as the core has seen it.
+/// The core's record of whether a request may have been executed.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ExecutionRecord {
-    first: Option<PossibleExecution>,
+    /// The first attempt that may have been executed.
+    first_execution: Option<PossibleExecution>,
 }
 
 impl ExecutionRecord {
-    /// An attempt in this role has ended; `execution` is what it is if it may have been executed.
+    /// Records the end of an attempt at an endpoint of this role. `execution` is stored if the
+    /// outcome says that the attempt may have been executed.
     pub fn attempt_ended(&mut self, role: Role, outcome: Outcome, execution: PossibleExecution) {
         if may_have_executed(role, outcome) {
-            self.first.get_or_insert(execution);
+            self.first_execution.get_or_insert(execution);
         }
     }
 
-    /// Whether the request may be sent to this endpoint now.
+    /// Checks whether the request may be sent to this endpoint now.
     pub fn check_send(
         &self,
         rule: RetryRule,
         to: &EndpointSpec,
         now: Micros,
     ) -> Result<(), Violation> {
-        match rule.retry_deadline(self.first, Some(to)) {
+        match rule.retry_deadline(self.first_execution, Some(to)) {
             Some(deadline) if now < deadline => Ok(()),
             _ => Err(Violation::Retry),
         }
     }
 
-    /// Whether it may be rejected; `may_be_executing` where an attempt in flight may have an
-    /// effect.
+    /// Checks whether the request may be rejected. `may_be_executing` says that an attempt is in
+    /// flight that can have an effect.
     pub fn check_rejection(
         &self,
         rule: RetryRule,
         may_be_executing: bool,
     ) -> Result<(), Violation> {
-        if rule.may_reject(self.first.is_some() || may_be_executing) {
+        if rule.may_reject(self.first_execution.is_some() || may_be_executing) {
             Ok(())
         } else {
             Err(Violation::Rejection)
--- a/crates/router/src/core/guard/tests.rs
+++ b/crates/router/src/core/guard/tests.rs
@@ -27,9 +27,10 @@
     }))
 }
 
-/// A wrong decision of the policy must not reach the wire.
+/// Guards against a wrong decision of the policy that leads to a duplicate execution: the core must
+/// not carry it out.
 #[test]
-fn what_may_have_been_executed_is_retried_and_rejected_as_its_class_permits() {
+fn a_request_that_may_have_been_executed_is_retried_and_rejected_only_as_its_class_permits() {
     let execution = PossibleExecution::at(&endpoint(0), 0);
     let mut record = ExecutionRecord::default();
     record.attempt_ended(Role::Prefill, Outcome::Cancelled, execution);
@@ -41,12 +42,12 @@
     assert_eq!(
         record.check_send(rule(Idempotency::NonIdempotent), &endpoint(0), 10),
         Ok(()),
-        "neither can have been executed"
+        "neither of the two attempts can have been executed"
     );
     assert_eq!(
         record.check_rejection(rule(Idempotency::NonIdempotent), true),
         Err(Violation::Rejection),
-        "one is in flight"
+        "an attempt that can have an effect is in flight"
     );
     record.attempt_ended(
         Role::Decode,
@@ -65,12 +66,12 @@
         assert_eq!(
             record.check_send(rule, &endpoint(zone), now).is_ok(),
             may_send,
-            "{rule:?} {zone} {now}"
+            "send with {rule:?} to zone {zone} at {now}"
         );
         assert_eq!(
             record.check_rejection(rule, false).is_ok(),
             may_reject,
-            "{rule:?}"
+            "rejection with {rule:?}"
         );
     }
 }
--- a/crates/router/src/core/handle.rs
+++ b/crates/router/src/core/handle.rs
@@ -1,4 +1,4 @@
-//! The other parts' way to the core.
+//! The handle by which the other parts of the router reach the core.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 use super::messages::{CoreEvent, EndpointReport, IncomingRequest};
 use crate::exchange::{self, ResponseHandle};
 
-/// Sends events to the core. Cheap to clone.
+/// Sends events to the core. Clones are cheap and reach the same core.
 #[derive(Clone)]
 pub struct Handle {
     events: mpsc::UnboundedSender<CoreEvent>,
@@ -17,7 +17,7 @@
 }
 
 impl Handle {
-    /// A handle, and where its events are received.
+    /// Creates a handle, and the receiver for its events.
     pub fn new() -> (Handle, mpsc::UnboundedReceiver<CoreEvent>) {
         let (events, receiver) = mpsc::unbounded_channel();
         let handle = Handle {
@@ -27,19 +27,19 @@
         (handle, receiver)
     }
 
-    /// Sends the core an event. Once it has stopped, nobody needs to know.
+    /// Sends the core an event. If the core has stopped, the event is dropped.
     pub fn send(&self, event: CoreEvent) {
         let _ = self.events.send(event);
     }
 
-    /// Asks for the policy's view of all endpoints; `None` once the core has stopped.
+    /// Returns the policy's view of all endpoints, or `None` if the core has stopped.
     pub async fn endpoint_reports(&self) -> Option<Vec<EndpointReport>> {
         let (reply, reports) = oneshot::channel();
         self.send(CoreEvent::EndpointReportsRequested(reply));
         reports.await.ok()
     }
 
-    /// Submits a request.
+    /// Submits a request and returns the handle for its final response.
     pub fn submit(&self, request: IncomingRequest) -> ResponseHandle {
         let id = RequestId(self.next_request.get());
         self.next_request.set(id.0.wrapping_add(1));
--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -17,31 +17,31 @@
 /// A request as a frontend has decoded it.
 #[derive(Debug, Clone)]
 pub struct IncomingRequest {
-    /// Its id on the wire.
+    /// The request's id on the wire.
     pub request_id: Rc<str>,
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// Its session.
+    /// The session to which the request belongs.
     pub session: Option<String>,
-    /// The prompt prefix that it shares with other sessions.
+    /// The name of the prompt prefix that the request shares with other sessions.
     pub shared_prefix: Option<String>,
     /// How long the client waits for the first byte of the response body.
     pub time_to_first_byte: Duration,
-    /// The rough duration of the response.
+    /// The approximate duration of the response.
     pub expected_duration: Option<Duration>,
     /// The number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// How many of these belong to the shared prefix.
+    /// The number of prompt tokens that belong to the shared prefix.
     pub shared_prefix_tokens: u64,
-    /// The most tokens of the response.
+    /// The maximum number of tokens in the response.
     pub max_tokens: u64,
-    /// The client says that it is trying again.
+    /// Whether the client says that it is trying again.
     pub is_retry: bool,
-    /// The client resumes a broken stream.
+    /// Whether the client resumes a broken stream.
     pub is_resumed: bool,
-    /// The kinds of endpoint that may serve it, a bit for each; absent for all kinds.
+    /// The kinds of endpoint that may serve the request, one bit per kind; absent for all kinds.
     pub allowed_kinds: Option<u64>,
-    /// What endpoints are sent.
+    /// The request that is forwarded to endpoints.
     pub message: Rc<Message>,
 }
 
@@ -56,17 +56,17 @@
     Unknown,
 }
 
-/// Why an attempt ended, as seen at its connection.
+/// Why an attempt ended, as observed on its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum EndReason {
-    /// Its task failed.
+    /// The task that carried out the attempt failed.
     #[default]
     TaskFailed,
-    /// No connection came up in time.
+    /// No connection to the endpoint was established in time.
     NoConnection,
-    /// This machine had no connection to give.
+    /// This machine lacked the resources to open a connection.
     NoLocalConnection,
-    /// The endpoint takes no new requests, or the request needs no response any more: nothing was
+    /// The endpoint accepts no new requests, or the request needs no response any more; nothing was
     /// written.
     NotNeeded,
     /// The request could not be encoded.
@@ -75,44 +75,44 @@
     Responded(u16),
     /// The connection broke before the response's head, in its body, or before its first event.
     ConnectionBroken,
-    /// A response that had begun did not go on.
+    /// A response began, but no more of it arrived.
     Stalled,
-    /// It was cancelled.
+    /// The attempt was cancelled.
     Cancelled,
-    /// Its time was up.
+    /// The attempt's time limit was reached.
     Expired,
-    /// Its stream was passed on to the end.
+    /// The whole stream was passed on.
     StreamCompleted,
-    /// Its stream broke, or was broken off.
+    /// The stream broke, or the router broke it off.
     StreamBroken,
 }
 
 /// The connection that an attempt used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UsedConnection {
-    /// Its number.
+    /// The connection's number.
     pub number: u64,
-    /// Whether it was taken from the pool.
+    /// Whether the connection was taken from the pool.
     pub reused: bool,
 }
 
-/// What was written of a request.
+/// How much of a request was written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Written {
-    /// The number of bytes.
+    /// The number of bytes that were written.
     pub bytes: u64,
-    /// Whether the last byte is among them.
+    /// Whether the whole request was written.
     pub complete: bool,
 }
 
-/// What was seen on the wire of an attempt, to find the cause of a fault.
+/// What was observed on an attempt's connection, logged for the diagnosis of faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct WireTrace {
-    /// The connection, if there was one.
+    /// The connection, if the attempt had one.
     pub connection: Option<UsedConnection>,
-    /// What was written of the request.
+    /// How much of the request was written.
     pub written: Written,
-    /// The bytes that were read since the request began.
+    /// The number of bytes that were read since the request began.
     pub read: u64,
     /// Why the attempt ended.
     pub reason: EndReason,
@@ -123,16 +123,16 @@
 pub struct AttemptReport {
     /// The outcome that is reported to the policy.
     pub outcome: Outcome,
-    /// The prompt tokens that a served stream reports as cached; for the log.
+    /// The number of prompt tokens that a served stream reports as cached, for the log.
     pub cached_tokens: u64,
-    /// The endpoint's load report, if one came along.
+    /// The endpoint's load report, if it sent one.
     pub load: Option<LoadReport>,
-    /// What was seen on the wire.
+    /// What was observed on the attempt's connection.
     pub wire: WireTrace,
 }
 
 impl AttemptReport {
-    /// The same report with the reason of the end.
+    /// Returns the report with this reason for the end of the attempt.
     pub fn because(mut self, reason: EndReason) -> AttemptReport {
         self.wire.reason = reason;
         self
@@ -155,7 +155,7 @@
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// The attempt, from 0.
+    /// The number of the attempt, counted from 0 within its request.
     pub number: u32,
 }
 
@@ -163,14 +163,14 @@
 pub enum CoreEvent {
     /// A request has arrived.
     RequestSubmitted {
-        /// Its number.
+        /// The request's number at this router.
         id: RequestId,
-        /// What it says.
+        /// The decoded request.
         request: IncomingRequest,
-        /// Where its final response goes.
+        /// The responder for the request's final response.
         responder: Responder,
     },
-    /// The client has disconnected, or has its whole response.
+    /// The client has disconnected, or has received its whole response.
     ClientDisconnected(RequestId),
     /// The response to an attempt has begun to stream.
     StreamStarted {
@@ -178,110 +178,116 @@
         attempt: AttemptId,
         /// The media type of the response.
         media_type: String,
-        /// Its body.
+        /// The body of the response.
         body: BodyStream,
     },
-    /// An attempt has ended, and its connection no longer carries it.
+    /// An attempt has ended and no longer uses its connection.
     AttemptEnded {
         /// The attempt.
         attempt: AttemptId,
-        /// How it ended.
+        /// How the attempt ended.
         report: AttemptReport,
     },
-    /// A slot reservation was answered, or may have been received.
+    /// A slot reservation has ended: the decode endpoint responded, or it did not respond but may
+    /// have received the reservation.
     SlotReservationAnswered {
-        /// The prefill attempt for which the slot was asked for.
+        /// The prefill attempt during which the slot was requested.
         prefill_attempt: AttemptId,
         /// The request's id on the wire.
         request_id: Rc<str>,
         /// The decode endpoint.
         endpoint: EndpointId,
-        /// The outcome.
+        /// The outcome of the reservation.
         reservation: SlotReservation,
     },
     /// A health check has ended.
     HealthChecked {
         /// The endpoint.
         endpoint: EndpointId,
-        /// How it ended.
+        /// The outcome of the health check.
         outcome: Outcome,
-        /// How long it took.
+        /// How long the health check took.
         elapsed: Duration,
-        /// The endpoint's load report.
+        /// The endpoint's load report, if it sent one.
         load: Option<LoadReport>,
     },
     /// The endpoint list has changed.
     EndpointsUpdated(EndpointListUpdate),
-    /// The endpoints of these names take no new requests; the rest of their entries could not be
-    /// read.
+    /// The endpoints with these names accept no new requests; the rest of their entries could not
+    /// be read.
     EndpointsDraining(Vec<String>),
     /// Gossip from another router.
     GossipReceived {
         /// The other router's number.
         from: u32,
-        /// The message.
+        /// The bytes of the gossip message.
         payload: Vec<u8>,
     },
-    /// The router shuts down.
+    /// The router has begun to shut down.
     ShutdownStarted {
-        /// From then on clients that ask again reach another router.
+        /// The time from which a client that sends a request again reaches another router.
         migrate_from: Instant,
-        /// All requests must have their final response by then.
+        /// The time by which all requests must have their final response.
         answer_by: Instant,
     },
     /// A request for the policy's view of all endpoints.
     EndpointReportsRequested(oneshot::Sender<Vec<EndpointReport>>),
 }
 
-/// An endpoint, and the policy's view of it.
+/// An endpoint and the policy's view of it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointReport {
-    /// The address at which it listens.
+    /// The address at which the endpoint listens.
     pub address: SocketAddr,
-    /// Its entry of the list.
+    /// The endpoint's entry in the endpoint list.
     pub spec: EndpointSpec,
-    /// The policy's view of it.
+    /// The policy's view of the endpoint.
     pub status: EndpointStatus,
 }
 
-/// An attempt to be made.
+/// An attempt that the upstream makes.
 #[derive(Clone)]
 pub struct AttemptSpec {
     /// The attempt.
     pub attempt: AttemptId,
     /// The request's id on the wire.
     pub request_id: Rc<str>,
-    /// The endpoint.
+    /// The endpoint to which the request is sent.
     pub endpoint: Rc<Endpoint>,
-    /// When to abandon it, unless its response has begun.
+    /// When the attempt is abandoned, unless its response has begun.
     pub expires_at: Instant,
-    /// When to abandon it, unless it has a connection.
+    /// When the attempt is abandoned, unless it has a connection.
     pub write_by: Instant,
     /// Whether the request still needs a response.
     pub is_live: Rc<Cell<bool>>,
-    /// The endpoint processes the prompt and keeps the KV state; else it responds.
+    /// Whether the endpoint only processes the prompt and keeps the KV state. Otherwise it serves
+    /// the response.
     pub prefill_only: bool,
-    /// It must not be executed twice, so a connection that may break under it is best avoided.
+    /// Whether the request must not be executed twice. The upstream then opens a new connection, as
+    /// an idle one may break when it is used.
     pub non_idempotent: bool,
-    /// What to send.
+    /// The request that is forwarded to the endpoint.
     pub message: Rc<Message>,
 }
 
-/// What the core has done outside. No method may wait: they start work and report as events.
+/// The operations that the core has carried out by other parts of the router. No method may block:
+/// each starts its operation, and results are reported as events.
 pub trait Outbound {
-    /// Makes an attempt.
+    /// Starts an attempt.
     fn send(&mut self, spec: AttemptSpec);
-    /// Cancels an attempt; one that streams only if `streaming`, which breaks its response off.
+    /// Cancels an attempt. An attempt whose response streams is cancelled only if `streaming` is
+    /// true; its response is then broken off.
     fn cancel(&mut self, attempt: AttemptId, streaming: bool);
-    /// Asks a decode endpoint for a slot, once the prefill request has been written.
+    /// Reserves a slot at a decode endpoint once the request of the prefill attempt has been
+    /// written.
     fn reserve_slot(
         &mut self,
         prefill_attempt: AttemptId,
         request_id: Rc<str>,
         decode: Rc<Endpoint>,
     );
-    /// Releases all that is held for a request, through the first of these endpoints that can be
-    /// reached.
+    /// Releases all state that is held for a request, through the first of these endpoints that can
+    /// be reached.
     fn release_state(
         &mut self,
         request: RequestId,
--- a/crates/router/src/core/recorder.rs
+++ b/crates/router/src/core/recorder.rs
@@ -1,7 +1,8 @@
-//! The flight recorder: what happened to each open request, always on and bounded.
+//! The flight recorder: a bounded trace of what happened to each open request.
 //!
-//! It costs some bytes for each request and is logged only when a rule is at stake: a fault that
-//! shows once in many runs can then be read from that run.
+//! It is always on, so that a fault that occurs once in many runs can be diagnosed from the log of
+//! that run. It takes a small amount of memory per request, and a trace is logged only when a rule
+//! is violated, or when a request that is not idempotent is retried or rejected after an attempt.
 
 use std::fmt;
 use std::rc::Rc;
@@ -10,44 +11,44 @@
 
 use super::messages::{SlotReservation, WireTrace};
 
-/// The steps that are kept of one request: five attempts with a slot reservation and a release each
-/// are under half of it. Those beyond it are counted.
+/// The maximum number of steps that are kept for one request; further steps are only counted. Five
+/// attempts with a slot reservation and a release each take less than half of it.
 const STEP_LIMIT: usize = 48;
-const MICROS_IN_MILLISECOND: f64 = 1_000.0;
+const MICROS_PER_MILLISECOND: f64 = 1_000.0;
 
-/// One thing that happened to a request.
+/// A step in the processing of a request.
 #[derive(Debug, Clone)]
 pub enum Step {
-    /// It arrived.
+    /// The request arrived.
     Arrived {
-        /// The time until its client stops waiting (us).
+        /// How long the client waits for the first byte of the response, in microseconds.
         time_to_first_byte: Micros,
     },
-    /// An attempt was made.
+    /// An attempt was sent.
     Sent {
-        /// Its number.
+        /// The attempt's number.
         attempt: u32,
         /// The endpoint's name.
         endpoint: Rc<str>,
-        /// The endpoint only processes the prompt: the attempt has no effect.
+        /// Whether the endpoint only processes the prompt, so that the attempt has no effect.
         prefill_only: bool,
     },
-    /// An attempt was to be made and was not.
+    /// The policy decided to send an attempt, but the core did not send it.
     NotSent {
-        /// Its number.
+        /// The attempt's number.
         attempt: u32,
-        /// The endpoint.
+        /// The endpoint to which the attempt was to be sent.
         endpoint: EndpointId,
-        /// Why.
+        /// Why the attempt was not sent.
         reason: NotSentReason,
     },
     /// An attempt has ended.
     AttemptEnded {
-        /// Its number.
+        /// The attempt's number.
         attempt: u32,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// What was seen on its connection.
+        /// What was observed on the attempt's connection.
         wire: WireTrace,
     },
     /// The response to an attempt has begun to stream.
@@ -55,71 +56,72 @@
         /// The attempt's number.
         attempt: u32,
     },
-    /// A slot was asked for at a decode endpoint.
+    /// A slot reservation was sent to a decode endpoint.
     SlotReservationSent {
         /// The endpoint's name.
         endpoint: Rc<str>,
     },
-    /// The decode endpoint has responded to that.
+    /// A slot reservation ended.
     SlotReservationAnswered {
-        /// The outcome.
+        /// The outcome of the reservation.
         reservation: SlotReservation,
     },
-    /// What is held for it is released.
+    /// The state held for the request was released.
     StateReleased,
     /// An attempt was cancelled.
     Cancelled {
-        /// Its number.
+        /// The attempt's number.
         attempt: u32,
     },
-    /// Its client has disconnected.
+    /// The client disconnected.
     ClientDisconnected,
-    /// It got its final response.
+    /// The request ended.
     Responded {
-        /// Which.
+        /// The name of the final response, or "none".
         response: &'static str,
     },
 }
 
-/// Why an attempt that the policy wanted was not made.
+/// Why an attempt that the policy decided on was not sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotSentReason {
-    /// The request has its final response.
+    /// The request has ended.
     RequestOver,
     /// Another attempt is in flight.
     AttemptInFlight,
-    /// There were as many as the settings allow.
+    /// The request has had the maximum number of attempts that the settings allow.
     TooManyAttempts,
-    /// Its client waits no more.
+    /// The deadline of the request has passed.
     PastDeadline,
-    /// The endpoint is not in the list.
+    /// The endpoint is not in the endpoint list.
     UnknownEndpoint,
 }
 
-/// What happened to one request, in order.
+/// The steps of one request, in order.
 #[derive(Debug, Default)]
 pub struct Trace {
     steps: Vec<(Micros, Step)>,
-    dropped: usize,
+    dropped_steps: usize,
 }
 
 impl Trace {
-    /// Notes a step.
-    pub fn note(&mut self, at: Micros, step: Step) {
+    /// Adds a step, or only counts it if the trace is full.
+    pub fn record(&mut self, at: Micros, step: Step) {
         if self.steps.len() < STEP_LIMIT {
             self.steps.push((at, step));
         } else {
-            self.dropped += 1;
+            self.dropped_steps += 1;
         }
     }
 
-    /// Whether an attempt that could have an effect has been made.
-    pub fn has_tried(&self) -> bool {
+    /// Whether an attempt that could have an effect has been sent.
+    pub fn has_effective_attempt(&self) -> bool {
         self.effective_attempts().next().is_some()
     }
 
-    /// Whether an attempt that could have an effect has been made, besides the one of this number.
-    pub fn has_tried_before(&self, number: u32) -> bool {
+    /// Whether an attempt that could have an effect has been sent, other than the one with this
+    /// number.
+    pub fn has_other_effective_attempt(&self, number: u32) -> bool {
         self.effective_attempts().any(|attempt| attempt != number)
     }
 
@@ -136,14 +138,15 @@
 }
 
 impl fmt::Display for Trace {
-    /// One line: each step with the milliseconds since the first.
+    /// Writes one line: each step with the time since the first one in milliseconds, then the
+    /// number of steps that were not kept.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let began = self.steps.first().map_or(0, |(at, _)| *at);
+        let first_at = self.steps.first().map_or(0, |(at, _)| *at);
         for (at, step) in &self.steps {
-            let elapsed_ms = (at - began) as f64 / MICROS_IN_MILLISECOND;
+            let elapsed_ms = (at - first_at) as f64 / MICROS_PER_MILLISECOND;
             write!(f, "[{elapsed_ms:.1} {step:?}] ")?;
         }
-        write!(f, "({} more)", self.dropped)
+        write!(f, "({} more)", self.dropped_steps)
     }
 }
 
--- a/crates/router/src/core/recorder/tests.rs
+++ b/crates/router/src/core/recorder/tests.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 #[test]
-fn a_trace_is_bounded_and_counts_what_it_leaves_out() {
+fn a_trace_is_bounded_and_counts_the_steps_that_are_not_kept() {
     let mut trace = Trace::default();
     for at in 0..STEP_LIMIT as i64 + 3 {
-        trace.note(at * 1_500, Step::StateReleased);
+        trace.record(at * 1_500, Step::StateReleased);
     }
     let text = trace.to_string();
     assert_eq!(text.matches("StateReleased").count(), STEP_LIMIT);
@@ -17,9 +17,9 @@
 }
 
 #[test]
-fn only_attempts_that_may_have_an_effect_count_as_tried() {
+fn only_attempts_that_can_have_an_effect_are_effective_attempts() {
     let mut trace = Trace::default();
-    trace.note(
+    trace.record(
         0,
         Step::Sent {
             attempt: 0,
@@ -27,8 +27,8 @@
             prefill_only: true,
         },
     );
-    assert!(!trace.has_tried_before(1));
-    trace.note(
+    assert!(!trace.has_other_effective_attempt(1));
+    trace.record(
         0,
         Step::Sent {
             attempt: 1,
@@ -36,5 +36,5 @@
             prefill_only: false,
         },
     );
-    assert!(!trace.has_tried_before(1) && trace.has_tried_before(2));
+    assert!(!trace.has_other_effective_attempt(1) && trace.has_other_effective_attempt(2));
 }
--- a/crates/router/src/core/requests.rs
+++ b/crates/router/src/core/requests.rs
@@ -1,4 +1,4 @@
-//! The table of requests, and the life of a request from its arrival to its one final response.
+//! The handling of a request from its arrival to its final response.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -17,21 +17,23 @@
 use super::Core;
 use crate::exchange::{BodyStream, FinalResponse, Responder};
 
-/// A request that has no final response yet, or an attempt in flight.
+/// A request that has no final response yet or still has an attempt in flight.
 pub(super) struct Request {
     pub(super) incoming: IncomingRequest,
     arrived_at: Micros,
     pub(super) deadline: Micros,
-    /// Present until the final response.
+    /// Present until the final response has been given.
     responder: Option<Responder>,
-    /// The rejection that is given as soon as the attempt in flight has ended.
+    /// The rejection that is given once the attempt in flight has ended.
     pub(super) pending_rejection: Option<FinalResponse>,
     pub(super) attempts: u32,
     pub(super) in_flight: Option<AttemptInFlight>,
-    /// The policy has released what was held, and nothing has been sent since.
-    pub(super) is_released: bool,
-    pub(super) is_over: bool,
-    /// Seen by the attempt in flight, which may not have been written yet.
+    /// Whether the policy has released the state held for the request, and no attempt has been sent
+    /// since.
+    pub(super) is_state_released: bool,
+    pub(super) is_finished: bool,
+    /// Whether the request still needs a response. The attempt in flight shares it, as it may have
+    /// to be abandoned before it is written.
     pub(super) is_live: Rc<Cell<bool>>,
     pub(super) executions: ExecutionRecord,
     pub(super) trace: Trace,
@@ -43,7 +45,8 @@
     pub(super) role: Role,
     pub(super) endpoint: EndpointId,
     pub(super) sent_at: Micros,
-    /// What it is if it may have been executed.
+    /// The record of a possible execution, which counts if the outcome says that the attempt may
+    /// have been executed.
     pub(super) execution: PossibleExecution,
     pub(super) is_streaming: bool,
 }
@@ -59,15 +62,15 @@
             pending_rejection: None,
             attempts: 0,
             in_flight: None,
-            is_released: false,
-            is_over: false,
+            is_state_released: false,
+            is_finished: false,
             is_live: Rc::new(Cell::new(true)),
             executions: ExecutionRecord::default(),
             trace: Trace::default(),
         }
     }
 
-    /// The part of it that the policy needs.
+    /// The description of the request for the policy.
     fn spec(&self, id: RequestId) -> RequestSpec {
         let incoming = &self.incoming;
         let session = incoming.session.as_deref();
@@ -88,7 +91,7 @@
         }
     }
 
-    /// The attempt in flight whose response has not begun.
+    /// The attempt in flight, if its response has not begun to stream.
     pub(super) fn waiting_attempt(&self) -> Option<&AttemptInFlight> {
         self.in_flight
             .as_ref()
@@ -101,7 +104,7 @@
             .filter(|attempt| attempt.is_streaming)
     }
 
-    /// Notes and logs an attempt that is made now.
+    /// Records and logs an attempt that is being sent.
     pub(super) fn record_send(
         &mut self,
         attempt: &AttemptInFlight,
@@ -117,16 +120,17 @@
             endpoint: endpoint.into(),
             prefill_only,
         };
-        self.trace.note(attempt.sent_at, step);
+        self.trace.record(attempt.sent_at, step);
         let is_idempotent = rule.idempotency() == Idempotency::Idempotent;
-        if !is_idempotent && !prefill_only && self.trace.has_tried_before(number) {
+        if !is_idempotent && !prefill_only && self.trace.has_other_effective_attempt(number) {
             tracing::info!(%request_id, trace = %self.trace, "request retried");
         }
     }
 
-    /// Its response is in flight, and no rejection waits for that to end.
-    fn expects_stream(&self) -> bool {
-        !self.is_over && self.pending_rejection.is_none()
+    /// Whether a stream may be passed to the client: the request has no final response, and no
+    /// rejection is pending.
+    fn accepts_stream(&self) -> bool {
+        !self.is_finished && self.pending_rejection.is_none()
     }
 }
 
@@ -137,7 +141,8 @@
         incoming: IncomingRequest,
         responder: Responder,
     ) {
-        // What endpoints hold is held by the id on the wire, so two requests must not share one.
+        // Endpoints hold state under the request id on the wire, so two open requests must not have
+        // the same one.
         let is_duplicate = self
             .requests
             .values()
@@ -163,21 +168,21 @@
             "request arrived"
         );
         self.requests.insert(id, request);
-        self.note(id, Step::Arrived { time_to_first_byte });
-        self.decide(Event::RequestArrived(spec));
+        self.record_step(id, Step::Arrived { time_to_first_byte });
+        self.handle_policy_event(Event::RequestArrived(spec));
     }
 
     pub(super) fn client_disconnected(&mut self, id: RequestId) {
         if self
             .requests
             .get(&id)
-            .is_some_and(|request| !request.is_over)
+            .is_some_and(|request| !request.is_finished)
         {
-            self.note(id, Step::ClientDisconnected);
+            self.record_step(id, Step::ClientDisconnected);
             self.finish(id, None);
-            self.decide(Event::ClientDisconnected(id));
+            self.handle_policy_event(Event::ClientDisconnected(id));
         }
-        self.forget_if_done(id);
+        self.remove_if_done(id);
     }
 
     pub(super) fn stream_started(
@@ -189,7 +194,7 @@
         let now = self.clock.now();
         let (id, number) = (attempt.request, attempt.number);
         let request = self.requests.get_mut(&id);
-        let Some(request) = request.filter(|request| request.expects_stream()) else {
+        let Some(request) = request.filter(|request| request.accepts_stream()) else {
             return;
         };
         let in_flight = request.in_flight.as_mut();
@@ -201,15 +206,15 @@
         let elapsed = now - attempt.sent_at;
         request
             .trace
-            .note(now, Step::StreamStarted { attempt: number });
-        // Nothing further is sent for it: its body is dropped while the response streams.
+            .record(now, Step::StreamStarted { attempt: number });
+        // The request is not sent again, so its body need not be kept while the response streams.
         request.incoming.message = Rc::default();
         let request_id = &request.incoming.request_id;
         tracing::debug!(%request_id, attempt = number, elapsed_us = elapsed, "stream started");
         if let Some(responder) = request.responder.take() {
             responder.respond(FinalResponse::Streaming { media_type, body });
         }
-        self.decide(Event::StreamStarted {
+        self.handle_policy_event(Event::StreamStarted {
             id,
             attempt: number,
             endpoint,
@@ -233,7 +238,7 @@
             load,
             wire,
         } = report;
-        request.trace.note(
+        request.trace.record(
             now,
             Step::AttemptEnded {
                 attempt: number,
@@ -266,8 +271,8 @@
                 "attempt ended"
             );
         }
-        let client_done = request.is_none_or(|request| request.is_over);
-        self.decide(Event::AttemptEnded {
+        let client_done = request.is_none_or(|request| request.is_finished);
+        self.handle_policy_event(Event::AttemptEnded {
             id,
             attempt: number,
             endpoint: attempt.endpoint,
@@ -278,23 +283,27 @@
         });
     }
 
-    /// Ends a request: the only place that does. `None` where its client has the whole response or
-    /// is gone.
+    /// Ends a request; no other function does. The response is `None` if the client already has its
+    /// response or has disconnected.
     pub(super) fn finish(&mut self, id: RequestId, response: Option<FinalResponse>) {
         let now = self.clock.now();
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.is_over = true;
+        request.is_finished = true;
         request.is_live.set(false);
         let name = response.as_ref().map_or("none", FinalResponse::name);
-        request.trace.note(now, Step::Responded { response: name });
+        request
+            .trace
+            .record(now, Step::Responded { response: name });
         let request_id = &request.incoming.request_id;
         let elapsed = now - request.arrived_at;
         tracing::debug!(%request_id, ?response, elapsed_us = elapsed, "request ended");
         let rule = RetryRule::of(self.settings.classes.get(request.incoming.class.0));
         let is_rejected = matches!(response, Some(FinalResponse::Rejected(_)));
-        if is_rejected && rule.idempotency() != Idempotency::Idempotent && request.trace.has_tried()
+        if is_rejected
+            && rule.idempotency() != Idempotency::Idempotent
+            && request.trace.has_effective_attempt()
         {
             tracing::info!(%request_id, trace = %request.trace, "request rejected after an attempt");
         }
@@ -303,16 +312,16 @@
         }
     }
 
-    /// Drops the record of a request that is over and has no attempt in flight.
-    pub(super) fn forget_if_done(&mut self, id: RequestId) {
+    /// Removes the record of a request that has ended and has no attempt in flight.
+    pub(super) fn remove_if_done(&mut self, id: RequestId) {
         let request = self.requests.get(&id);
-        if request.is_some_and(|request| request.is_over && request.in_flight.is_none()) {
+        if request.is_some_and(|request| request.is_finished && request.in_flight.is_none()) {
             self.requests.remove(&id);
         }
     }
 }
 
-/// Whether an outcome shows that the endpoint can be reached.
+/// Whether an outcome means that the endpoint responded, so that it can be reached.
 fn has_responded(outcome: Outcome) -> bool {
     matches!(
         outcome,
--- a/crates/router/src/core/timers.rs
+++ b/crates/router/src/core/timers.rs
@@ -11,7 +11,7 @@
     key: TimerKey,
 }
 
-/// Timers in the order of their times, then of their keys.
+/// The pending timers, ordered by their times and then by their keys.
 #[derive(Debug, Default)]
 pub(super) struct TimerQueue(BinaryHeap<Reverse<Timer>>);
 
@@ -20,12 +20,12 @@
         self.0.push(Reverse(Timer { at, key }));
     }
 
-    /// When the next timer is due.
+    /// The time at which the next timer is due.
     pub(super) fn next(&self) -> Option<Micros> {
         self.0.peek().map(|Reverse(timer)| timer.at)
     }
 
-    /// Takes out the next timer if it is due.
+    /// Removes the next timer and returns its key, if it is due.
     pub(super) fn pop_due(&mut self, now: Micros) -> Option<TimerKey> {
         if self.next()? > now {
             return None;
--- a/crates/router/tests/core/harness.rs
+++ b/crates/router/tests/core/harness.rs
@@ -1,4 +1,4 @@
-//! A core with an upstream that records its calls.
+//! A core whose upstream only records the calls that it gets.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -22,34 +22,35 @@
     Cancel(AttemptId),
     ReserveSlot(String),
     Release(String),
-    Closed(EndpointId),
+    CloseIdle(EndpointId),
 }
 
 #[derive(Clone, Default)]
 pub(crate) struct RecordingOutbound {
     pub(crate) calls: Rc<RefCell<Vec<Call>>>,
-    pub(crate) panics: Rc<Cell<bool>>,
-    /// By when the latest attempt must have a connection.
+    /// Makes the next attempt panic.
+    pub(crate) panics_on_next_send: Rc<Cell<bool>>,
+    /// The time by which the latest attempt must have a connection.
     pub(crate) write_by: Rc<Cell<Option<Instant>>>,
     /// Whether the request of the latest attempt still needs a response.
     pub(crate) is_live: Rc<RefCell<Rc<Cell<bool>>>>,
-    /// The endpoints through which state was released last, in the order in which they are tried.
-    pub(crate) through: Rc<RefCell<Vec<String>>>,
+    /// The endpoints of the latest release of state, in the order in which they are to be tried.
+    pub(crate) release_endpoints: Rc<RefCell<Vec<String>>>,
 }
 
 impl RecordingOutbound {
-    pub(crate) fn record(&self, calls: Call) {
-        self.calls.borrow_mut().push(calls);
+    pub(crate) fn record(&self, call: Call) {
+        self.calls.borrow_mut().push(call);
     }
 
-    pub(crate) fn take(&self) -> Vec<Call> {
+    pub(crate) fn take_calls(&self) -> Vec<Call> {
         self.calls.take()
     }
 }
 
 impl Outbound for RecordingOutbound {
     fn send(&mut self, spec: AttemptSpec) {
-        assert!(!self.panics.take(), "a panic on purpose");
+        assert!(!self.panics_on_next_send.take(), "an intentional panic");
         self.write_by.set(Some(spec.write_by));
         self.is_live.replace(spec.is_live.clone());
         self.record(Call::Send(spec.attempt, spec.endpoint.name.clone()));
@@ -66,7 +67,7 @@
         request_id: Rc<str>,
         endpoints: Vec<Rc<Endpoint>>,
     ) {
-        self.through.replace(
+        self.release_endpoints.replace(
             endpoints
                 .iter()
                 .map(|endpoint| endpoint.name.clone())
@@ -76,7 +77,7 @@
     }
     fn health_check(&mut self, _endpoint: Rc<Endpoint>) {}
     fn close_idle(&mut self, endpoint: EndpointId) {
-        self.record(Call::Closed(endpoint));
+        self.record(Call::CloseIdle(endpoint));
     }
     fn gossip(&mut self, _to: Option<u32>, _payload: Vec<u8>) {}
 }
@@ -102,15 +103,15 @@
 }
 
 impl CoreHarness {
-    pub(crate) fn new(effect: Idempotency) -> CoreHarness {
+    pub(crate) fn new(class_idempotency: Idempotency) -> CoreHarness {
         let settings = Settings {
             classes: vec![Class {
-                idempotency: effect,
+                idempotency: class_idempotency,
                 ..Class::default()
             }],
             kinds: [Role::Prefill, Role::Decode]
-                .map(|s| Kind {
-                    role: Some(s),
+                .map(|role| Kind {
+                    role: Some(role),
                     memory_tokens: None,
                 })
                 .to_vec(),
@@ -139,7 +140,8 @@
         }
     }
 
-    pub(crate) fn drain(&mut self) {
+    /// Handles the events that were sent through the handle.
+    pub(crate) fn handle_pending_events(&mut self) {
         while let Ok(event) = self.events.try_recv() {
             self.core.handle(event);
         }
@@ -147,36 +149,37 @@
 
     pub(crate) fn submit(&mut self) -> ResponseHandle {
         let response = submit(&self.handle, "q");
-        self.drain();
+        self.handle_pending_events();
         response
     }
 
     pub(crate) fn end_attempt(&mut self, number: u32, outcome: Outcome) {
         self.core.handle(CoreEvent::AttemptEnded {
-            attempt: attempt(number),
+            attempt: attempt_id(number),
             report: AttemptReport::from(outcome),
         });
     }
 
-    /// A prompt that has been processed: the attempt at the decode endpoint is in flight.
-    pub(crate) fn prefill(&mut self) -> ResponseHandle {
+    /// Submits a request and ends its prefill, so that its attempt at the decode endpoint is in
+    /// flight.
+    pub(crate) fn submit_and_prefill(&mut self) -> ResponseHandle {
         let response = self.submit();
         self.end_attempt(0, Outcome::Prefilled { cached_tokens: 0 });
         assert_eq!(
-            self.outbound.take(),
+            self.outbound.take_calls(),
             [
-                Call::Send(attempt(0), "prefill".to_owned()),
+                Call::Send(attempt_id(0), "prefill".to_owned()),
                 Call::ReserveSlot("decode".to_owned()),
-                Call::Send(attempt(1), "decode".to_owned())
+                Call::Send(attempt_id(1), "decode".to_owned())
             ]
         );
         response
     }
 
-    pub(crate) fn answer_reservation(&mut self, reservation: SlotReservation) {
+    pub(crate) fn end_reservation(&mut self, reservation: SlotReservation) {
         let endpoint = Endpoint::new("decode", "127.0.0.1:1".parse().unwrap()).id;
         self.core.handle(CoreEvent::SlotReservationAnswered {
-            prefill_attempt: attempt(0),
+            prefill_attempt: attempt_id(0),
             request_id: "q".into(),
             endpoint,
             reservation,
@@ -184,11 +187,11 @@
     }
 }
 
-pub(crate) fn submit(handle: &Handle, name: &str) -> ResponseHandle {
-    handle.submit(incoming(name))
+pub(crate) fn submit(handle: &Handle, request_id: &str) -> ResponseHandle {
+    handle.submit(incoming_request(request_id))
 }
 
-pub(crate) fn incoming(request_id: &str) -> IncomingRequest {
+pub(crate) fn incoming_request(request_id: &str) -> IncomingRequest {
     IncomingRequest {
         request_id: request_id.into(),
         class: ClassId(0),
@@ -206,7 +209,7 @@
     }
 }
 
-pub(crate) fn attempt(number: u32) -> AttemptId {
+pub(crate) fn attempt_id(number: u32) -> AttemptId {
     AttemptId {
         request: RequestId(0),
         number,
