--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router between the fake servers of the test kit, for the network tests.
+//! A router under test, with the fake servers of the test kit, for the integration tests.
 #![allow(dead_code, unused_imports, unreachable_pub)]
 
 use std::net::SocketAddr;
@@ -16,25 +16,26 @@
 
 /// A router under test.
 pub struct TestRouter {
-    /// The discovery service that it watches.
+    /// The discovery service that the router watches.
     pub discovery: Rc<FakeDiscovery>,
-    /// Changes the address of discovery.
+    /// Changes the address at which the router reaches the discovery service.
     pub discovery_address: watch::Sender<SocketAddr>,
-    /// The address of its platform API.
+    /// The address of the router's platform API.
     pub platform: SocketAddr,
-    /// The address of its inference API.
+    /// The address of the router's inference API.
     pub inference: SocketAddr,
-    /// The address of its control service.
+    /// The address of the router's control service.
     pub control: SocketAddr,
-    /// Starts its shutdown.
+    /// Starts the router's shutdown.
     pub stop: Option<oneshot::Sender<()>>,
-    /// Ends with the router.
+    /// The router's task, which ends when the router has shut down.
     pub stopped: tokio::task::JoinHandle<()>,
 }
 
 const SHIPPED_FILE: &str = include_str!("../../../../deploy/inference.toml");
 
-/// The file of the inference API for most tests: small slices, and any name of a model is valid.
+/// The inference API's file for most tests: the shipped file with smaller slices, without models
+/// (so that any model name is valid), and with these edits.
 pub fn inference_file(edits: &[(&str, &str)]) -> String {
     let file = SHIPPED_FILE
         .replace("slice_tokens = 2048", "slice_tokens = 256")
@@ -45,13 +46,13 @@
         .unwrap_or_default()
         .to_owned();
     for (from, to) in edits {
-        assert!(file.contains(from), "{from}");
+        assert!(file.contains(from), "the file does not contain {from:?}");
         file = file.replace(from, to);
     }
     file
 }
 
-/// The configuration file of a router that watches this discovery service.
+/// The configuration file of a router that watches the discovery service at this address.
 pub fn config_file(discovery: SocketAddr, settings: Value) -> Value {
     json!({
         "name": "r0",
@@ -64,27 +65,27 @@
 }
 
 impl TestRouter {
-    /// A router on both APIs, ready for requests, with these entries of the endpoint list.
+    /// Starts a router with these endpoint list entries, and waits until it is ready for requests.
     pub async fn start(entries: Vec<Value>) -> TestRouter {
         TestRouter::start_with_tenants(entries, None).await
     }
 
-    /// With tenants.
+    /// Starts a router with these tenants.
     pub async fn start_with_tenants(entries: Vec<Value>, tenants: Option<Tenants>) -> TestRouter {
         TestRouter::start_with_file(entries, tenants, settings(), &inference_file(&[])).await
     }
 
-    /// With these settings of the site.
+    /// Starts a router with these settings.
     pub async fn start_with_settings(entries: Vec<Value>, settings: Value) -> TestRouter {
         TestRouter::start_with_file(entries, None, settings, &inference_file(&[])).await
     }
 
-    /// With edits of the file of the inference API.
+    /// Starts a router with the inference API's file for most tests and these edits to it.
     pub async fn start_with_edits(entries: Vec<Value>, edits: &[(&str, &str)]) -> TestRouter {
         TestRouter::start_with_file(entries, None, settings(), &inference_file(edits)).await
     }
 
-    /// With the file of the inference API as it is shipped.
+    /// Starts a router with the shipped file of the inference API.
     pub async fn start_shipped(entries: Vec<Value>) -> TestRouter {
         TestRouter::start_with_file(entries, None, settings(), SHIPPED_FILE).await
     }
--- a/crates/router/tests/races.rs
+++ b/crates/router/tests/races.rs
@@ -1,5 +1,6 @@
-//! Races: two events in the order that is rare in operation, made to happen every time. Servers and
-//! clients here do each step when the test says so. `docs/design/races.md` lists the races.
+//! Tests of races: two events that in operation rarely happen in this order. The tests drive each
+//! step of the servers and clients, so that the rare order happens every time.
+//! `docs/design/races.md` lists the races.
 
 mod common;
 
@@ -15,27 +16,27 @@
 use tokio::task::spawn_local;
 use tokio::time::{timeout, Instant};
 
-/// Settings without slot reservations and health checks: each connection to a server carries an
-/// attempt.
-fn plain_settings() -> Value {
+/// Settings without slot reservations and health checks, so that each connection to a server
+/// carries an attempt.
+fn settings_for_attempts_only() -> Value {
     let mut settings = settings();
     settings["domain"]["ahead"] = false.into();
     settings
 }
 
-/// A router with one endpoint for both prefill and decode.
+/// Starts a router with one endpoint for both prefill and decode.
 async fn router_with_mixed_server() -> (ManualServer, TestRouter) {
     let server = ManualServer::start().await;
     let router = TestRouter::start_with_settings(
         vec![server.endpoint_entry("mixed", "up")],
-        plain_settings(),
+        settings_for_attempts_only(),
     )
     .await;
     (server, router)
 }
 
-/// A request as a client of the platform API sends it; `headers` are further lines, each with its
-/// end.
+/// Returns a request of the platform API in wire format. `headers` are further header lines, each
+/// with its line end.
 fn request(id: &str, class: &str, headers: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -45,7 +46,8 @@
     )
 }
 
-/// A client that has sent a request, and the attempt for it at the server.
+/// Sends a request through the router. Returns the client's connection, and the server's connection
+/// that carries the attempt.
 async fn send_request(
     router: &TestRouter,
     server: &ManualServer,
@@ -57,7 +59,7 @@
     (client, attempt)
 }
 
-/// Servers deduplicate retries by a header that the router does not know.
+/// Endpoints may deduplicate retries by a header that the router does not know.
 #[test]
 fn headers_meant_for_the_endpoint_are_forwarded_by_both_apis() {
     run(async {
@@ -96,14 +98,15 @@
     });
 }
 
-/// 5 s after the last event a request counts as lost, whether or not clients may resume the stream
-/// elsewhere. Until then a slow endpoint may go on.
+/// A request counts as lost 5 s after the last event, whether or not clients may resume the stream
+/// at another router. The router must end an idle stream before that, but not the stream of an
+/// endpoint that is merely slow.
 #[test]
 fn an_idle_stream_is_ended_before_its_client_has_waited_for_five_seconds() {
     for resume in [false, true] {
         run_paused(async {
             let server = ManualServer::start().await;
-            let mut settings = plain_settings();
+            let mut settings = settings_for_attempts_only();
             settings["domain"]["resume"] = resume.into();
             let router = TestRouter::start_with_settings(
                 vec![server.endpoint_entry("mixed", "up")],
@@ -128,18 +131,19 @@
     }
 }
 
-/// More than the router reads ahead, and more than the system keeps unread.
-const FLOOD: usize = 512 * 1024;
+/// More bytes than the router reads ahead and the system buffers.
+const FLOOD_BYTES: usize = 512 * 1024;
 
-/// A close over unread bytes would reset the connection, and the client would lose the response.
+/// If the router closed a connection with unread bytes, the connection would be reset and the
+/// client would lose the response.
 #[test]
-fn a_response_arrives_completely_though_its_client_has_sent_more_than_is_read() {
+fn a_response_arrives_completely_although_the_router_has_not_read_all_that_its_client_sent() {
     run(async {
         let (server, router) = router_with_mixed_server().await;
         let (mut client, mut attempt) = send_request(&router, &server, "c1").await;
         let mut sender = client.sender();
         let flood = spawn_local(async move {
-            sender.send_until_closed(&"x".repeat(FLOOD)).await;
+            sender.send_until_closed(&"x".repeat(FLOOD_BYTES)).await;
             // A client that closes its sending side counts as disconnected.
             std::future::pending::<()>().await;
         });
@@ -149,7 +153,8 @@
         client.read_until(EVENT).await;
         attempt.send(&format!("{}{LAST_CHUNK}", chunk(DONE))).await;
         let (rest, end) = client.read_to_end().await;
-        // What the client sent ahead may be answered too: it is no request.
+        // The bytes that the client sent ahead are not a valid request, and the router may respond
+        // to them as well.
         assert!(rest.contains(&format!("\r\n{LAST_CHUNK}")), "{rest:?}");
         assert_eq!(end, ConnectionEnd::Closed);
         flood.abort();
@@ -167,7 +172,8 @@
         client
             .send(&request("c3", "order", "", &"x".repeat(200_000)))
             .await;
-        // Once it has answered another client, the router has read ahead.
+        // Once the router has responded to another client, it has read the first client's bytes
+        // ahead.
         let mut other = ManualConnection::connect(router.platform).await;
         other.send("GET /up HTTP/1.1\r\nhost: app\r\n\r\n").await;
         other.read_until("ready").await;
@@ -182,21 +188,25 @@
     });
 }
 
-/// The client's close is queued behind bytes that nobody reads.
+/// The router can see that the client has disconnected only behind bytes that it does not read.
 #[test]
-fn the_attempt_of_a_client_that_sends_much_and_disconnects_is_cancelled() {
+fn the_attempt_is_cancelled_when_a_client_disconnects_after_sending_many_unread_bytes() {
     run(async {
         let (server, router) = router_with_mixed_server().await;
         let (mut client, mut attempt) = send_request(&router, &server, "d1").await;
-        client.sender().send_until_closed(&"x".repeat(FLOOD)).await;
+        client
+            .sender()
+            .send_until_closed(&"x".repeat(FLOOD_BYTES))
+            .await;
         drop(client);
         timeout(Duration::from_secs(2), attempt.read_to_end())
             .await
-            .expect("the attempt is cancelled long before its deadline");
+            .expect("the attempt was not cancelled within 2 s of the disconnect");
     });
 }
 
-/// Its client is notified by a close, not by a reset.
+/// The client must see an orderly close and not a reset, so that it knows that its request was not
+/// accepted.
 #[test]
 fn a_request_that_is_incomplete_when_connections_are_closed_is_not_accepted() {
     run_paused(async {
@@ -220,7 +230,7 @@
     });
 }
 
-/// Its client sees an orderly close where it is not accepted.
+/// If the request is not accepted, its client must see an orderly close and not a reset.
 #[test]
 fn a_request_on_an_idle_connection_at_the_shutdown_is_answered_or_not_accepted() {
     run(async {
@@ -263,8 +273,8 @@
     });
 }
 
-/// While the client reads nothing, nothing is read from the endpoint, whose chunk then does not go
-/// on: that is no stall.
+/// While the client reads nothing, the router reads nothing from the endpoint, and the current
+/// chunk makes no progress. The router must not take that for a stalled endpoint.
 #[test]
 fn a_client_that_reads_nothing_for_a_while_receives_its_complete_stream() {
     run(async {
@@ -286,14 +296,14 @@
         tokio::time::sleep(Duration::from_millis(1_300)).await;
         assert!(
             !sending.is_finished(),
-            "the endpoint is slowed by backpressure"
+            "backpressure did not slow the endpoint down"
         );
         let received = client.read_until(&format!("\r\n{LAST_CHUNK}")).await;
         assert_eq!(received.matches('x').count(), CHUNKS * data.len());
     });
 }
 
-/// Events may end with any form of line end.
+/// An event may end with each of the three forms of line end.
 #[test]
 fn the_first_event_is_forwarded_whichever_line_ends_it_has() {
     for end in ["\n\n", "\r\n\r\n", "\r\r"] {
@@ -310,11 +320,11 @@
 }
 
 #[test]
-fn the_router_ends_after_the_kv_state_of_its_last_request_is_released() {
+fn the_router_stops_only_after_the_kv_state_of_its_last_request_is_released() {
     run(async {
         let prefill_server = ManualServer::start().await;
         let decode_server = ManualServer::start().await;
-        let mut settings = plain_settings();
+        let mut settings = settings_for_attempts_only();
         settings["classes"][3]["deadline_us"] = 1_000_000.into();
         let entries = vec![
             prefill_server.endpoint_entry("reader", "up"),
@@ -325,12 +335,12 @@
         client.send(&request("j1", "order", "", "{}")).await;
         let (mut prefill, _) = prefill_server.accept_request().await;
         router.stop.take().unwrap().send(()).unwrap();
-        // After the last connection was accepted, the prefill succeeds and the decode fails: the
-        // last response is sent at once.
+        // The prefill succeeds and the decode fails once the router accepts no connections any
+        // more, so that the last response is sent at once.
         tokio::time::sleep(shutdown::ACCEPT_SPAN + Duration::from_millis(100)).await;
         prefill.send(PREFILL_RESPONSE).await;
         let (decode, _) = decode_server.accept_request().await;
-        // The idle connection to the prefill server can be used again by then.
+        // Gives the router time to make the idle connection to the prefill server available again.
         tokio::time::sleep(Duration::from_millis(50)).await;
         decode.reset();
         client.read_until("HTTP/1.1 502 ").await;
@@ -341,16 +351,20 @@
             "{release}"
         );
         let ended = timeout(Duration::from_millis(100), &mut router.stopped).await;
-        assert!(ended.is_err(), "the router waits for the release");
+        assert!(
+            ended.is_err(),
+            "the router stopped before the release was answered"
+        );
         prefill.send("HTTP/1.1 204 No Content\r\n\r\n").await;
         router.stopped.await.unwrap();
     });
 }
 
-/// Attempts and responses use different connections, so that what was sent first may arrive last:
-/// an attempt must not be in flight any more when its request is rejected.
+/// The router cancels an attempt on one connection and sends the rejection on another, so the
+/// client may receive the rejection first and try again. No attempt must be in flight when a
+/// request is rejected.
 #[test]
-fn a_rejection_does_not_overtake_the_end_of_the_abandoned_attempt() {
+fn a_rejection_is_sent_only_after_the_abandoned_attempt_has_ended() {
     run(async {
         let prefill_server = ManualServer::start().await;
         let decode_server = ManualServer::start().await;
@@ -358,7 +372,7 @@
             prefill_server.endpoint_entry("reader", "up"),
             decode_server.endpoint_entry("writer", "up"),
         ];
-        let router = TestRouter::start_with_settings(entries, plain_settings()).await;
+        let router = TestRouter::start_with_settings(entries, settings_for_attempts_only()).await;
         let mut client = ManualConnection::connect(router.platform).await;
         let short_deadline = request("a1", "order", "", "{}").replace("5000", "300");
         client.send(&short_deadline).await;
@@ -366,26 +380,26 @@
         assert_eq!(attempt.read_to_end().await.1, ConnectionEnd::Closed);
         assert!(
             !client.has_received(),
-            "the rejection was written before the endpoint had seen the end"
+            "the rejection was written before the endpoint had seen the end of the attempt"
         );
         drop(attempt);
         client.read_until("HTTP/1.1 503").await;
     });
 }
 
-/// An idle connection is evicted in the moment in which its client sends a request: a request that
-/// has been read must be answered.
+/// An idle connection may be evicted at the moment when its client sends a request. A request that
+/// the router has read must be answered.
 #[test]
-fn a_request_on_a_connection_that_was_to_be_evicted_is_answered() {
+fn a_request_on_a_connection_that_is_about_to_be_evicted_is_answered() {
     run(async {
         let server = FakeServer::start(8, Behaviour::Answer).await;
         let router = TestRouter::start_with_settings(
             vec![endpoint_entry(&server, "mixed", "up")],
-            plain_settings(),
+            settings_for_attempts_only(),
         )
         .await;
-        // Each API has eight connections here; one more evicts the one that has been idle for
-        // longest.
+        // Each API may have eight connections with these settings. When that limit is reached, the
+        // router evicts the connection that has been idle for the longest time.
         let mut clients = Vec::new();
         for _ in 0..7 {
             clients.push(ManualConnection::connect(router.platform).await);
