--- a/crates/router/src/core/dispatch.rs
+++ b/crates/router/src/core/dispatch.rs
@@ -13,7 +13,7 @@
 use super::Core;
 use crate::exchange::FinalResponse;
 
-/// The value by which an action of the policy says that a point in time is not limited.
+/// The value of a time limit in the policy's actions that means that there is no limit.
 const NO_LIMIT: Micros = 0;
 
 impl<O: Outbound> Core<O> {
--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -73,7 +73,8 @@
     NotEncodable,
     /// The endpoint responded with this status.
     Responded(u16),
-    /// The connection broke before the response's head, in its body, or before its first event.
+    /// The connection broke before the response's head arrived, within the body of a response that
+    /// does not stream, or before the first event of a stream.
     ConnectionBroken,
     /// A response began, but no more of it arrived.
     Stalled,
@@ -254,9 +255,9 @@
     pub request_id: Rc<str>,
     /// The endpoint to which the request is sent.
     pub endpoint: Rc<Endpoint>,
-    /// When the attempt is abandoned, unless its response has begun.
+    /// The time at which the attempt is abandoned unless its response has begun.
     pub expires_at: Instant,
-    /// When the attempt is abandoned, unless it has a connection.
+    /// The time at which the attempt is abandoned unless it has a connection.
     pub write_by: Instant,
     /// Whether the request still needs a response.
     pub is_live: Rc<Cell<bool>>,
@@ -270,8 +271,8 @@
     pub message: Rc<Message>,
 }
 
-/// The operations that the core has carried out by other parts of the router. No method may block:
-/// each starts its operation, and results are reported as events.
+/// The operations that other parts of the router carry out for the core. No method may block: each
+/// starts its operation, and the result is reported as an event.
 pub trait Outbound {
     /// Starts an attempt.
     fn send(&mut self, spec: AttemptSpec);
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -1,7 +1,7 @@
 //! The channels for responses between the frontends, the core and the upstream.
 //!
 //! An exchange carries the final response of one request: a frontend waits for the
-//! [`FinalResponse`] at its [`ResponseHandle`], and the core gives it through the [`Responder`].
+//! [`FinalResponse`] at its [`ResponseHandle`], and the core sends it through the [`Responder`].
 //! The body of a response that streams has its own channel: the upstream writes data to a
 //! [`BodySender`], and the frontend reads it from a [`BodyStream`]. The frontends and the upstream
 //! do not depend on each other.
@@ -81,7 +81,7 @@
 /// The core's half of an exchange.
 pub struct Responder(oneshot::Sender<FinalResponse>);
 
-/// Reports when it is dropped that the client has disconnected. No other type reports that.
+/// A guard that reports on its drop that the client has disconnected. Nothing else reports that.
 pub struct DisconnectGuard(Option<Box<dyn FnOnce()>>);
 
 /// Opens an exchange. `on_disconnect` runs when the frontend's [`DisconnectGuard`] is dropped.
@@ -106,8 +106,7 @@
 }
 
 impl Responder {
-    /// Gives the final response. This consumes the responder, so that there can be only one
-    /// response.
+    /// Sends the final response. This consumes the responder, so there can be only one response.
     pub fn respond(self, response: FinalResponse) {
         // The frontend may have dropped its half, which has reported the disconnect to the core.
         let _ = self.0.send(response);
--- a/crates/router/tests/core.rs
+++ b/crates/router/tests/core.rs
@@ -238,8 +238,8 @@
     assert_eq!(harness.outbound.release_endpoints.borrow().len(), 22);
 }
 
-/// Reports of the attempt's end and timers after the start of the stream must not lead to a second
-/// response or another attempt.
+/// The end of the attempt and timers that are due after the start of the stream must not lead to a
+/// second response or another attempt.
 #[tokio::test(start_paused = true)]
 async fn a_request_whose_response_has_begun_gets_no_other_response() {
     let mut harness = CoreHarness::new(Idempotency::Idempotent);
--- a/crates/router/tests/races.rs
+++ b/crates/router/tests/races.rs
@@ -59,7 +59,7 @@
     (client, attempt)
 }
 
-/// Endpoints may deduplicate retries by a header that the router does not know.
+/// Endpoints deduplicate retries by a header that the router does not know.
 #[test]
 fn headers_meant_for_the_endpoint_are_forwarded_by_both_apis() {
     run(async {
@@ -188,7 +188,8 @@
     });
 }
 
-/// The router can see that the client has disconnected only behind bytes that it does not read.
+/// The end of the client's connection arrives behind bytes that the router does not read, and the
+/// router must detect it all the same.
 #[test]
 fn the_attempt_is_cancelled_when_a_client_disconnects_after_sending_many_unread_bytes() {
     run(async {
