--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: watches the endpoint list and passes its updates on to the core.
+//! Discovery client: watches the endpoint list and sends its updates to the core.
 
 mod client;
 mod list;
--- a/crates/router/src/discovery/client.rs
+++ b/crates/router/src/discovery/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client of the discovery service: one connection, and one call of it.
+//! HTTP client for the discovery service: a connection, and single calls over it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,33 +17,33 @@
 use super::schedule::{CONNECT_TIMEOUT, RESPONSE_TIMEOUT, WATCH_GRACE};
 use crate::socket::Socket;
 
-/// The most bytes of an endpoint list.
+/// Maximum size of an endpoint list, in bytes.
 const LIST_BYTES_LIMIT: usize = 4 * 1024 * 1024;
 
-/// Why a call of discovery failed.
+/// Why a call to discovery failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(super) enum CallError {
-    /// No response came in time: the connection is broken, or discovery is down.
-    #[error("no response in time")]
+    /// No response arrived in time: the connection is broken, or discovery is down.
+    #[error("discovery did not respond in time")]
     TimedOut,
-    /// The service rejected it: it is overloaded.
-    #[error("rejected")]
+    /// The service rejected the call because it is overloaded.
+    #[error("discovery rejected the call")]
     Rejected,
-    /// There was no connection, or the response is no endpoint list.
-    #[error("not reached")]
+    /// The connection failed, or the response is not an endpoint list.
+    #[error("discovery cannot be reached, or its response is not an endpoint list")]
     Unreachable,
 }
 
-/// A call of the discovery service.
+/// A request for the endpoint list or its changes.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ListRequest {
-    /// Asks for the changes since this version; for the complete list without one.
+    /// The version whose later changes are requested; `None` requests the complete list.
     pub(super) since_version: Option<u64>,
-    /// For how long the service may wait for a change.
+    /// How long the service may hold back its response while there is no change (long poll).
     pub(super) hold: Duration,
 }
 
-/// A connection to the discovery service. Dropping it closes it.
+/// A connection to the discovery service. It is closed when it is dropped.
 pub(super) struct DiscoveryConnection {
     sender: SendRequest<Empty<Bytes>>,
     driver: JoinHandle<()>,
@@ -56,26 +56,26 @@
 }
 
 impl DiscoveryConnection {
-    /// Connects to the service.
+    /// Opens a connection to the discovery service at `address`.
     pub(super) async fn connect(address: SocketAddr) -> std::io::Result<DiscoveryConnection> {
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
         DiscoveryConnection::start(Socket::from(stream)).await
     }
 
-    /// Starts HTTP over a stream.
+    /// Starts an HTTP/1 connection over an open stream.
     pub(super) async fn start(
         stream: impl AsyncRead + AsyncWrite + Unpin + 'static,
     ) -> std::io::Result<DiscoveryConnection> {
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(std::io::Error::other)?;
-        // How the connection ends is seen by the call that it carries.
+        // The result of the connection is dropped: the call in flight receives its error.
         let driver = tokio::task::spawn_local(async move { drop(connection.await) });
         Ok(DiscoveryConnection { sender, driver })
     }
 
-    /// Asks for the endpoint list, or its changes. After a failure a new connection is needed.
+    /// Fetches the endpoint list or its changes. A connection cannot be used again after a failure.
     pub(super) async fn fetch(&mut self, request: ListRequest) -> Result<EndpointList, CallError> {
         let started = Instant::now();
         let response = timeout(request.timeout(), self.exchange(request)).await;
@@ -95,7 +95,7 @@
             return Err(CallError::Rejected);
         }
         serde_json::from_slice(&body).map_err(|error| {
-            tracing::warn!(%error, "endpoint list cannot be decoded");
+            tracing::warn!(%error, "response of discovery is not a valid endpoint list");
             CallError::Unreachable
         })
     }
--- a/crates/router/src/discovery/list.rs
+++ b/crates/router/src/discovery/list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery sends it, and its translation into the core's terms.
+//! Decodes the endpoint list that discovery sends and converts it to the core's types.
 
 use std::net::SocketAddr;
 
@@ -8,21 +8,20 @@
 
 use crate::core::EndpointEntry;
 
-/// The endpoint list, or what has changed in it.
+/// The complete endpoint list, or the entries that have changed.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(from = "RawList")]
 pub struct EndpointList {
-    /// Its version.
+    /// Version of the list.
     pub version: u64,
-    /// It is complete: an endpoint without an entry has been removed.
+    /// Whether the list is complete, so that an endpoint without an entry has been removed.
     pub is_snapshot: bool,
     entries: Vec<ListEntry>,
-    /// The names of endpoints that drain or are removed by entries of which nothing else can be
-    /// decoded.
+    /// Names of draining or removed endpoints whose entries cannot be decoded otherwise.
     undecoded_draining: Vec<String>,
 }
 
-/// The list as it is written.
+/// The endpoint list as it is serialized in JSON.
 #[derive(Deserialize)]
 struct RawList {
     #[serde(rename = "index")]
@@ -33,7 +32,7 @@
     entries: Vec<serde_json::Value>,
 }
 
-/// An entry of the list.
+/// An endpoint's entry in the list.
 #[derive(Debug, Clone, Deserialize)]
 struct ListEntry {
     name: String,
@@ -50,7 +49,7 @@
     started_at_ms: i64,
 }
 
-/// The fields that must be decodable for an entry to say that its endpoint takes no new requests.
+/// The fields that suffice to tell that an endpoint takes no new requests.
 #[derive(Deserialize)]
 struct MinimalEntry {
     name: String,
@@ -70,8 +69,8 @@
 }
 
 impl From<RawList> for EndpointList {
-    /// Keeps the entries that can be decoded. One that cannot must neither invalidate the others
-    /// nor hide that its endpoint drains.
+    /// Keeps the entries that can be decoded. An entry that cannot be decoded must not invalidate
+    /// the others, and must not hide that its endpoint is draining.
     fn from(raw: RawList) -> EndpointList {
         let mut list = EndpointList {
             version: raw.version,
@@ -94,7 +93,7 @@
     }
 }
 
-/// The name in an entry that says that its endpoint takes no new requests.
+/// Returns the endpoint's name if the entry says that it takes no new requests.
 fn draining_name(entry: serde_json::Value) -> Option<String> {
     let entry: MinimalEntry = serde_json::from_value(entry).ok()?;
     if entry.status == Status::Up {
@@ -104,8 +103,8 @@
 }
 
 impl EndpointList {
-    /// The entries in the core's terms. An entry with a zone or kind that the settings do not name
-    /// is ignored, so that one wrong entry does not invalidate the others.
+    /// Returns the entries as the core's type. An entry whose zone or kind is not in the settings is
+    /// ignored, so that one wrong entry does not invalidate the others.
     pub fn entries(&self, site: &SiteSettings) -> Vec<EndpointEntry> {
         self.entries
             .iter()
@@ -113,7 +112,8 @@
             .collect()
     }
 
-    /// The names of endpoints that take no new requests by entries that are ignored otherwise.
+    /// Returns the names of endpoints that take no new requests according to entries that are
+    /// ignored otherwise.
     pub fn draining_names(&self, site: &SiteSettings) -> Vec<String> {
         let mut names = self.undecoded_draining.clone();
         for entry in &self.entries {
@@ -126,12 +126,12 @@
 }
 
 impl ListEntry {
-    /// Whether the settings name its zone and its kind.
+    /// Whether the settings contain the entry's zone and kind.
     fn is_known(&self, site: &SiteSettings) -> bool {
         site.zones.contains(&self.zone) && site.kinds.contains(&self.kind)
     }
 
-    /// The entry in the core's terms, unless the settings do not name its zone or kind.
+    /// Converts the entry to the core's type; `None` if its zone or kind is not in the settings.
     fn resolve(&self, site: &SiteSettings) -> Option<EndpointEntry> {
         let zone = position(&site.zones, &self.zone);
         let kind = position(&site.kinds, &self.kind);
--- a/crates/router/src/discovery/schedule.rs
+++ b/crates/router/src/discovery/schedule.rs
@@ -1,5 +1,6 @@
-//! When discovery is called, and for how long a watch waits. The routers share one service: each
-//! takes its part of what the service can bear, and no wait outlasts [`NOTIFIED_AFTER`].
+//! Decides when a router calls discovery, and how long its watches wait for a change. All routers
+//! share one service, so each limits its calls to its share of the service's capacity. No wait
+//! exceeds [`NOTIFICATION_TIMEOUT`].
 
 use std::time::Duration;
 
@@ -9,53 +10,56 @@
 use super::client::CallError;
 use crate::backoff::Backoff;
 
-/// How long a response may take: an overloaded service serves or rejects what is queued within 2 s.
+/// Timeout of a call without a hold. An overloaded service serves or rejects a queued call within
+/// 2 s.
 pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How much longer than its hold a watch may take. A change counts as observed 2 s after the hold
-/// at the latest, so the watch must have been opened anew by then.
+/// How much longer than its hold a watch may take. Routers are considered notified of a change at
+/// the latest 2 s after the hold, so an unresponsive watch must be replaced before that.
 pub(super) const WATCH_GRACE: Duration = Duration::from_millis(1_800);
-/// How long connecting to discovery may take.
+/// Timeout for connecting to discovery.
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// By then a change counts as observed by all routers, from when discovery had it and could be
-/// reached, whatever failed before. The worst waits together are shorter.
-pub(super) const NOTIFIED_AFTER: Duration = Duration::from_millis(6_000);
+/// Time after which all routers are considered notified of a change, counted from when discovery
+/// has the change and can be reached, whatever failed before. A router's longest possible sequence
+/// of waits is shorter.
+pub(super) const NOTIFICATION_TIMEOUT: Duration = Duration::from_millis(6_000);
 
-/// Bounds of the backoff where there is no connection, or the response is no endpoint list. It is
-/// short, as changes count as observed meanwhile: 250 ms later nothing may be sent to an endpoint
-/// that drains. A service that is down is not burdened by it.
+/// Bounds of the backoff when the connection fails or the response is not an endpoint list. They are
+/// short because the router may meanwhile be considered notified that an endpoint is draining, and
+/// 250 ms later must send nothing to it. Frequent retries do not burden a service that is down.
 const UNREACHABLE_BACKOFF_MIN: Duration = Duration::from_millis(50);
 const UNREACHABLE_BACKOFF_MAX: Duration = Duration::from_millis(200);
-/// The average interval between the retries of all routers after rejections, as far as the bound
-/// below allows: a rejected call may cost the service as much as a served one.
+/// Average interval between the retries of all routers together after rejections, unless
+/// [`REJECTED_BACKOFF_MAX`] enforces a shorter one. Retries are spaced because a rejected call may
+/// cost the service as much as a served one.
 const REJECTED_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// The longest backoff after a rejection: together with a call that is not answered, and the
-/// connections for that call and the next one, it is shorter than [`NOTIFIED_AFTER`].
+/// Maximum backoff after a rejection. The sum of it, a call that times out, and connecting for that
+/// call and for the next one is less than [`NOTIFICATION_TIMEOUT`].
 const REJECTED_BACKOFF_MAX: Duration = Duration::from_millis(2_500);
-/// Bounds of the hold of a watch. It is short, whatever the number of routers, so that a connection
-/// that delivers nothing more is noticed in time; it is longer only after rejections.
+/// Bounds of the hold of a watch. The hold is short whatever the number of routers, so that a broken
+/// connection is detected in time. It is raised above the minimum only after rejections.
 const HOLD_MIN: Duration = Duration::from_millis(2_000);
 const HOLD_MAX: Duration = Duration::from_millis(3_500);
-/// The share of a hold by which it is randomly shortened. A change ends all watches at once; with
-/// equal holds they would be opened together from then on.
+/// Maximum share of a hold by which it is randomly shortened. A change ends the watches of all
+/// routers at once; with equal holds the routers would call at the same moments from then on.
 const HOLD_JITTER: f64 = 0.3;
-/// A served call shortens the hold by this part of its excess over [`HOLD_MIN`].
+/// Each served call reduces the hold's excess over [`HOLD_MIN`] by that excess divided by this.
 const HOLD_DECAY_DIVISOR: u32 = 8;
-/// The span within which the list must be asked for, where the settings name none.
+/// Interval within which the list must be fetched if the settings do not give one.
 const DEFAULT_POLL_INTERVAL: Duration = Duration::from_secs(10);
-/// The number of routers where the settings name none.
+/// Number of routers if the settings do not give one.
 const DEFAULT_ROUTER_COUNT: u32 = 16;
 
 const _: () = assert!(
     REJECTED_BACKOFF_MAX.as_millis()
         + RESPONSE_TIMEOUT.as_millis()
         + 2 * CONNECT_TIMEOUT.as_millis()
-        < NOTIFIED_AFTER.as_millis()
+        < NOTIFICATION_TIMEOUT.as_millis()
         && HOLD_MAX.as_millis() + WATCH_GRACE.as_millis() + CONNECT_TIMEOUT.as_millis()
-            < NOTIFIED_AFTER.as_millis(),
-    "a wait outlasts the span after which a change counts as observed"
+            < NOTIFICATION_TIMEOUT.as_millis(),
+    "the longest waits together must be shorter than NOTIFICATION_TIMEOUT"
 );
 
-/// Decides how often one router calls discovery.
+/// Schedule of one router's calls to discovery.
 pub struct PollSchedule {
     hold: Duration,
     hold_max: Duration,
@@ -65,8 +69,9 @@
 }
 
 impl PollSchedule {
-    /// A schedule for one of `router_count` routers, whose list must be asked for once in
-    /// `poll_interval`; both may be unknown. The routers' seeds must differ.
+    /// Creates the schedule of one of `router_count` routers, each of which must fetch the list at
+    /// least once in `poll_interval`. A default replaces each that is `None`. The routers' seeds must
+    /// differ.
     pub fn new(
         router_count: Option<u32>,
         poll_interval: Option<Duration>,
@@ -75,17 +80,17 @@
         let router_count = router_count
             .filter(|count| *count > 0)
             .unwrap_or(DEFAULT_ROUTER_COUNT);
-        let retry_span = REJECTED_RETRY_INTERVAL.saturating_mul(router_count);
+        let retry_window = REJECTED_RETRY_INTERVAL.saturating_mul(router_count);
         let backoff_max = poll_interval
             .unwrap_or(DEFAULT_POLL_INTERVAL)
             .min(REJECTED_BACKOFF_MAX);
         PollSchedule {
             hold: HOLD_MIN,
-            hold_max: retry_span.clamp(HOLD_MIN, HOLD_MAX),
-            // The delays that are drawn are half of their bound on average.
+            hold_max: retry_window.clamp(HOLD_MIN, HOLD_MAX),
+            // A random delay is half of its bound on average.
             rejected: Backoff::new(
-                (2 * retry_span).min(backoff_max),
-                (4 * retry_span).min(backoff_max),
+                (2 * retry_window).min(backoff_max),
+                (4 * retry_window).min(backoff_max),
                 seed,
             ),
             unreachable: Backoff::new(UNREACHABLE_BACKOFF_MIN, UNREACHABLE_BACKOFF_MAX, seed),
@@ -93,21 +98,22 @@
         }
     }
 
-    /// The hold of the next watch.
+    /// Returns the hold of the next watch, with jitter.
     pub(super) fn next_hold(&mut self) -> Duration {
-        let drawn = f64::from(self.rng.next_u32()) / 2_f64.powi(32);
-        self.hold.mul_f64(1.0 - HOLD_JITTER * drawn)
+        let random_fraction = f64::from(self.rng.next_u32()) / 2_f64.powi(32);
+        self.hold.mul_f64(1.0 - HOLD_JITTER * random_fraction)
     }
 
-    /// Notes that a call was served.
+    /// Records that a call was served.
     pub(super) fn record_success(&mut self) {
         self.rejected.record_success();
         self.unreachable.record_success();
         self.hold -= self.hold.saturating_sub(HOLD_MIN) / HOLD_DECAY_DIVISOR;
     }
 
-    /// Notes that a call failed: the delay before the next one. There is none after a time-out:
-    /// its time has passed already, and changes count as observed whether or not a watch is open.
+    /// Records that a call failed and returns the delay before the next one. There is no delay after
+    /// a timeout: the router has waited already, and it is considered notified of changes whether or
+    /// not a watch is open.
     pub(super) fn record_failure(&mut self, error: CallError) -> Duration {
         match error {
             CallError::TimedOut => Duration::ZERO,
--- a/crates/router/src/discovery/schedule/tests.rs
+++ b/crates/router/src/discovery/schedule/tests.rs
@@ -1,12 +1,12 @@
-//! How often discovery is called.
+//! Tests of how often discovery is called.
 
 use std::collections::VecDeque;
 
 use super::*;
 
-/// A service of fixed capacity, as the platform's protocol has it: calls are queued, fail after 2 s
-/// in the queue, and are rejected at once if the queue is full. A failed call costs as much as a
-/// served one. Times are in seconds.
+/// A simulated service of fixed capacity that behaves as the platform's protocol specifies: calls
+/// are queued, fail after 2 s in the queue, and are rejected at once if the queue is full. A failed
+/// call costs as much as a served one. Times are in seconds.
 struct Service {
     queue: VecDeque<QueuedCall>,
     free_at: f64,
@@ -27,7 +27,7 @@
     const QUEUE_LIMIT: usize = 40;
     const QUEUE_TIMEOUT: f64 = 2.0;
 
-    /// The end of a call that is made now, unless it is rejected.
+    /// Queues a call and returns when and how it ends; `None` if the call is rejected.
     fn call(&mut self, now: f64) -> Option<CallEnd> {
         while self.queue.front().is_some_and(|call| call.done_at <= now) {
             self.queue.pop_front();
@@ -46,21 +46,21 @@
     }
 }
 
-/// A call that a router will make.
+/// A router's next call.
 struct PlannedCall {
     at: f64,
     router: usize,
 }
 
-/// What became of routers that all started at once.
+/// The result of starting many routers at once.
 struct SimultaneousStart {
     calls: usize,
-    /// When the last router had its list, if all had theirs within the time limit.
+    /// When the last router received its list; `None` if not all received one within the limit.
     completed_at: Option<f64>,
 }
 
-/// Starts routers at the same moment, against a service that needs `service_time` for each call;
-/// `retry_delay` is asked after each call that failed or was rejected.
+/// Simulates routers that start at the same moment and call a service that needs `service_time` for
+/// each call. `retry_delay` returns a router's delay after a call that failed or was rejected.
 fn start_simultaneously(
     routers: usize,
     service_time: f64,
@@ -77,7 +77,7 @@
         .map(|router| PlannedCall { at: 0.0, router })
         .collect();
     let mut calls = 0;
-    let mut last = 0.0;
+    let mut last_served_at = 0.0;
     while let Some(next) =
         (0..planned.len()).min_by(|a, b| planned[*a].at.total_cmp(&planned[*b].at))
     {
@@ -91,7 +91,7 @@
         calls += 1;
         let failed_at = match service.call(now) {
             Some(end) if end.is_served => {
-                last = end.at.max(last);
+                last_served_at = end.at.max(last_served_at);
                 continue;
             }
             Some(end) => end.at,
@@ -102,14 +102,14 @@
     }
     SimultaneousStart {
         calls,
-        completed_at: Some(last),
+        completed_at: Some(last_served_at),
     }
 }
 
-/// Routers that are rejected together must not retry together, or the service serves none of them.
-/// One that needs 3 s for all of them serves all in time.
+/// If routers whose calls are rejected together retried together, the service could serve none of
+/// them. A service that needs 3 s for the calls of all routers must serve all of them in time.
 #[test]
-fn routers_that_start_at_once_all_get_the_list_before_they_count_as_notified() {
+fn routers_that_start_at_once_all_receive_the_list_within_the_notification_timeout() {
     for routers in [1, 3, 4, 30, 100, 300, 1_024] {
         let schedule = |seed| PollSchedule::new(u32::try_from(routers).ok(), None, seed as u64);
         let mut schedules: Vec<_> = (0..routers).map(schedule).collect();
@@ -123,20 +123,20 @@
             completed_at,
         } = start_simultaneously(routers, service_time, retry_delay);
         assert!(
-            completed_at.is_some_and(|at| at < NOTIFIED_AFTER.as_secs_f64()),
-            "{routers}: {completed_at:?}"
+            completed_at.is_some_and(|at| at < NOTIFICATION_TIMEOUT.as_secs_f64()),
+            "{routers} routers: last list received at {completed_at:?} s"
         );
-        assert!(calls <= 4 * routers, "{routers}: {calls} calls");
+        assert!(calls <= 4 * routers, "{routers} routers: {calls} calls");
     }
-    // The service does not recover from retries that are 50 ms apart.
+    // With a fixed retry delay of 50 ms the service stays overloaded.
     let fixed_delay = start_simultaneously(100, 0.12, |_| 0.05);
     assert_eq!(fixed_delay.completed_at, None);
 }
 
-/// Waits must not grow with the number of routers until they outlast the span after which a change
-/// counts as observed: 6 s after a watch stopped responding, or 2 s after its hold.
+/// Waits must not grow with the number of routers beyond the time after which a router is considered
+/// notified of a change: 6 s after a watch stopped responding, or 2 s after its hold.
 #[test]
-fn an_unresponsive_watch_is_opened_anew_in_time_however_many_routers_there_are() {
+fn an_unresponsive_watch_is_replaced_in_time_for_any_number_of_routers() {
     for routers in [
         None,
         Some(0),
@@ -149,8 +149,8 @@
         for _ in 0..100 {
             let hold = schedule.next_hold();
             assert!(
-                hold + WATCH_GRACE < NOTIFIED_AFTER,
-                "{hold:?} with {routers:?}"
+                hold + WATCH_GRACE < NOTIFICATION_TIMEOUT,
+                "hold of {hold:?} with {routers:?} routers"
             );
             let delay = schedule.record_failure(CallError::TimedOut);
             assert!(delay < Duration::from_millis(50));
@@ -161,7 +161,7 @@
             .unwrap();
         assert!(
             longest <= REJECTED_BACKOFF_MAX,
-            "{longest:?} with {routers:?}"
+            "backoff of {longest:?} with {routers:?} routers"
         );
         assert!((0..100)
             .map(|_| schedule.record_failure(CallError::Unreachable))
@@ -169,16 +169,16 @@
     }
 }
 
-/// A change ends all watches at once.
+/// A change ends the watches of all routers at once.
 #[test]
-fn watches_that_ended_together_do_not_end_together_again() {
+fn watches_that_start_together_do_not_end_together() {
     let mut holds: Vec<_> = (0..300)
         .map(|seed| PollSchedule::new(Some(300), None, seed).next_hold())
         .collect();
     holds.sort();
     assert!(
         holds[299] - holds[0] > Duration::from_millis(500),
-        "{:?} to {:?}",
+        "holds only from {:?} to {:?}",
         holds[0],
         holds[299]
     );
@@ -187,7 +187,10 @@
         .map(|window| window[29] - window[0])
         .min()
         .unwrap();
-    assert!(closest > Duration::from_millis(20), "{closest:?}");
+    assert!(
+        closest > Duration::from_millis(20),
+        "30 of 300 watches end within {closest:?}"
+    );
 }
 
 #[test]
@@ -205,10 +208,10 @@
     }
     assert!(
         schedule.hold < HOLD_MIN + Duration::from_millis(50),
-        "{:?}",
+        "hold of {:?} after 60 served calls",
         schedule.hold
     );
-    // Four routers are too few to overload a service: their holds stay short.
+    // Four routers cannot overload the service, so their holds stay short.
     let mut schedule = PollSchedule::new(Some(4), None, 1);
     assert!(reject(&mut schedule).is_some());
     assert_eq!(schedule.hold, HOLD_MIN);
--- a/crates/router/src/discovery/watch.rs
+++ b/crates/router/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! Watches the endpoint list at an address that may change.
+//! Watches the endpoint list by long polling; the address of the service may change.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -12,21 +12,22 @@
 use super::schedule::PollSchedule;
 use crate::core::{CoreEvent, EndpointListUpdate, Handle};
 
-/// A watch of the endpoint list: where its updates go, and how often discovery is called.
+/// A watch of the endpoint list: the receiver of its updates, and the schedule of its calls.
 pub struct ListWatch {
-    /// The settings that name zones and kinds.
+    /// Settings that define the zones and kinds.
     pub site: SiteSettings,
-    /// Where updates go.
+    /// Handle of the core, which receives the updates.
     pub handle: Handle,
-    /// Becomes true with the first response.
+    /// Set to true with the first endpoint list.
     pub list_received: watch::Sender<bool>,
-    /// When discovery is called.
+    /// Schedule of the calls.
     pub schedule: PollSchedule,
 }
 
-/// Watches the list for as long as the program runs; `known_version` is that of the list that the
-/// core has already. A new address ends the watch at the old one, which may hang, and begins with
-/// the complete list: its versions need not continue the old ones.
+/// Watches the list for as long as the program runs. `known_version` is the version of the list that
+/// the core has already. A new address ends the watch at the old one at once, as a call there may
+/// hang. At a new address the router fetches the complete list first, because its versions may be
+/// unrelated to those of the old address.
 pub async fn watch_list(
     mut address: watch::Receiver<SocketAddr>,
     mut known_version: Option<u64>,
@@ -36,24 +37,24 @@
         let current = *address.borrow_and_update();
         let address_changed = async {
             if address.wait_for(|new| *new != current).await.is_err() {
-                std::future::pending::<()>().await; // nobody can change it any more
+                std::future::pending::<()>().await; // the sender is gone: no more changes
             }
         };
         let connect = || DiscoveryConnection::connect(current);
         tokio::select! {
             () = address_changed => {
                 tracing::info!("discovery address changed");
-                // The failures were another address's.
+                // Resets the backoff: the failures happened at the old address.
                 list_watch.schedule.record_success();
             }
-            () = list_watch.follow(connect, known_version.take()) => {}
+            () = list_watch.watch_address(connect, known_version.take()) => {}
         }
     }
 }
 
 impl ListWatch {
-    /// Watches the list at one address, over one connection after another.
-    pub(super) async fn follow<C, F>(&mut self, connect: C, known_version: Option<u64>)
+    /// Watches the list at one address; opens a new connection after each failed call.
+    pub(super) async fn watch_address<C, F>(&mut self, connect: C, known_version: Option<u64>)
     where
         C: Fn() -> F,
         F: Future<Output = std::io::Result<DiscoveryConnection>>,
@@ -61,9 +62,9 @@
         let mut version = known_version;
         loop {
             let error = match connect().await {
-                Ok(connection) => self.follow_connection(connection, &mut version).await,
+                Ok(connection) => self.watch_connection(connection, &mut version).await,
                 Err(error) => {
-                    tracing::debug!(%error, "discovery unreachable");
+                    tracing::debug!(%error, "cannot connect to discovery");
                     CallError::Unreachable
                 }
             };
@@ -73,13 +74,13 @@
         }
     }
 
-    /// Watches the list over one connection until a call fails.
-    async fn follow_connection(
+    /// Watches the list over one connection until a call fails, and returns its error.
+    async fn watch_connection(
         &mut self,
         mut connection: DiscoveryConnection,
         version: &mut Option<u64>,
     ) -> CallError {
-        // The first response is needed at once, with or without changes.
+        // The first call has no hold: its response is needed at once, even without changes.
         let mut hold = Duration::ZERO;
         loop {
             let request = ListRequest {
@@ -91,13 +92,13 @@
                 Err(error) => return error,
             };
             self.schedule.record_success();
-            // The instance that answered lags, or the service has restarted: the complete list that
-            // it has now counts.
+            // The service has restarted, or a replica of it that lags behind has responded. Its
+            // current complete list replaces the newer version.
             if version.is_some_and(|known| list.version < known) {
                 tracing::info!(
                     known_version = *version,
                     version = list.version,
-                    "older endpoint list received, fetching the complete one"
+                    "older endpoint list ignored, fetching the complete list"
                 );
                 *version = None;
                 hold = Duration::ZERO;
@@ -109,7 +110,8 @@
         }
     }
 
-    /// Passes an update on, also one without changes: it tells how recent the core's list is.
+    /// Sends an update to the core. An update without changes is sent too, as it tells the core how
+    /// recent its list is.
     fn publish(&self, list: &EndpointList) {
         let entries = list.entries(&self.site);
         let update = if list.is_snapshot {
--- a/crates/router/src/discovery/watch/tests.rs
+++ b/crates/router/src/discovery/watch/tests.rs
@@ -1,4 +1,4 @@
-//! Watches of services that fail, on a paused clock.
+//! Tests of watches of failing services, on a paused clock.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -9,28 +9,29 @@
 use tokio::time::Instant;
 
 use super::*;
-use crate::discovery::schedule::NOTIFIED_AFTER;
+use crate::discovery::schedule::NOTIFICATION_TIMEOUT;
 
-/// How a discovery service fails: from its second call on, until the list changes.
+/// How a discovery service fails, from its second call until the list changes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum FaultMode {
-    /// The second call is never answered; those after it are.
+    /// The second call gets no response; later calls are served.
     NoResponse,
     /// Calls are rejected.
     Rejects,
     /// Connections are refused.
     RefusesConnections,
-    /// Connections break as soon as a request arrives.
+    /// Connections are closed as soon as a request arrives.
     ResetsConnections,
-    /// The second response stops half-way.
+    /// The second response stops before its end.
     PartialResponse,
-    /// Responses are no endpoint lists.
+    /// Responses are not valid endpoint lists.
     InvalidResponse,
 }
 
-/// When the list changes, and the service can be reached again where it could not.
+/// When the list changes and a service that could not be reached recovers.
 const CHANGE_AT: Duration = Duration::from_millis(1_000);
 
+/// Serves the calls over one connection; `calls` counts those of all connections.
 async fn serve_with_faults(
     mut stream: tokio::io::DuplexStream,
     fault: FaultMode,
@@ -70,20 +71,22 @@
             text.len()
         );
         let is_partial = is_failing && fault == FaultMode::PartialResponse;
-        let written = if is_partial {
+        let written_length = if is_partial {
             response.len() - 9
         } else {
             response.len()
         };
-        let _ = stream.write_all(&response.as_bytes()[..written]).await;
+        let _ = stream
+            .write_all(&response.as_bytes()[..written_length])
+            .await;
         if is_partial {
             std::future::pending::<()>().await;
         }
     }
 }
 
-/// How long after the list changed one of this many routers is notified of it, by a service that
-/// fails like this.
+/// Returns how long after a change of the list one of `routers` routers is notified of it, if the
+/// service fails as `fault` says.
 async fn notification_delay(fault: FaultMode, routers: u32, seed: u64) -> Duration {
     let started = Instant::now();
     let calls = Rc::new(Cell::new(0));
@@ -97,9 +100,9 @@
             {
                 return Err(std::io::ErrorKind::ConnectionRefused.into());
             }
-            let (ours, theirs) = tokio::io::duplex(1 << 16);
-            tokio::task::spawn_local(serve_with_faults(theirs, fault, calls, started));
-            DiscoveryConnection::start(ours).await
+            let (client_side, service_side) = tokio::io::duplex(1 << 16);
+            tokio::task::spawn_local(serve_with_faults(service_side, fault, calls, started));
+            DiscoveryConnection::start(client_side).await
         }
     };
     let site = r#"{"classes": [], "kinds": [], "zones": []}"#;
@@ -117,16 +120,16 @@
         }
     };
     tokio::select! {
-        () = list_watch.follow(connect, Some(0)) => unreachable!("a watch does not end"),
+        () = list_watch.watch_address(connect, Some(0)) => unreachable!("the watch ended"),
         () = notified => {}
     }
     started.elapsed().saturating_sub(CHANGE_AT)
 }
 
-/// Failed calls delay a change by less than the span after which it counts as observed, whatever
-/// the number of routers.
+/// Whatever the number of routers, failed calls must not delay the notification of a change beyond
+/// the time after which a router is considered notified.
 #[test]
-fn a_router_is_notified_of_a_change_in_time_though_calls_failed() {
+fn a_router_is_notified_of_a_change_in_time_after_failed_calls() {
     let faults = [
         FaultMode::NoResponse,
         FaultMode::Rejects,
@@ -145,14 +148,14 @@
             let local = tokio::task::LocalSet::new();
             let delay = local.block_on(&runtime, notification_delay(fault, routers, seed));
             assert!(
-                delay < NOTIFIED_AFTER,
+                delay < NOTIFICATION_TIMEOUT,
                 "{fault:?}: notified after {delay:?} with {routers} routers, seed {seed}"
             );
         }
     }
 }
 
-/// Responds to each call with the next of these lists, and records the targets of the calls.
+/// Responds to each call with the next list of `script` and records the request targets.
 async fn serve_script(
     mut stream: tokio::io::DuplexStream,
     mut script: VecDeque<&'static str>,
@@ -179,8 +182,8 @@
     }
 }
 
-/// By an older list an endpoint that drains would seem to be active. The complete list is what the
-/// service has now, also where its versions began anew.
+/// An older list could show a draining endpoint as active, so it must not be used. The complete list
+/// is current even if the versions of the service have started again.
 #[tokio::test(start_paused = true)]
 async fn an_older_list_is_ignored_and_the_complete_one_is_fetched_at_once() {
     const ENTRY: &str =
@@ -196,9 +199,9 @@
     let site = r#"{"classes": [], "kinds": ["m"], "zones": ["a"]}"#;
     let (handle, mut events) = Handle::new();
     let connect = || {
-        let (ours, theirs) = tokio::io::duplex(1 << 16);
-        tokio::task::spawn_local(serve_script(theirs, script.clone(), targets.clone()));
-        DiscoveryConnection::start(ours)
+        let (client_side, service_side) = tokio::io::duplex(1 << 16);
+        tokio::task::spawn_local(serve_script(service_side, script.clone(), targets.clone()));
+        DiscoveryConnection::start(client_side)
     };
     let mut list_watch = ListWatch {
         site: serde_json::from_str(site).unwrap(),
@@ -217,12 +220,12 @@
             }
         }
     };
-    let following = list_watch.follow(connect, Some(5));
+    let watching = list_watch.watch_address(connect, Some(5));
     let local = tokio::task::LocalSet::new();
     local
         .run_until(async {
             tokio::select! {
-                () = following => unreachable!("a watch does not end"),
+                () = watching => unreachable!("the watch ended"),
                 () = receiving => {}
             }
         })
--- a/crates/router/tests/discovery.rs
+++ b/crates/router/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Calls of discovery, over sockets.
+//! Tests of the router's calls to discovery, over sockets.
 
 mod common;
 
@@ -20,9 +20,10 @@
     Config::parse(file.to_string().as_bytes()).unwrap()
 }
 
-/// The complete list, and then a watch, would be two calls of a service that may be overloaded.
+/// Fetching the complete list before the first watch would cost a call more, to a service that may be
+/// overloaded.
 #[test]
-fn a_restarted_router_asks_for_the_changes_since_its_last_list() {
+fn a_restarted_router_requests_the_changes_since_its_last_list() {
     run(async {
         let server = FakeServer::start(4, Behaviour::Answer).await;
         let discovery = FakeDiscovery::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
@@ -45,12 +46,12 @@
             calls[1..]
                 .iter()
                 .all(|call| hold(call).is_some_and(|ms| (1_000..=2_000).contains(&ms))),
-            "{calls:?}"
+            "queries of the router's calls: {calls:?}"
         );
     });
 }
 
-/// A hundred routers that retried at once would keep the service overloaded.
+/// If a hundred routers retried at once, the service would stay overloaded.
 #[test]
 fn one_of_many_routers_does_not_retry_a_rejected_call_soon() {
     run(async {
