--- a/crates/router/src/discovery/list.rs
+++ b/crates/router/src/discovery/list.rs
@@ -103,8 +103,8 @@
 }
 
 impl EndpointList {
-    /// Returns the entries as the core's type. An entry whose zone or kind is not in the settings is
-    /// ignored, so that one wrong entry does not invalidate the others.
+    /// Returns the entries as the core's type. An entry whose zone or kind is not in the settings
+    /// is ignored, so that one wrong entry does not invalidate the others.
     pub fn entries(&self, site: &SiteSettings) -> Vec<EndpointEntry> {
         self.entries
             .iter()
--- a/crates/router/src/discovery/schedule.rs
+++ b/crates/router/src/discovery/schedule.rs
@@ -23,9 +23,9 @@
 /// of waits is shorter.
 pub(super) const NOTIFICATION_TIMEOUT: Duration = Duration::from_millis(6_000);
 
-/// Bounds of the backoff when the connection fails or the response is not an endpoint list. They are
-/// short because the router may meanwhile be considered notified that an endpoint is draining, and
-/// 250 ms later must send nothing to it. Frequent retries do not burden a service that is down.
+/// Bounds of the backoff when the connection fails or the response is not an endpoint list. They
+/// are short because the router may meanwhile be considered notified that an endpoint is draining,
+/// and 250 ms later must send nothing to it. Frequent retries do not burden a service that is down.
 const UNREACHABLE_BACKOFF_MIN: Duration = Duration::from_millis(50);
 const UNREACHABLE_BACKOFF_MAX: Duration = Duration::from_millis(200);
 /// Average interval between the retries of all routers together after rejections, unless
@@ -35,8 +35,8 @@
 /// Maximum backoff after a rejection. The sum of it, a call that times out, and connecting for that
 /// call and for the next one is less than [`NOTIFICATION_TIMEOUT`].
 const REJECTED_BACKOFF_MAX: Duration = Duration::from_millis(2_500);
-/// Bounds of the hold of a watch. The hold is short whatever the number of routers, so that a broken
-/// connection is detected in time. It is raised above the minimum only after rejections.
+/// Bounds of the hold of a watch. The hold is short whatever the number of routers, so that a
+/// broken connection is detected in time. It is raised above the minimum only after rejections.
 const HOLD_MIN: Duration = Duration::from_millis(2_000);
 const HOLD_MAX: Duration = Duration::from_millis(3_500);
 /// Maximum share of a hold by which it is randomly shortened. A change ends the watches of all
@@ -70,8 +70,8 @@
 
 impl PollSchedule {
     /// Creates the schedule of one of `router_count` routers, each of which must fetch the list at
-    /// least once in `poll_interval`. A default replaces each that is `None`. The routers' seeds must
-    /// differ.
+    /// least once in `poll_interval`. A default replaces each that is `None`. The routers' seeds
+    /// must differ.
     pub fn new(
         router_count: Option<u32>,
         poll_interval: Option<Duration>,
@@ -111,9 +111,9 @@
         self.hold -= self.hold.saturating_sub(HOLD_MIN) / HOLD_DECAY_DIVISOR;
     }
 
-    /// Records that a call failed and returns the delay before the next one. There is no delay after
-    /// a timeout: the router has waited already, and it is considered notified of changes whether or
-    /// not a watch is open.
+    /// Records that a call failed and returns the delay before the next one. There is no delay
+    /// after a timeout: the router has waited already, and it is considered notified of changes
+    /// whether or not a watch is open.
     pub(super) fn record_failure(&mut self, error: CallError) -> Duration {
         match error {
             CallError::TimedOut => Duration::ZERO,
--- a/crates/router/src/discovery/schedule/tests.rs
+++ b/crates/router/src/discovery/schedule/tests.rs
@@ -133,8 +133,8 @@
     assert_eq!(fixed_delay.completed_at, None);
 }
 
-/// Waits must not grow with the number of routers beyond the time after which a router is considered
-/// notified of a change: 6 s after a watch stopped responding, or 2 s after its hold.
+/// Waits must not grow with the number of routers beyond the time after which a router is
+/// considered notified of a change: 6 s after a watch stopped responding, or 2 s after its hold.
 #[test]
 fn an_unresponsive_watch_is_replaced_in_time_for_any_number_of_routers() {
     for routers in [
--- a/crates/router/src/discovery/watch.rs
+++ b/crates/router/src/discovery/watch.rs
@@ -24,10 +24,10 @@
     pub schedule: PollSchedule,
 }
 
-/// Watches the list for as long as the program runs. `known_version` is the version of the list that
-/// the core has already. A new address ends the watch at the old one at once, as a call there may
-/// hang. At a new address the router fetches the complete list first, because its versions may be
-/// unrelated to those of the old address.
+/// Watches the list for as long as the program runs. `known_version` is the version of the list
+/// that the core has already. A new address ends the watch at the old one at once, as a call there
+/// may hang. At a new address the router fetches the complete list first, because its versions may
+/// be unrelated to those of the old address.
 pub async fn watch_list(
     mut address: watch::Receiver<SocketAddr>,
     mut known_version: Option<u64>,
@@ -92,8 +92,8 @@
                 Err(error) => return error,
             };
             self.schedule.record_success();
-            // The service has restarted, or a replica of it that lags behind has responded. Its
-            // current complete list replaces the newer version.
+            // A replica of the service that lags behind has responded, or the service has
+            // restarted. The router continues with the complete list that the service has now.
             if version.is_some_and(|known| list.version < known) {
                 tracing::info!(
                     known_version = *version,
--- a/crates/router/src/discovery/watch/tests.rs
+++ b/crates/router/src/discovery/watch/tests.rs
@@ -182,8 +182,8 @@
     }
 }
 
-/// An older list could show a draining endpoint as active, so it must not be used. The complete list
-/// is current even if the versions of the service have started again.
+/// An older list could show a draining endpoint as active, so it must not be used. The complete
+/// list is current even if the versions of the service have started again.
 #[tokio::test(start_paused = true)]
 async fn an_older_list_is_ignored_and_the_complete_one_is_fetched_at_once() {
     const ENTRY: &str =
--- a/crates/router/src/upstream/attempt.rs
+++ b/crates/router/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt at an endpoint, from its connection to the report of its end.
+//! An attempt at an endpoint, from acquiring a connection to reporting its outcome.
 
 mod relay;
 mod start;
@@ -15,8 +15,8 @@
 use crate::exchange;
 use start::{start_response, ResponseStart, StreamStart};
 
-/// Reports the end of an attempt when it is dropped, so that the end of an attempt whose task
-/// fails is reported too.
+/// Reports the end of an attempt when the guard is dropped, so that it is reported even if the
+/// attempt's task panics or is aborted.
 pub(super) struct AttemptEndGuard {
     pub(super) attempt: AttemptId,
     pub(super) handle: Handle,
@@ -34,7 +34,7 @@
     }
 }
 
-/// An attempt, with the signals that control it.
+/// An attempt and the signals that control it.
 pub(super) struct Attempt {
     pub(super) shared: Rc<Shared>,
     pub(super) spec: AttemptSpec,
@@ -44,35 +44,41 @@
 }
 
 impl Attempt {
-    /// Makes the attempt; its report goes into the guard.
+    /// Makes the attempt and stores its report in `end_guard`.
     pub(super) async fn run(mut self, mut end_guard: AttemptEndGuard) {
-        let mut slot = None;
-        let start = self.start(&mut slot).await;
-        // There is none once the connection is back in the pool; the report holds its trace then.
-        let trace_at_start = slot.as_ref().map(PooledConnection::trace);
+        let mut held_connection = None;
+        let start = self.start(&mut held_connection).await;
+        // `None` after a complete response without a stream: the connection is back in the pool and
+        // its trace is in the report.
+        let trace_at_start = held_connection.as_ref().map(PooledConnection::trace);
         end_guard.report = match start {
-            ResponseStart::Streaming(stream) => self.stream(stream, &mut slot).await,
+            ResponseStart::Streaming(stream) => self.stream(stream, &mut held_connection).await,
             ResponseStart::Ended(report) => report,
         };
-        let trace = slot.as_ref().map(PooledConnection::trace);
+        let trace = held_connection.as_ref().map(PooledConnection::trace);
         if let Some(trace) = trace.or(trace_at_start) {
             end_guard.report.wire = WireTrace {
                 reason: end_guard.report.wire.reason,
                 ..trace
             };
         }
-        if let Some(connection) = slot {
+        if let Some(connection) = held_connection {
             let outcome = end_guard.report.outcome;
-            end_guard.report.outcome = outcome_of_abandoned(outcome, &connection);
+            end_guard.report.outcome = refine_abandoned_outcome(outcome, &connection);
             self.abandon(connection, outcome).await;
         }
     }
 
-    /// Waits until the response begins, or the attempt ends without one.
-    async fn start(&mut self, slot: &mut Option<PooledConnection>) -> ResponseStart {
+    /// Waits until the response begins to stream, or the attempt ends without a stream.
+    async fn start(&mut self, held_connection: &mut Option<PooledConnection>) -> ResponseStart {
         tokio::select! {
             biased;
-            start = start_response(&self.shared, &self.spec, &self.request_written, slot) => start,
+            start = start_response(
+                &self.shared,
+                &self.spec,
+                &self.request_written,
+                held_connection,
+            ) => start,
             Ok(()) = &mut self.cancelled => {
                 ResponseStart::ended(Outcome::Cancelled, EndReason::Cancelled)
             }
@@ -82,13 +88,14 @@
         }
     }
 
-    /// Passes the response on to its end, and gives the connection back if it is complete.
+    /// Relays the response stream to its end, and returns the connection to the pool if the
+    /// response is complete.
     async fn stream(
         &mut self,
         stream: StreamStart,
-        slot: &mut Option<PooledConnection>,
+        held_connection: &mut Option<PooledConnection>,
     ) -> AttemptReport {
-        // The request is not sent again over this attempt: its memory is freed early.
+        // This attempt does not send the request again, so its memory can be freed early.
         self.spec.message = Rc::default();
         let StreamStart {
             mut body,
@@ -101,7 +108,7 @@
             media_type,
             body: receiver,
         });
-        let progress = slot
+        let progress = held_connection
             .as_ref()
             .map(|connection| connection.progress().clone());
         let options = &self.shared.options;
@@ -117,7 +124,7 @@
         };
         match relayed {
             Ok(tail) => {
-                if let Some(connection) = slot.take() {
+                if let Some(connection) = held_connection.take() {
                     self.shared.pool.release(connection).await;
                 }
                 tail.report(&options.report)
@@ -127,8 +134,9 @@
         }
     }
 
-    /// Ends a connection that cannot go back to the pool. This comes before the report of the end:
-    /// the endpoint must not see the next attempt while it still has this one.
+    /// Closes a connection that cannot be returned to the pool. The end of the attempt is reported
+    /// only afterwards, so that the endpoint does not receive the next attempt while this one is
+    /// still open there.
     async fn abandon(&self, connection: PooledConnection, outcome: Outcome) {
         tracing::debug!(
             request_id = %self.spec.request_id,
@@ -143,9 +151,10 @@
     }
 }
 
-/// What the outcome of an attempt means with its connection in view: a request that was never
-/// written completely was not executed, and an idle connection may have been dropped unnoticed.
-fn outcome_of_abandoned(outcome: Outcome, connection: &PooledConnection) -> Outcome {
+/// Refines the outcome of an attempt by the state of its abandoned connection: a request that was
+/// not written completely was not executed, and an endpoint may have dropped an idle connection
+/// without the router noticing.
+fn refine_abandoned_outcome(outcome: Outcome, connection: &PooledConnection) -> Outcome {
     let is_reset = matches!(outcome, Outcome::ConnectionReset(_));
     let request_complete = connection.progress().request_complete();
     if (is_reset || outcome == Outcome::TimedOut) && !request_complete {
--- a/crates/router/src/upstream/attempt/relay.rs
+++ b/crates/router/src/upstream/attempt/relay.rs
@@ -12,11 +12,11 @@
 use crate::upstream::progress::{wait_stalled, WireProgress};
 use crate::upstream::stream_tail::StreamTail;
 
-/// How long a client may leave data unread before its stream is cancelled.
+/// Maximum time that a client may leave data unread before the router cancels its stream.
 const CLIENT_READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Passes a response body on unchanged, chunk by chunk, to its end; `first_chunk` has been read
-/// from it already. An error is the outcome of the attempt.
+/// Relays a response body unchanged, chunk by chunk, to its end; `first_chunk` is what has been
+/// read from the body already. The error is the outcome of the attempt.
 pub(super) async fn relay(
     body: &mut Incoming,
     first_chunk: Bytes,
@@ -42,13 +42,13 @@
             () = wait_stalled(progress) => return Err(BROKEN),
         }
     }
-    // A client that disconnects now has the whole response.
+    // The result is ignored: the client has been sent the whole response already.
     let _ = timeout(CLIENT_READ_TIMEOUT, sender.finish()).await;
     Ok(tail)
 }
 
-/// Hands a chunk to the frontend. A client that has disconnected, or reads nothing for too long,
-/// cancels the attempt.
+/// Sends a chunk to the frontend. The attempt is cancelled if the client has disconnected or reads
+/// nothing for [`CLIENT_READ_TIMEOUT`].
 async fn send_to_client(sender: &BodySender, chunk: Bytes) -> Result<(), Outcome> {
     match timeout(CLIENT_READ_TIMEOUT, sender.send(chunk)).await {
         Ok(Ok(())) => Ok(()),
--- a/crates/router/src/upstream/attempt/start.rs
+++ b/crates/router/src/upstream/attempt/start.rs
@@ -1,4 +1,5 @@
-//! The first part of an attempt: a connection, the request, and the beginning of the response.
+//! The first part of an attempt: acquires a connection, sends the request and reads the beginning
+//! of the response.
 
 use std::convert::Infallible;
 use std::future::pending;
@@ -24,41 +25,43 @@
 /// The media type of a stream of server-sent events.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// How an attempt stands once its response has begun, or it has ended without a stream.
+/// Result of the first part of an attempt.
 pub(super) enum ResponseStart {
+    /// The response has begun to stream.
     Streaming(StreamStart),
+    /// The attempt has ended without a stream.
     Ended(AttemptReport),
 }
 
 /// A response that has begun to stream.
 pub(super) struct StreamStart {
     pub(super) body: Incoming,
-    /// What has been read of the body.
+    /// Data already read from the body.
     pub(super) first_chunk: Bytes,
     pub(super) media_type: String,
 }
 
 impl ResponseStart {
-    /// The end of an attempt without a stream.
+    /// Creates the result of an attempt that has ended without a stream.
     pub(super) fn ended(outcome: Outcome, reason: EndReason) -> ResponseStart {
         ResponseStart::Ended(AttemptReport::from(outcome).because(reason))
     }
 }
 
-/// Why no response began.
+/// Why an attempt ended without a usable response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 enum StartError {
-    #[error("the endpoint accepted no connection")]
+    #[error("the endpoint refused the connection or did not accept it in time")]
     NoConnection,
-    #[error("this machine could not open a connection")]
+    #[error("this machine could not open a connection in time")]
     NoLocalConnection,
-    #[error("the endpoint drains, or the client is gone")]
+    #[error("the endpoint takes no new requests, or the request needs no response")]
     NotNeeded,
-    #[error("the request cannot be encoded")]
+    #[error("the request cannot be encoded as an HTTP request")]
     NotEncodable,
-    #[error("the connection broke")]
+    #[error("the connection broke before the response was read")]
     ConnectionBroken,
-    #[error("a response that had begun did not go on")]
+    #[error("the response stalled after it had begun")]
     Stalled,
 }
 
@@ -88,65 +91,69 @@
     }
 }
 
-/// Sends the request and waits for the beginning of the response, or its end. The connection stays
-/// in `slot` unless it has gone back to the pool.
+/// Sends the request and waits for the beginning of the response stream, or for the end of a
+/// response without a stream. The connection is in `held_connection` until it is returned to the
+/// pool.
 pub(super) async fn start_response(
     shared: &Shared,
     spec: &AttemptSpec,
     request_written: &watch::Sender<bool>,
-    slot: &mut Option<PooledConnection>,
+    held_connection: &mut Option<PooledConnection>,
 ) -> ResponseStart {
-    let response = match send_request(shared, spec, request_written, slot).await {
+    let response = match send_request(shared, spec, request_written, held_connection).await {
         Ok(response) => response,
         Err(error) => return error.into(),
     };
-    let progress = slot
+    let progress = held_connection
         .as_ref()
         .map(|connection| connection.progress().clone());
     tokio::select! {
-        start = read_response(shared, spec, response, slot) => start,
+        start = read_response(shared, spec, response, held_connection) => start,
         () = wait_stalled(progress.as_deref()) => StartError::Stalled.into(),
     }
 }
 
-/// Sends the request and waits for the head of the response.
+/// Sends the request, over another connection if an idle one turns out to be closed, and waits for
+/// the head of the response.
 async fn send_request(
     shared: &Shared,
     spec: &AttemptSpec,
     request_written: &watch::Sender<bool>,
-    slot: &mut Option<PooledConnection>,
+    held_connection: &mut Option<PooledConnection>,
 ) -> Result<Response<Incoming>, StartError> {
     loop {
-        let connection = slot.insert(acquire_connection(shared, spec).await?);
+        let connection = held_connection.insert(acquire_connection(shared, spec).await?);
         let request = encode_request(spec)?;
         match send_over(connection, request, request_written).await {
             Ok(response) => return Ok(response),
             Err(StartError::ConnectionBroken) => {}
             Err(error) => return Err(error),
         }
-        // Closed while it was idle: nothing of the request has been written, so that sending it
-        // over another connection does not duplicate it.
-        match slot.take_if(|connection| connection.was_stale()) {
+        // If the connection was closed while it was idle, nothing of the request has been written,
+        // and sending the request over another connection does not duplicate it.
+        match held_connection.take_if(|connection| connection.allows_resend()) {
             Some(stale) => stale.close().await,
             None => return Err(StartError::ConnectionBroken),
         }
     }
 }
 
-/// A connection on which the request may be written now.
+/// Acquires a connection, and checks that the request is still to be sent.
 async fn acquire_connection(
     shared: &Shared,
     spec: &AttemptSpec,
 ) -> Result<PooledConnection, StartError> {
-    // An endpoint may have dropped an idle connection unnoticed; whether a request that was written
-    // to it has been executed is then unknown.
+    // A non-idempotent request needs a new connection: an endpoint may have dropped an idle one
+    // without the router noticing, and whether a request written to it was executed would be
+    // unknown.
     let acquired = if spec.non_idempotent {
         shared.pool.connect(&spec.endpoint, spec.write_by).await
     } else {
         shared.pool.acquire(&spec.endpoint, spec.write_by).await
     };
     let connection = acquired?;
-    // Connecting may have taken a while: the endpoint may drain by now, or the client be gone.
+    // While the connection was established, the endpoint may have begun to drain, or the client may
+    // have disconnected.
     if !spec.endpoint.is_active() || !spec.is_live.get() {
         shared.pool.release(connection).await;
         return Err(StartError::NotNeeded);
@@ -169,8 +176,8 @@
     Ok(request)
 }
 
-/// Sends the request over one connection, notifies `request_written` once its last byte is written,
-/// and waits for the head of the response.
+/// Sends the request over one connection, sets `request_written` once the last byte is written, and
+/// waits for the head of the response.
 async fn send_over(
     connection: &mut PooledConnection,
     request: Request<Bytes>,
@@ -189,12 +196,12 @@
     }
 }
 
-/// Reads a response up to the beginning of its stream, or to its end if it does not stream.
+/// Reads a response up to the first data of its stream, or to its end if it is not a stream.
 async fn read_response(
     shared: &Shared,
     spec: &AttemptSpec,
     response: Response<Incoming>,
-    slot: &mut Option<PooledConnection>,
+    held_connection: &mut Option<PooledConnection>,
 ) -> ResponseStart {
     let (head, body) = response.into_parts();
     let expected = if spec.prefill_only {
@@ -211,7 +218,7 @@
         return StartError::ConnectionBroken.into();
     };
     let mut wire = WireTrace::default();
-    if let Some(connection) = slot.take() {
+    if let Some(connection) = held_connection.take() {
         wire = connection.trace();
         shared.pool.release(connection).await;
     }
@@ -243,8 +250,9 @@
     }
 }
 
-/// The first data of a stream, of an event stream the first complete event; `None` if there is
-/// none. A request is bound to this stream from then on, so something of use must have arrived.
+/// Reads the first data of a stream, or the first complete event of an event stream; `None` if the
+/// stream ends or breaks without any. From then on the request can only be served by this stream,
+/// so the endpoint must have sent usable data first.
 async fn read_first_chunk(body: &mut Incoming, is_event_stream: bool) -> Option<Bytes> {
     let mut buffered = BytesMut::new();
     while let Some(frame) = body.frame().await {
@@ -265,7 +273,7 @@
     }
 }
 
-/// Whether these bytes contain a blank line, in any of the forms that end an event.
+/// Whether the bytes contain a blank line, which ends an event, with any of the allowed line ends.
 fn contains_event_end(bytes: &[u8]) -> bool {
     const EVENT_ENDS: [&[u8]; 3] = [b"\n\n", b"\r\r", b"\r\n\r\n"];
     EVENT_ENDS
--- a/crates/router/src/upstream/calls.rs
+++ b/crates/router/src/upstream/calls.rs
@@ -16,29 +16,29 @@
 use super::{load_report, Shared, BODY_BYTES_LIMIT};
 use crate::core::{Endpoint, SlotReservation};
 
-/// How long a decode endpoint may take to answer a slot reservation. After 300 ms it answers that
-/// it knows of no prefill; a slot that it then holds for nobody must be released within the same
-/// span again.
+/// Timeout of a slot reservation at a decode endpoint. After 300 ms the endpoint responds that it
+/// knows of no prefill. A slot that it then holds for no request must be released within another
+/// 300 ms.
 const RESERVATION_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long one endpoint may take to answer a release.
+/// Timeout of a release at one endpoint.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(250);
-/// After how long without an answer the release is sent to the next endpoint as well.
+/// Time without a response after which the release is also sent to the next endpoint.
 const RELEASE_STAGGER: Duration = Duration::from_millis(40);
-/// For how long a release is tried.
-const RELEASE_RETRY_SPAN: Duration = Duration::from_secs(10);
+/// Time after which no more calls to release a request's state are started.
+const RELEASE_RETRY_WINDOW: Duration = Duration::from_secs(10);
 
-/// Why a short call has no response.
+/// Why a call got no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 enum CallError {
     /// The request was not written completely, so the endpoint cannot have executed it.
-    #[error("the request was not written")]
+    #[error("the request was not written completely")]
     NotWritten,
     /// The request was written; whether the endpoint has executed it is unknown.
-    #[error("the request was not answered")]
-    Unanswered,
+    #[error("the endpoint did not respond in time")]
+    NoResponse,
 }
 
-/// Reads a body of bounded length to its end.
+/// Reads a whole body of at most [`BODY_BYTES_LIMIT`] bytes.
 pub(super) async fn collect_body<B: Body<Data = Bytes>>(
     body: B,
 ) -> Result<Bytes, Box<dyn std::error::Error + Send + Sync>>
@@ -49,7 +49,7 @@
     Ok(collected.to_bytes())
 }
 
-/// A request without a body.
+/// Builds a request without a body; `None` if the target is not valid.
 pub(super) fn empty_request(method: Method, target: &str) -> Option<Request<Bytes>> {
     Request::builder()
         .method(method)
@@ -59,18 +59,19 @@
         .ok()
 }
 
-/// The target of slot reservations and releases for a request.
+/// Returns the target for reserving a slot for a request and for releasing its state.
 fn reservation_target(request_id: &str) -> String {
     format!("/bootstrap/rooms/{request_id}")
 }
 
 impl Shared {
-    /// Makes a short call over a connection, which goes back to the pool if there is a response.
+    /// Makes a call over a connection and returns the connection to the pool if the endpoint
+    /// responds.
     async fn call(
         &self,
         mut connection: PooledConnection,
         request: Request<Bytes>,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<(StatusCode, Bytes), CallError> {
         let exchange = async {
             let response = connection.send(request).await.ok()?;
@@ -78,12 +79,12 @@
             let body = collect_body(response.into_body()).await.ok()?;
             Some((status, body))
         };
-        if let Ok(Some(response)) = timeout_at(until, exchange).await {
+        if let Ok(Some(response)) = timeout_at(deadline, exchange).await {
             self.pool.release(connection).await;
             return Ok(response);
         }
         let error = if connection.progress().request_complete() {
-            CallError::Unanswered
+            CallError::NoResponse
         } else {
             CallError::NotWritten
         };
@@ -91,32 +92,32 @@
         Err(error)
     }
 
-    /// Asks an endpoint for its load report, which may be absent from its response.
+    /// Fetches an endpoint's load report; `None` if its response contains no load report.
     pub(super) async fn fetch_load_report(
         &self,
         endpoint: &Endpoint,
     ) -> Result<Option<LoadReport>, Outcome> {
-        const NOT_REACHED: Outcome = Outcome::ConnectFailed(ConnectFailure::Unreachable);
-        let until = Instant::now() + self.options.connect_timeout;
+        const UNREACHABLE: Outcome = Outcome::ConnectFailed(ConnectFailure::Unreachable);
+        let deadline = Instant::now() + self.options.connect_timeout;
         let connection = self
             .pool
-            .acquire(endpoint, until)
+            .acquire(endpoint, deadline)
             .await
-            .map_err(|_| NOT_REACHED)?;
+            .map_err(|_| UNREACHABLE)?;
         let request = empty_request(Method::GET, "/metrics/load").ok_or(Outcome::NotSent)?;
-        match self.call(connection, request, until).await {
+        match self.call(connection, request, deadline).await {
             Ok((StatusCode::OK, body)) => {
                 let text = String::from_utf8_lossy(&body);
                 Ok(load_report::parse(&text, &self.options.report))
             }
             Ok(_) => Err(Outcome::Rejected(RejectReason::Overloaded)),
-            Err(CallError::Unanswered) => Err(Outcome::TimedOut),
-            Err(CallError::NotWritten) => Err(NOT_REACHED),
+            Err(CallError::NoResponse) => Err(Outcome::TimedOut),
+            Err(CallError::NotWritten) => Err(UNREACHABLE),
         }
     }
 
-    /// Asks a decode endpoint for a slot once the prefill request has been written; `None` if the
-    /// endpoint reserves nothing.
+    /// Requests a slot at a decode endpoint once the prefill request has been written; `None` if no
+    /// slot is needed any more, or the endpoint has certainly not reserved one.
     pub(super) async fn request_reservation(
         &self,
         mut prefill_written: watch::Receiver<bool>,
@@ -124,7 +125,7 @@
         decode: &Endpoint,
     ) -> Option<SlotReservation> {
         let connect_by = Instant::now() + self.options.connect_timeout;
-        // The end of the prefill attempt drops the sender: then no slot is needed.
+        // The sender is dropped when the prefill attempt ends; a slot is not needed after that.
         let is_written = async { prefill_written.wait_for(|written| *written).await.is_ok() };
         let (is_written, connection) =
             tokio::join!(is_written, self.pool.acquire(decode, connect_by));
@@ -135,51 +136,53 @@
             return None;
         }
         let request = empty_request(Method::POST, &reservation_target(request_id))?;
-        let answer_by = Instant::now() + RESERVATION_TIMEOUT;
-        match self.call(connection, request, answer_by).await {
+        let response_deadline = Instant::now() + RESERVATION_TIMEOUT;
+        match self.call(connection, request, response_deadline).await {
             Ok((StatusCode::OK, _)) => Some(SlotReservation::Granted),
             Ok((StatusCode::CONFLICT, _)) => Some(SlotReservation::Refused),
             Ok((StatusCode::NOT_FOUND, _)) | Err(CallError::NotWritten) => None,
-            Ok(_) | Err(CallError::Unanswered) => Some(SlotReservation::Unknown),
+            Ok(_) | Err(CallError::NoResponse) => Some(SlotReservation::Unknown),
         }
     }
 
-    /// Releases all KV state and slots that endpoints hold for a request, through the first of
-    /// these endpoints that answers. The next one is asked while those before it may still answer:
-    /// several that hang would otherwise take longer together than state may be held.
+    /// Releases all KV state and slots held for a request at any endpoint, through the first of
+    /// `endpoints` that responds. The next one is called while the previous calls are still
+    /// waiting: otherwise several unresponsive endpoints together would take longer than state may
+    /// be held.
     pub(super) async fn release(self: Rc<Self>, request_id: Rc<str>, endpoints: Vec<Rc<Endpoint>>) {
-        let give_up = Instant::now() + RELEASE_RETRY_SPAN;
+        let retry_until = Instant::now() + RELEASE_RETRY_WINDOW;
         let mut calls = JoinSet::new();
         for endpoint in endpoints.into_iter().cycle() {
-            if Instant::now() > give_up {
+            if Instant::now() > retry_until {
                 break;
             }
             calls.spawn_local(self.clone().release_through(request_id.clone(), endpoint));
-            let released = timeout(RELEASE_STAGGER, wait_any_succeeds(&mut calls)).await;
+            let released = timeout(RELEASE_STAGGER, wait_for_any_success(&mut calls)).await;
             if released.is_ok() {
                 return;
             }
         }
-        tracing::warn!(%request_id, "KV state not released: no endpoint answered");
+        tracing::warn!(%request_id, "KV state not released: no endpoint has responded");
     }
 
-    /// Asks one endpoint to release what is held for a request at any endpoint; whether it has.
+    /// Asks one endpoint to release what is held for a request at any endpoint. Returns whether the
+    /// endpoint responded.
     async fn release_through(self: Rc<Self>, request_id: Rc<str>, endpoint: Rc<Endpoint>) -> bool {
-        let until = Instant::now() + RELEASE_TIMEOUT;
+        let deadline = Instant::now() + RELEASE_TIMEOUT;
         let Some(request) = empty_request(Method::DELETE, &reservation_target(&request_id)) else {
             return false;
         };
-        let Ok(connection) = self.pool.acquire(&endpoint, until).await else {
+        let Ok(connection) = self.pool.acquire(&endpoint, deadline).await else {
             return false;
         };
-        let released = self.call(connection, request, until).await.is_ok();
+        let released = self.call(connection, request, deadline).await.is_ok();
         tracing::debug!(%request_id, endpoint = endpoint.name, released, "release ended");
         released
     }
 }
 
-/// Waits until one of the calls has succeeded.
-async fn wait_any_succeeds(calls: &mut JoinSet<bool>) {
+/// Waits until one of the calls succeeds; waits for ever if all of them fail.
+async fn wait_for_any_success(calls: &mut JoinSet<bool>) {
     while let Some(ended) = calls.join_next().await {
         if ended.unwrap_or(false) {
             return;
--- a/crates/router/src/upstream/calls/tests.rs
+++ b/crates/router/src/upstream/calls/tests.rs
@@ -1,4 +1,4 @@
-//! Short calls to endpoints that do not answer, on a paused clock.
+//! Tests of short calls to endpoints that do not respond, on a paused clock.
 
 use cranetack_settings::Report;
 use cranetack_testkit::{run_paused, Behaviour, FakeServer, ManualServer, Observation};
@@ -30,18 +30,18 @@
     })
 }
 
-/// State must be released within 300 ms of the configured lease timeout, of which the policy uses
-/// up a part already.
+/// State must be released within 300 ms of the configured lease timeout, and the policy uses a part
+/// of this time before it requests the release.
 #[test]
-fn state_is_released_in_time_though_four_endpoints_in_a_row_do_not_answer() {
+fn state_is_released_in_time_after_four_unresponsive_endpoints_in_a_row() {
     run_paused(async {
-        let mut silent_servers = Vec::new();
+        let mut unresponsive_servers = Vec::new();
         let mut endpoints = Vec::new();
         for number in 0..4 {
             let server = ManualServer::start().await;
             let name = format!("silent{number}");
             endpoints.push(Rc::new(Endpoint::new(&name, server.address)));
-            silent_servers.push(server);
+            unresponsive_servers.push(server);
         }
         let server = FakeServer::start(1, Behaviour::Answer).await;
         endpoints.push(Rc::new(Endpoint::new("server", server.address)));
@@ -52,6 +52,10 @@
             id: "q1".to_owned(),
         };
         assert!(server.observations.borrow().contains(&release));
-        assert!(started.elapsed() <= 250 * MS, "{:?}", started.elapsed());
+        assert!(
+            started.elapsed() <= 250 * MS,
+            "released after {:?}",
+            started.elapsed()
+        );
     });
 }
--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -1,5 +1,5 @@
-//! One connection to an endpoint: the permit that bounds their number, the task that drives it, and
-//! the progress of its current request.
+//! One connection to an endpoint, with a permit that counts towards the connection limit, the task
+//! that drives the connection, and the progress of the current request.
 
 use std::cell::RefCell;
 use std::io::ErrorKind;
@@ -27,15 +27,16 @@
 use crate::core::{EndReason, Endpoint, UsedConnection, WireTrace, Written};
 use crate::socket::Socket;
 
-/// The most that is read ahead on a connection, and so the longest head of a response.
+/// Maximum size of a connection's read buffer, which also limits the head of a response.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// How long an endpoint may take to close its side after an attempt has been abandoned. It covers
-/// a round trip; waiting longer for an endpoint that cannot be reached tells nothing.
+/// Maximum time to wait for an endpoint to close its side after an attempt has been abandoned. It
+/// covers a round trip; waiting longer for an endpoint that cannot be reached is of no use.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(25);
-/// How long a connection may take to finish a message that has been answered before it is pooled.
-const SETTLE_TIMEOUT: Duration = Duration::from_millis(50);
+/// Maximum time for a connection to become ready for another request after a response, before it is
+/// returned to the pool.
+const READY_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// One connection to an endpoint, used by one request at a time. Dropping it closes it.
+/// A connection to an endpoint, used by one request at a time. It is closed when it is dropped.
 pub(crate) struct PooledConnection {
     number: u64,
     endpoint: EndpointId,
@@ -44,7 +45,7 @@
     sender: SendRequest<Full<Bytes>>,
     progress: Rc<WireProgress>,
     driver: JoinHandle<()>,
-    /// For how long it was idle before it was acquired, if it has been used before.
+    /// How long the connection was idle before it was acquired; `None` if it is new.
     idle_for: Option<Duration>,
     _permit: OwnedSemaphorePermit,
 }
@@ -56,8 +57,8 @@
 }
 
 impl PooledConnection {
-    /// Starts HTTP over a stream to the endpoint's `address`. `number` identifies the connection in
-    /// the log.
+    /// Starts HTTP/1 over a stream to the endpoint's `address`. `number` identifies the connection
+    /// in the log.
     pub(super) async fn start(
         number: u64,
         endpoint: &Endpoint,
@@ -72,7 +73,7 @@
             .max_buf_size(READ_BUFFER_BYTES)
             .handshake(io)
             .await?;
-        // How the connection ends is seen by the request that it carries.
+        // The result of the connection is dropped: the request in flight receives its error.
         let driver = tokio::task::spawn_local(async move { drop(connection.await) });
         Ok(PooledConnection {
             number,
@@ -96,17 +97,17 @@
         self.sender.send_request(request.map(Full::new)).await
     }
 
-    /// Its endpoint.
+    /// The endpoint to which the connection leads.
     pub(crate) fn endpoint(&self) -> EndpointId {
         self.endpoint
     }
 
-    /// The address that it is connected to.
+    /// The remote address of the connection.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What has passed over it since the current request began.
+    /// What has been written and read since the current request began, for the attempt's report.
     pub(crate) fn trace(&self) -> WireTrace {
         let bytes = self.progress.bytes();
         WireTrace {
@@ -123,72 +124,74 @@
         }
     }
 
-    /// How far the current request and its response have come.
+    /// The progress of the current request and its response.
     pub(crate) fn progress(&self) -> &Rc<WireProgress> {
         &self.progress
     }
 
-    /// For how long it was idle before it was acquired, if it has been used before.
+    /// How long the connection was idle before it was acquired; `None` if it is new.
     pub(crate) fn idle_for(&self) -> Option<Duration> {
         self.idle_for
     }
 
-    /// Whether it was idle and broke without any response: its endpoint had dropped it unnoticed,
-    /// which is no sign of a fault of the endpoint.
+    /// Whether the connection was idle and then broke without any part of a response. The endpoint
+    /// had dropped it without the router noticing, which does not indicate a fault of the endpoint.
     pub(crate) fn was_dropped_idle(&self) -> bool {
         self.idle_for.is_some() && self.progress.is_between_responses()
     }
 
-    /// Whether it was idle and nothing of the request has been written: another connection may be
-    /// used in its place.
-    pub(crate) fn was_stale(&self) -> bool {
+    /// Whether the connection was idle and nothing of the request has been written, so that the
+    /// request may be sent over another connection.
+    pub(crate) fn allows_resend(&self) -> bool {
         self.idle_for.is_some() && self.progress.nothing_written()
     }
 
-    /// Whether it is closed, as far as the runtime has seen.
+    /// Whether the connection is closed, as far as the async runtime knows.
     pub(super) fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Whether it can take a request now: nothing has arrived since the last response, and it has
-    /// not been closed. The system is asked too, as the runtime may not have seen yet what arrived
-    /// last: the end of the connection, or a second response that the next request would be given.
+    /// Whether the connection can take a request now: no data has arrived since the last response,
+    /// and it has not been closed. The socket is checked too, as the async runtime may not have
+    /// processed the latest input yet. This can be the end of the connection, or a second response
+    /// that would be taken for the response to the next request.
     pub(super) fn is_reusable(&self) -> bool {
-        self.sender.is_ready() && self.has_nothing_received()
+        self.sender.is_ready() && self.has_no_pending_input()
     }
 
-    fn has_nothing_received(&self) -> bool {
+    fn has_no_pending_input(&self) -> bool {
         let stream = self.stream.borrow();
         let mut byte = [MaybeUninit::uninit()];
         let received = SockRef::from(&*stream).recv(&mut byte);
         received.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Notes that it is used again, after it was idle for this long.
+    /// Records that the connection is used again after it was idle for `idle_for`.
     pub(super) fn mark_reused(&mut self, idle_for: Duration) {
         self.idle_for = Some(idle_for);
         self.progress.reset();
     }
 
-    /// Waits until its last message has ended on both sides; whether another request can follow.
-    pub(super) async fn settle(&mut self) -> bool {
+    /// Waits until the last request and its response have ended. Returns whether the connection can
+    /// take another request.
+    pub(super) async fn wait_ready(&mut self) -> bool {
         if !self.progress.is_between_responses() {
             return false;
         }
         matches!(
-            timeout(SETTLE_TIMEOUT, self.sender.ready()).await,
+            timeout(READY_TIMEOUT, self.sender.ready()).await,
             Ok(Ok(()))
         )
     }
 
-    /// Closes the connection and waits until it is closed on this side.
+    /// Closes the connection and waits until this side is closed.
     pub(crate) async fn close(mut self) {
         self.stop_driver().await;
     }
 
-    /// Abandons the request in flight: closes this side, and waits for a while until the endpoint
-    /// has closed its own. What is sent next goes over another connection and could overtake the
-    /// close, so that the endpoint would have two attempts of a request at once, or reject the new
+    /// Abandons the request in flight: closes this side, and waits up to [`CLOSE_TIMEOUT`] for the
+    /// endpoint to close its side. The next attempt uses another connection and could overtake the
+    /// close; the endpoint would then have two attempts of a request at once, or reject the new
     /// one.
     pub(crate) async fn abandon(mut self) {
         self.stop_driver().await;
--- a/crates/router/src/upstream/dial.rs
+++ b/crates/router/src/upstream/dial.rs
@@ -1,4 +1,5 @@
-//! Establishes connections, and tells failures of the endpoint from a shortage on this machine.
+//! Establishes connections, and distinguishes failures of the endpoint from failures of this
+//! machine, such as a lack of ports.
 
 use std::future::Future;
 use std::io::{self, ErrorKind};
@@ -6,22 +7,22 @@
 
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// The delay before another attempt to connect after a failure of this machine.
+/// Delay before connecting is retried after a failure of this machine.
 const RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Why there was no connection in time.
+/// Why no connection was established in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum ConnectError {
-    /// The endpoint refused it, or could not be reached in time.
-    #[error("the endpoint accepted no connection")]
+    /// The endpoint refused the connection, or could not be reached in time.
+    #[error("the endpoint refused the connection or did not accept it in time")]
     Endpoint,
-    /// This machine could not open one, which is no sign of a fault of the endpoint.
-    #[error("this machine could not open a connection")]
+    /// This machine could not open a connection, which does not indicate a fault of the endpoint.
+    #[error("this machine could not open a connection in time")]
     LocalResources,
 }
 
-/// Whether a failure to connect is this machine's own, and may be over in a moment: descriptors,
-/// ports, memory or a route are missing, or the call was interrupted.
+/// Whether a failure to connect was caused by this machine and may be transient: a lack of file
+/// descriptors, ports or memory, no route, or an interrupted call.
 fn is_local(error: &io::Error) -> bool {
     const OUT_OF_DESCRIPTORS_OR_BUFFERS: [i32; 3] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS];
     let is_local_kind = matches!(
@@ -40,28 +41,29 @@
             .is_some_and(|code| OUT_OF_DESCRIPTORS_OR_BUFFERS.contains(&code))
 }
 
-/// Connects by `until`. Failures of this machine are retried until then: counted against endpoints,
-/// a short one would eject them one after the other and use up the attempts of requests.
+/// Connects by `deadline`, and retries failures of this machine until then. If these counted
+/// against endpoints, a short failure would eject one endpoint after the other and use up the
+/// attempts of requests.
 pub(crate) async fn dial<T, C: Future<Output = io::Result<T>>>(
-    until: Instant,
+    deadline: Instant,
     connect: impl Fn() -> C,
 ) -> Result<T, ConnectError> {
     let mut failed_locally = false;
     loop {
-        match timeout_at(until, connect()).await {
+        match timeout_at(deadline, connect()).await {
             Ok(Ok(stream)) => return Ok(stream),
             Ok(Err(error)) if is_local(&error) => {
-                tracing::debug!(%error, "connect failed on this machine, retrying");
+                tracing::debug!(%error, "connecting failed because of this machine, retrying");
                 failed_locally = true;
             }
             Ok(Err(error)) => {
-                tracing::debug!(%error, "connect failed at the endpoint");
+                tracing::debug!(%error, "connecting failed because of the endpoint");
                 return Err(ConnectError::Endpoint);
             }
             Err(_) if failed_locally => return Err(ConnectError::LocalResources),
             Err(_) => return Err(ConnectError::Endpoint),
         }
-        if timeout_at(until, sleep(RETRY_DELAY)).await.is_err() {
+        if timeout_at(deadline, sleep(RETRY_DELAY)).await.is_err() {
             return Err(ConnectError::LocalResources);
         }
     }
--- a/crates/router/src/upstream/dial/tests.rs
+++ b/crates/router/src/upstream/dial/tests.rs
@@ -1,4 +1,4 @@
-//! Failures to connect, by their kind, on a paused clock.
+//! Tests of failures to connect, by kind of error, on a paused clock.
 
 use std::cell::Cell;
 
@@ -6,14 +6,14 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-struct Dialled {
+struct DialResult {
     outcome: Result<(), ConnectError>,
     calls: usize,
     elapsed: Duration,
 }
 
-/// Connects while the first calls fail with this error of the system.
-async fn dial_failing(code: i32, failures: usize) -> Dialled {
+/// Dials while the first `failures` calls fail with the system error `code`.
+async fn dial_failing(code: i32, failures: usize) -> DialResult {
     let calls = Cell::new(0);
     let started = Instant::now();
     let connect = || {
@@ -28,7 +28,7 @@
         }
     };
     let outcome = dial(started + 250 * MS, connect).await;
-    Dialled {
+    DialResult {
         outcome,
         calls: calls.get(),
         elapsed: started.elapsed(),
@@ -40,16 +40,28 @@
     // EINTR, EAGAIN, ENFILE, EMFILE, EADDRINUSE, EADDRNOTAVAIL, ENETUNREACH, ENOBUFS.
     for code in [4, 11, 23, 24, 98, 99, 101, 105] {
         let dialled = dial_failing(code, 3).await;
-        assert_eq!((dialled.outcome, dialled.calls), (Ok(()), 4), "{code}");
-        assert!(dialled.elapsed < 40 * MS, "{code}: {:?}", dialled.elapsed);
+        assert_eq!(
+            (dialled.outcome, dialled.calls),
+            (Ok(()), 4),
+            "error {code}"
+        );
+        assert!(
+            dialled.elapsed < 40 * MS,
+            "error {code}: connected after {:?}",
+            dialled.elapsed
+        );
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lasting_local_failure_ends_in_time_and_is_not_the_endpoints() {
+async fn a_lasting_local_failure_ends_in_time_and_does_not_count_against_the_endpoint() {
     let dialled = dial_failing(99, usize::MAX).await;
     assert_eq!(dialled.outcome, Err(ConnectError::LocalResources));
-    assert!(dialled.elapsed <= 251 * MS, "{:?}", dialled.elapsed);
+    assert!(
+        dialled.elapsed <= 251 * MS,
+        "failed after {:?}",
+        dialled.elapsed
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -58,6 +70,6 @@
     for code in [111, 113, 110, 104] {
         let dialled = dial_failing(code, 1).await;
         let refused = (Err(ConnectError::Endpoint), 1);
-        assert_eq!((dialled.outcome, dialled.calls), refused, "{code}");
+        assert_eq!((dialled.outcome, dialled.calls), refused, "error {code}");
     }
 }
--- a/crates/router/src/upstream/load_report/tests.rs
+++ b/crates/router/src/upstream/load_report/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn figures_are_decoded_by_their_configured_names_and_invalid_ones_are_ignored() {
+fn values_are_decoded_by_their_configured_names_and_invalid_ones_are_ignored() {
     let report = parse(
         "TEXT inflight=7, queue=2, util=0.61, x0=0.4, x1=12.5, new=3",
         &columns(),
--- a/crates/router/src/upstream/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -1,5 +1,5 @@
-//! The client side: attempts, health checks, slot reservations and releases of KV state at
-//! endpoints, over pooled connections.
+//! HTTP client for endpoints: makes attempts, health checks, slot reservations and releases of KV
+//! state over pooled connections.
 
 mod attempt;
 mod calls;
@@ -28,27 +28,27 @@
 use attempt::{Attempt, AttemptEndGuard};
 use pool::ConnectionPool;
 
-/// The most bytes of a response body that are buffered; streams are not buffered.
+/// Maximum number of bytes buffered of a response body. Streams are relayed without buffering.
 const BODY_BYTES_LIMIT: usize = 64 * 1024;
 /// The interval at which expired idle connections are closed.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Timings and sizes of the client side.
+/// Timeouts, limits and formats for communication with endpoints.
 #[derive(Clone)]
 pub struct Options {
-    /// The most connections to all endpoints together.
+    /// Maximum number of connections to all endpoints together.
     pub connection_limit: usize,
-    /// How long establishing a connection may take.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Duration,
-    /// After how long endpoints close an idle connection.
+    /// Idle time after which endpoints close a connection.
     pub server_idle_timeout: Duration,
-    /// How long a stream may deliver nothing.
+    /// Maximum time without data from a stream before it counts as broken.
     pub stream_idle_timeout: Duration,
-    /// The names of the figures in load reports.
+    /// Names of the values in load reports.
     pub report: Report,
 }
 
-/// The client side.
+/// Carries out the core's calls to endpoints, and sends its gossip to other routers.
 pub struct Upstream {
     shared: Rc<Shared>,
     attempts: AttemptTable,
@@ -56,7 +56,7 @@
     tasks: TaskSpawner,
 }
 
-/// What the tasks of the client side share.
+/// State that the tasks of the [`Upstream`] share.
 struct Shared {
     handle: Handle,
     releases_in_progress: watch::Sender<usize>,
@@ -64,22 +64,22 @@
     options: Options,
 }
 
-/// The attempts in flight, by their ids.
+/// Controls of the attempts in flight, by attempt id.
 type AttemptTable = Rc<RefCell<HashMap<AttemptId, AttemptControl>>>;
 
-/// The outside's hold on an attempt in flight.
+/// Signals to an attempt in flight, and the state of its request.
 struct AttemptControl {
-    /// Cancels the attempt while its response has not begun.
+    /// Cancels the attempt before its response begins to stream.
     cancel: Option<oneshot::Sender<()>>,
-    /// Breaks its response off.
+    /// Aborts the response stream.
     abort_stream: Option<oneshot::Sender<()>>,
-    /// Whether the request's last byte has been written.
+    /// Set to true once the request's last byte has been written.
     request_written: watch::Receiver<bool>,
 }
 
 impl Upstream {
-    /// A client side that reports to `handle` and runs its tasks in the group of `tasks`. Must be
-    /// called within a `LocalSet`.
+    /// Creates an upstream that sends its events to `handle` and spawns its tasks with `tasks`.
+    /// Must be called within a `LocalSet`.
     pub fn new(
         handle: Handle,
         options: Options,
@@ -106,13 +106,13 @@
         }
     }
 
-    /// The number of releases in progress.
+    /// Returns a watch of the number of releases of KV state in progress.
     pub fn releases_in_progress(&self) -> watch::Receiver<usize> {
         self.shared.releases_in_progress.subscribe()
     }
 }
 
-/// Closes expired idle connections for as long as the client side exists.
+/// Closes expired idle connections periodically until the upstream is dropped.
 async fn close_expired_connections(shared: Weak<Shared>) {
     while let Some(shared) = shared.upgrade() {
         shared.pool.close_expired();
@@ -159,7 +159,7 @@
             control.cancel.take()
         };
         if let Some(signal) = signal {
-            // An attempt that has just ended no longer listens.
+            // Fails if the attempt has just ended and dropped the receiver.
             let _ = signal.send(());
         }
     }
--- a/crates/router/src/upstream/observed_stream.rs
+++ b/crates/router/src/upstream/observed_stream.rs
@@ -1,4 +1,4 @@
-//! A connection's stream that records its progress.
+//! A wrapper of a connection's stream that records what is read and written.
 
 use std::cell::RefCell;
 use std::io;
@@ -11,14 +11,14 @@
 use super::progress::WireProgress;
 use crate::socket::Socket;
 
-/// A stream that records what is read and written in a [`WireProgress`].
+/// A stream that records in a [`WireProgress`] what is read and written.
 pub(crate) struct ObservedStream {
     stream: Rc<RefCell<Socket>>,
     progress: Rc<WireProgress>,
 }
 
 impl ObservedStream {
-    /// Records what passes over `stream` in `progress`.
+    /// Wraps `stream` and records in `progress` what is read and written.
     pub(crate) fn new(stream: Rc<RefCell<Socket>>, progress: Rc<WireProgress>) -> ObservedStream {
         ObservedStream { stream, progress }
     }
@@ -49,8 +49,8 @@
         written
     }
 
-    // Vectored writes are not offered: hyper then joins head and body in one buffer, so that one
-    // place sees all bytes in order.
+    // Vectored writes are not supported, so that hyper joins head and body in one buffer and
+    // `poll_write` sees all bytes in order.
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         Pin::new(&mut *self.stream.borrow_mut()).poll_flush(cx)
     }
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of connections to endpoints: their number is bounded, and idle ones are used again.
+//! The pool of connections to endpoints. It limits their number and reuses idle connections.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -14,30 +14,33 @@
 use super::dial::{dial, ConnectError};
 use crate::core::Endpoint;
 
-/// The most idle connections to an endpoint: each holds a descriptor and buffers.
-const IDLE_LIMIT: usize = 4;
-/// For how long a connection is idle before it is used again: a faulty endpoint may send a second
-/// response some milliseconds after the first, which the next request would be given.
+/// Maximum number of idle connections per endpoint. Each holds a file descriptor and buffers.
+const MAX_IDLE_PER_ENDPOINT: usize = 4;
+/// Minimum idle time before a connection is reused. A faulty endpoint may send a second response
+/// some milliseconds after the first, and it would be taken for the response to the next request.
 const REUSE_DELAY: Duration = Duration::from_millis(30);
 
 struct IdleConnection {
     connection: PooledConnection,
+    /// When the connection was returned to the pool.
     since: Instant,
 }
 
 /// The connections to all endpoints.
 pub(crate) struct ConnectionPool {
-    /// Idle connections, those that have been idle for longest first.
+    /// Idle connections by endpoint; those that have been idle longest come first.
     idle: RefCell<HashMap<EndpointId, Vec<IdleConnection>>>,
+    /// Number of the next connection; numbers identify connections in the log.
     next_number: Cell<u64>,
+    /// One permit for each connection, idle or in use, that the limit allows.
     permits: Arc<Semaphore>,
     connect_timeout: Duration,
     idle_timeout: Duration,
 }
 
 impl ConnectionPool {
-    /// A pool of at most `limit` connections. An idle one is closed after a part of the span after
-    /// which endpoints close it.
+    /// Creates a pool of at most `limit` connections. An idle connection is closed after half of
+    /// the idle time after which endpoints close it.
     pub(crate) fn new(
         limit: usize,
         connect_timeout: Duration,
@@ -52,21 +55,22 @@
         }
     }
 
-    /// A connection to the endpoint that is ready for a request, by this instant: an idle one if
-    /// there is one.
+    /// Returns a connection to the endpoint that is ready for a request: an idle one if possible,
+    /// otherwise a new one that is established by `deadline`.
     pub(crate) async fn acquire(
         &self,
         endpoint: &Endpoint,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<PooledConnection, ConnectError> {
         match self.acquire_idle(endpoint) {
             Some(connection) => Ok(connection),
-            None => self.connect(endpoint, until).await,
+            None => self.connect(endpoint, deadline).await,
         }
     }
 
-    /// An idle connection, of those that may be used again the one last used. Connections to a
-    /// former address of the endpoint are closed: the machine there may have vanished unnoticed.
+    /// Takes the most recently used of the idle connections that may be reused. Connections to a
+    /// former address of the endpoint are closed: the machine there may have vanished without
+    /// closing them.
     fn acquire_idle(&self, endpoint: &Endpoint) -> Option<PooledConnection> {
         let mut idle = self.idle.borrow_mut();
         let candidates = idle.get_mut(&endpoint.id)?;
@@ -87,24 +91,25 @@
         None
     }
 
-    /// A new connection to the endpoint, by this instant.
+    /// Opens a new connection to the endpoint; fails if it is not established by `deadline` and
+    /// within the connect timeout.
     pub(crate) async fn connect(
         &self,
         endpoint: &Endpoint,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<PooledConnection, ConnectError> {
-        let until = until.min(Instant::now() + self.connect_timeout);
+        let deadline = deadline.min(Instant::now() + self.connect_timeout);
         if self.permits.available_permits() == 0 {
             self.evict_longest_idle();
         }
-        let permit = timeout_at(until, self.permits.clone().acquire_owned())
+        let permit = timeout_at(deadline, self.permits.clone().acquire_owned())
             .await
             .ok()
             .and_then(Result::ok)
             .ok_or(ConnectError::LocalResources)?;
         let address = endpoint.address();
-        let stream = dial(until, || TcpStream::connect(address)).await?;
-        // Without it small requests are delayed, but they arrive.
+        let stream = dial(deadline, || TcpStream::connect(address)).await?;
+        // The result is ignored: without TCP_NODELAY small requests are delayed, but still arrive.
         let _ = stream.set_nodelay(true);
         let number = self.next_number.replace(self.next_number.get() + 1);
         PooledConnection::start(number, endpoint, address, stream, permit)
@@ -112,16 +117,17 @@
             .map_err(|_| ConnectError::Endpoint)
     }
 
-    /// Takes a connection back whose request has been answered completely. It is closed unless
-    /// another request can follow on it.
+    /// Returns a connection to the pool after a complete response. The connection is closed if it
+    /// cannot take another request.
     pub(crate) async fn release(&self, mut connection: PooledConnection) {
-        if !connection.settle().await {
+        if !connection.wait_ready().await {
             return;
         }
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(connection.endpoint()).or_default();
-        // The one last used is taken first, so those that have been idle for longest are of no use.
-        if connections.len() == IDLE_LIMIT {
+        // The most recently used connection is reused first, so the one that has been idle longest
+        // is the least useful.
+        if connections.len() == MAX_IDLE_PER_ENDPOINT {
             connections.remove(0);
         }
         connections.push(IdleConnection {
@@ -140,14 +146,15 @@
         let usable = |idle: &IdleConnection| {
             idle.since.elapsed() < self.idle_timeout && !idle.connection.is_closed()
         };
-        // Endpoints come and go: one without an idle connection has no entry.
+        // Entries without an idle connection are removed, or those of removed endpoints would
+        // accumulate.
         self.idle.borrow_mut().retain(|_, connections| {
             connections.retain(usable);
             !connections.is_empty()
         });
     }
 
-    /// Closes the connection that has been idle for longest.
+    /// Closes the connection that has been idle longest.
     fn evict_longest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
         let oldest = idle
@@ -159,13 +166,13 @@
         }
     }
 
-    /// The number of endpoints that have an entry.
+    /// Returns the number of endpoints that have an entry.
     #[cfg(test)]
     pub(crate) fn known_endpoints(&self) -> usize {
         self.idle.borrow().len()
     }
 
-    /// How many more connections there may be.
+    /// Returns how many more connections the limit allows.
     #[cfg(test)]
     pub(crate) fn available_permits(&self) -> usize {
         self.permits.available_permits()
--- a/crates/router/src/upstream/pool/tests.rs
+++ b/crates/router/src/upstream/pool/tests.rs
@@ -1,4 +1,4 @@
-//! Which connections stay idle in the pool, and which are used again.
+//! Tests of which connections stay idle in the pool, and which are reused.
 
 mod model;
 
@@ -7,27 +7,27 @@
 use super::*;
 use cranetack_testkit::{run, run_paused, Behaviour, FakeServer};
 
-/// A burst must not leave many descriptors and buffers in use.
+/// Idle connections after a burst must not hold many file descriptors and buffers.
 #[test]
 fn few_idle_connections_to_an_endpoint_stay_open() {
     run(async {
         let server = FakeServer::start(1, Behaviour::Answer).await;
         let endpoint = Endpoint::new("a", server.address);
         let pool = ConnectionPool::new(9, Duration::from_secs(1), Duration::from_secs(60));
-        let until = Instant::now() + Duration::from_secs(9);
+        let deadline = Instant::now() + Duration::from_secs(9);
         let mut connections = Vec::new();
-        for _ in 0..2 * IDLE_LIMIT {
-            connections.push(pool.acquire(&endpoint, until).await.unwrap());
+        for _ in 0..2 * MAX_IDLE_PER_ENDPOINT {
+            connections.push(pool.acquire(&endpoint, deadline).await.unwrap());
         }
         for connection in connections {
             pool.release(connection).await;
         }
-        assert_eq!(pool.available_permits(), 9 - IDLE_LIMIT);
+        assert_eq!(pool.available_permits(), 9 - MAX_IDLE_PER_ENDPOINT);
     });
 }
 
-/// A pool with one idle connection, its endpoint, and the endpoint's side of the connection, which
-/// the test drives without the runtime.
+/// Returns a pool with one idle connection, the connection's endpoint, and the endpoint's side of
+/// the connection. That side is a blocking socket, which the test uses without the async runtime.
 async fn pool_with_idle_connection() -> (ConnectionPool, Endpoint, std::net::TcpStream) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let endpoint = Endpoint::new("a", listener.local_addr().unwrap());
@@ -41,9 +41,10 @@
     (pool, endpoint, accepted)
 }
 
-/// A faulty endpoint may send a second response shortly after the first.
+/// A faulty endpoint may send a second response shortly after the first. It must not be taken for
+/// the response to the next request.
 #[test]
-fn an_idle_connection_is_used_again_only_after_a_delay() {
+fn an_idle_connection_is_reused_only_after_a_delay() {
     run_paused(async {
         let (pool, endpoint, _accepted) = pool_with_idle_connection().await;
         assert!(pool.acquire_idle(&endpoint).is_none());
@@ -52,9 +53,9 @@
     });
 }
 
-/// The runtime may not have seen yet what arrived last.
+/// The async runtime may not have processed the latest input when a connection is acquired.
 #[test]
-fn an_idle_connection_with_unread_data_or_closed_by_its_endpoint_is_not_used() {
+fn an_idle_connection_with_unread_data_or_closed_by_its_endpoint_is_not_reused() {
     for unread in [Some("HTTP/1.1 200 OK\r\n"), None] {
         run_paused(async {
             let (pool, endpoint, accepted) = pool_with_idle_connection().await;
@@ -63,14 +64,17 @@
                 Some(text) => (&accepted).write_all(text.as_bytes()).unwrap(),
                 None => accepted.shutdown(std::net::Shutdown::Both).unwrap(),
             }
-            assert!(pool.acquire_idle(&endpoint).is_none(), "{unread:?}");
+            assert!(
+                pool.acquire_idle(&endpoint).is_none(),
+                "reused with unread data {unread:?}"
+            );
         });
     }
 }
 
-/// The machine at the former address may have vanished.
+/// The machine at the former address may have vanished without closing the connection.
 #[test]
-fn an_idle_connection_to_a_former_address_is_not_used() {
+fn an_idle_connection_to_a_former_address_is_not_reused() {
     run_paused(async {
         let (pool, endpoint, _accepted) = pool_with_idle_connection().await;
         tokio::time::advance(REUSE_DELAY).await;
--- a/crates/router/src/upstream/pool/tests/model.rs
+++ b/crates/router/src/upstream/pool/tests/model.rs
@@ -1,5 +1,5 @@
-//! A model of the pool, against which random steps are checked: which connections stay idle, which
-//! are used again, and how many there are.
+//! Checks the pool against a model in random steps: which connections stay idle, which are reused,
+//! and how many there are.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,28 +23,28 @@
     Acquire(usize),
     /// Sends a request over this connection.
     Call(usize),
-    /// Gives this connection back.
+    /// Returns this connection to the pool.
     Release(usize),
     /// Closes this connection.
     Close(usize),
-    /// This endpoint closes all of its connections.
+    /// Closes all connections of this endpoint at the endpoint's side.
     CloseAtEndpoint(usize),
     /// Waits for this many milliseconds.
     Wait(u64),
-    /// Closes expired connections.
+    /// Closes expired idle connections.
     CloseExpired,
     /// Closes the idle connections to this endpoint.
     CloseIdle(usize),
 }
 
-/// A connection as the model has it.
+/// The model's state of a connection.
 #[derive(Clone, Copy)]
 struct ModelConnection {
     endpoint: usize,
     closed_at_endpoint: bool,
-    /// Whether it has been idle in the pool.
+    /// Whether the connection has been idle in the pool.
     was_idle: bool,
-    /// Since when it is in use, or idle.
+    /// When the connection was opened, or last returned to the pool.
     since: Instant,
 }
 
@@ -91,7 +91,7 @@
             }
             _ => {}
         }
-        // A close on one side is noticed on the other.
+        // Gives each side time to notice that the other has closed a connection.
         tokio::time::sleep(Duration::from_millis(1)).await;
         assert_eq!(
             self.pool.available_permits(),
@@ -107,12 +107,12 @@
         assert_eq!(
             connection.progress().request_complete(),
             !model.closed_at_endpoint,
-            "nothing is written to a closed connection"
+            "a request must be written if, and only if, the endpoint has not closed the connection"
         );
         assert_eq!(
-            connection.was_stale(),
+            connection.allows_resend(),
             model.closed_at_endpoint && model.was_idle,
-            "only one that was idle may be replaced"
+            "a request may be resent if, and only if, its connection was idle and has been closed"
         );
     }
 
@@ -148,11 +148,11 @@
 
     async fn acquire(&mut self, endpoint: usize) {
         let mut expected = None;
-        // One that has just become idle is not used at once.
-        let may_be_used = |model: &ModelConnection| {
+        // A connection is not reused until it has been idle for the delay.
+        let may_be_reused = |model: &ModelConnection| {
             model.endpoint == endpoint && model.since.elapsed() >= REUSE_DELAY
         };
-        while let Some(last_used) = self.idle.iter().rposition(may_be_used) {
+        while let Some(last_used) = self.idle.iter().rposition(may_be_reused) {
             let candidate = self.idle.remove(last_used);
             if candidate.usable() {
                 expected = Some(candidate);
@@ -164,12 +164,15 @@
             && has_capacity
             && self.in_use.len() + self.idle.len() == CONNECTION_LIMIT
         {
-            self.idle.remove(0); // the one that has been idle for longest is evicted
+            self.idle.remove(0); // the connection that has been idle longest is evicted
         }
-        let until = Instant::now() + Duration::from_millis(100);
-        match self.pool.acquire(&self.endpoints[endpoint], until).await {
+        let deadline = Instant::now() + Duration::from_millis(100);
+        match self.pool.acquire(&self.endpoints[endpoint], deadline).await {
             Ok(connection) => {
-                assert!(expected.is_some() || has_capacity, "more than the limit");
+                assert!(
+                    expected.is_some() || has_capacity,
+                    "the pool opened more connections than the limit"
+                );
                 assert_eq!(connection.idle_for().is_some(), expected.is_some());
                 let new = ModelConnection {
                     endpoint,
--- a/crates/router/src/upstream/progress.rs
+++ b/crates/router/src/upstream/progress.rs
@@ -1,5 +1,5 @@
-//! The progress of a connection to an endpoint: how much of a request has been written, and how far
-//! its response has come. Both decide what a lost connection means for the request.
+//! The progress of the current request and its response on a connection to an endpoint. It decides
+//! what a lost connection means for the request.
 
 use std::cell::{Cell, RefCell};
 use std::future::pending;
@@ -11,29 +11,31 @@
 
 use crate::framing::Framing;
 
-/// How long an endpoint may take to continue a head, or a chunk of a body, that it has begun.
+/// Maximum time that an endpoint may take to finish a head, or to continue a chunk, that it has
+/// begun.
 const STALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The blank line that ends a head.
+/// The bytes that end a head: the end of its last line and a blank line.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Observes the bytes that pass over a connection. Among those written it finds the last byte of
-/// each request: a request whose last byte has not been written cannot have been executed. Among
-/// those read it follows the responses to their ends.
+/// Tracks the bytes written and read on a connection. In the bytes written it detects the last byte
+/// of each request: a request whose last byte has not been written cannot have been executed. In
+/// the bytes read it detects the ends of responses.
 pub(crate) struct WireProgress {
     request: Cell<RequestProgress>,
     request_completed: Notify,
     bytes: Cell<ByteCounts>,
     responses: RefCell<Framing>,
-    /// Since when a head that has begun has not ended, or a chunk has not gone on.
+    /// When the unfinished head began, or data of the unfinished chunk arrived last; `None` if
+    /// neither a head nor a chunk is unfinished.
     partial_since: Cell<Option<Instant>>,
 }
 
-/// Bytes that have passed since the current request began.
+/// Numbers of bytes since the current request began.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct ByteCounts {
-    /// Bytes written.
+    /// Number of bytes written.
     pub(crate) written: u64,
-    /// Bytes read.
+    /// Number of bytes read.
     pub(crate) read: u64,
 }
 
@@ -43,16 +45,17 @@
     /// There is no request.
     #[default]
     None,
-    /// A part of the head, or nothing yet.
+    /// Nothing, or only a part of the head, has been written.
     Head {
-        /// How many bytes of [`HEAD_END`] were written last.
+        /// Number of bytes of [`HEAD_END`] that the bytes written so far end with.
         head_end_matched: usize,
         body_length: usize,
+        /// Whether any byte has been written.
         begun: bool,
     },
-    /// All of the head; this many bytes of the body are to be written.
+    /// The head has been written; `bytes_left` bytes of the body have not.
     Body { bytes_left: usize },
-    /// The last byte.
+    /// The last byte of the request has been written.
     Complete,
 }
 
@@ -69,7 +72,7 @@
 }
 
 impl WireProgress {
-    /// A request with a body of this length begins.
+    /// Starts to track a request with a body of `body_length` bytes.
     pub(crate) fn begin_request(&self, body_length: usize) {
         self.request.set(RequestProgress::Head {
             head_end_matched: 0,
@@ -79,25 +82,26 @@
         self.bytes.set(ByteCounts::default());
     }
 
-    /// The connection is used again: there is no request yet.
+    /// Clears the state of the last request when the connection is reused.
     pub(crate) fn reset(&self) {
         self.request.set(RequestProgress::None);
     }
 
-    /// Records what has been written.
+    /// Records bytes that have been written.
     pub(crate) fn on_written(&self, bytes: &[u8]) {
         let mut counts = self.bytes.get();
         counts.written += bytes.len() as u64;
         self.bytes.set(counts);
-        let request = self.request.get().advanced_by(bytes);
+        let request = self.request.get().after_writing(bytes);
         self.request.set(request);
         if request == RequestProgress::Complete {
             self.request_completed.notify_waiters();
         }
     }
 
-    /// Records what an endpoint has sent. The error is for what no request can have asked for, or
-    /// what is no valid response: the next request would be given it.
+    /// Records bytes that the endpoint has sent. Returns an error for a response that arrives
+    /// before any byte of a request has been written, which would be taken for the response to the
+    /// next request, and for data that is not a valid response.
     pub(super) fn on_read(&self, bytes: &[u8]) -> io::Result<()> {
         if bytes.is_empty() {
             return Ok(());
@@ -106,21 +110,22 @@
         counts.read += bytes.len() as u64;
         self.bytes.set(counts);
         let mut responses = self.responses.borrow_mut();
-        let is_unrequested = responses.is_between() && self.nothing_written();
+        let is_unsolicited = responses.is_between() && self.nothing_written();
         responses.push(bytes);
         self.partial_since.set(match self.partial_since.get() {
             since @ Some(_) if responses.is_in_head() => since,
             _ if responses.is_in_head() || responses.is_in_chunk() => Some(Instant::now()),
             _ => None,
         });
-        if is_unrequested || responses.is_invalid() {
+        if is_unsolicited || responses.is_invalid() {
             return Err(io::ErrorKind::InvalidData.into());
         }
         Ok(())
     }
 
-    /// Waits until a response that has begun does not go on, though it has been waited for since
-    /// `waiting_since`. Nothing is read while nobody waits, which is no fault of the endpoint.
+    /// Waits until a response that has begun stalls for [`STALL_TIMEOUT`]. The timeout starts at
+    /// `waiting_since` at the earliest: before that the router may not have read from the
+    /// connection, which is not a fault of the endpoint.
     pub(crate) async fn wait_stalled(&self, waiting_since: Instant) {
         loop {
             let now = Instant::now();
@@ -136,17 +141,17 @@
         }
     }
 
-    /// Whether no part of an unfinished response has arrived.
+    /// Whether the bytes read so far end between two responses, not within one.
     pub(crate) fn is_between_responses(&self) -> bool {
         self.responses.borrow().is_between()
     }
 
-    /// Whether the request's last byte has been written.
+    /// Whether the last byte of the request has been written.
     pub(crate) fn request_complete(&self) -> bool {
         self.request.get() == RequestProgress::Complete
     }
 
-    /// Bytes written and read since the current request began.
+    /// The numbers of bytes written and read since the current request began.
     pub(crate) fn bytes(&self) -> ByteCounts {
         self.bytes.get()
     }
@@ -159,7 +164,7 @@
         )
     }
 
-    /// Waits until the request's last byte has been written.
+    /// Waits until the last byte of the request has been written.
     pub(crate) async fn wait_request_complete(&self) {
         loop {
             let completed = self.request_completed.notified();
@@ -172,8 +177,8 @@
 }
 
 impl RequestProgress {
-    /// The progress once these bytes have been written too.
-    fn advanced_by(self, bytes: &[u8]) -> RequestProgress {
+    /// Returns the progress after `bytes` have been written too.
+    fn after_writing(self, bytes: &[u8]) -> RequestProgress {
         let mut progress = self;
         let mut rest = bytes;
         while let RequestProgress::Head {
@@ -215,8 +220,8 @@
     }
 }
 
-/// Waits until the response over a connection stalls, counted from now at the earliest; for ever
-/// where there is no connection.
+/// Waits until the response on a connection stalls; the timeout starts now at the earliest. Waits
+/// for ever if there is no connection.
 pub(crate) async fn wait_stalled(progress: Option<&WireProgress>) {
     match progress {
         Some(progress) => progress.wait_stalled(Instant::now()).await,
--- a/crates/router/src/upstream/progress/tests.rs
+++ b/crates/router/src/upstream/progress/tests.rs
@@ -1,8 +1,9 @@
 use super::*;
 
-/// A request that must not be executed twice is retried only if its last byte was not written.
+/// A non-idempotent request is retried only if its last byte was not written, so the last byte must
+/// be detected reliably.
 #[test]
-fn the_last_byte_of_a_request_is_found_wherever_writes_split_it() {
+fn the_last_byte_of_a_request_is_detected_wherever_writes_split_it() {
     let head = b"POST /x HTTP/1.1\r\nhost: a\r\n\r\r\n\r\n".as_slice();
     for body in [b"".as_slice(), b"\r\n\r\n12345"] {
         let all = [head, body].concat();
--- a/crates/router/src/upstream/response.rs
+++ b/crates/router/src/upstream/response.rs
@@ -1,12 +1,13 @@
-//! What the head of an endpoint's response means for an attempt.
+//! Interprets the head of an endpoint's response to an attempt.
 
 use cranetack_routing_policy::{Outcome, RejectReason};
 use http::{HeaderMap, StatusCode};
 use serde::Deserialize;
 
-/// The header by which an endpoint promises that it has not executed the request.
+/// Header with which an endpoint guarantees that it has not executed the request.
 const NOT_EXECUTED_HEADER: &str = "x-not-run";
-/// The statuses beside which that promise means that the endpoint has rejected the request.
+/// Statuses that, together with [`NOT_EXECUTED_HEADER`], mean that the endpoint has rejected the
+/// request.
 const REJECTION_STATUSES: [StatusCode; 2] =
     [StatusCode::SERVICE_UNAVAILABLE, StatusCode::GATEWAY_TIMEOUT];
 
@@ -15,13 +16,13 @@
 pub(crate) enum ResponseKind {
     /// The response streams.
     Stream,
-    /// The prompt has been processed; the body holds the number of cached tokens.
+    /// The prompt has been processed; the body contains the number of cached tokens.
     Prefilled,
     /// The attempt has ended with this outcome.
     Ended(Outcome),
 }
 
-/// What an endpoint is asked for, and so which responses are valid.
+/// What a request asks an endpoint for, which decides which responses are valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Expected {
     /// The KV state of the prompt.
@@ -31,9 +32,9 @@
 }
 
 impl ResponseKind {
-    /// Decodes the head of a response. A status that is not valid for what was asked for counts as
-    /// an error, after which the request may have been executed; so does the promise of not having
-    /// executed it beside any status for which the protocol does not define it.
+    /// Decodes the head of a response. A status that is not valid for what was requested counts as
+    /// an error, after which the request may have been executed. [`NOT_EXECUTED_HEADER`] is ignored
+    /// with statuses for which the protocol does not define it.
     pub(crate) fn decode(
         expected: Expected,
         status: StatusCode,
@@ -56,7 +57,8 @@
     }
 }
 
-/// The number of cached prompt tokens that the body of a prefill response holds.
+/// Decodes the number of cached prompt tokens from the body of a prefill response; 0 if the body
+/// cannot be decoded.
 pub(crate) fn cached_tokens(body: &[u8]) -> u64 {
     #[derive(Deserialize)]
     struct PrefillBody {
--- a/crates/router/src/upstream/response/tests.rs
+++ b/crates/router/src/upstream/response/tests.rs
@@ -10,7 +10,7 @@
     for (expected, status, headers, kind) in [
         (Expected::Stream, 200, &no_headers, ResponseKind::Stream),
         (Expected::KvState, 202, &no_headers, ResponseKind::Prefilled),
-        // Not what was asked for: KV state from a decode endpoint, a stream from a prefill one.
+        // Not what was requested: KV state instead of a stream, a stream instead of KV state.
         (Expected::Stream, 202, &no_headers, error()),
         (Expected::KvState, 200, &no_headers, error()),
         (Expected::Stream, 500, &no_headers, error()),
@@ -41,7 +41,7 @@
             rejected(RejectReason::NoKvState),
         ),
         (Expected::Stream, 410, &no_headers, error()),
-        // The promise is defined for these statuses only.
+        // The protocol does not define the header for these statuses.
         (Expected::Stream, 200, &not_executed, ResponseKind::Stream),
         (Expected::Stream, 202, &not_executed, error()),
         (Expected::Stream, 400, &not_executed, error()),
@@ -52,13 +52,13 @@
         assert_eq!(
             ResponseKind::decode(expected, status, headers),
             kind,
-            "{expected:?} {status}"
+            "response with status {status} where {expected:?} is expected"
         );
     }
 }
 
 #[test]
-fn the_body_of_a_prefill_response_holds_the_number_of_cached_tokens() {
+fn the_body_of_a_prefill_response_contains_the_number_of_cached_tokens() {
     assert_eq!(cached_tokens(b"{\"cached_tokens\":4096}"), 4_096);
     assert_eq!(cached_tokens(b"odd"), 0);
 }
--- a/crates/router/src/upstream/stream_tail.rs
+++ b/crates/router/src/upstream/stream_tail.rs
@@ -1,4 +1,5 @@
-//! The end of a stream, whose last events hold the number of cached tokens and a load report.
+//! The end of a response stream, whose last events contain the number of cached tokens and a load
+//! report.
 
 use cranetack_routing_policy::Outcome;
 use cranetack_settings::Report;
@@ -6,11 +7,11 @@
 use super::load_report;
 use crate::core::AttemptReport;
 
-/// How many bytes of a stream's end are searched: its last few events.
+/// Minimum number of bytes kept from the end of a long stream; they cover its last few events.
 const TAIL_BYTES: usize = 1_024;
-/// The key of the number of cached tokens, in the usage event.
+/// Key of the number of cached tokens in the usage event.
 const CACHED_TOKENS_KEY: &str = "\"cached_tokens\":";
-/// The comment that carries a load report.
+/// Prefix of the event-stream comment that carries a load report.
 const LOAD_COMMENT: &str = ": X-LoadReport:";
 
 /// The last bytes of a stream.
@@ -18,7 +19,7 @@
 pub(crate) struct StreamTail(Vec<u8>);
 
 impl StreamTail {
-    /// Adds what has arrived.
+    /// Adds data that has arrived.
     pub(crate) fn push(&mut self, data: &[u8]) {
         self.0.extend_from_slice(data);
         if self.0.len() > 2 * TAIL_BYTES {
@@ -26,7 +27,7 @@
         }
     }
 
-    /// The report of the attempt whose stream ended like this.
+    /// Returns the report of an attempt that completed with this stream.
     pub(crate) fn report(&self, columns: &Report) -> AttemptReport {
         let text = String::from_utf8_lossy(&self.0);
         let cached_tokens = after_last(&text, CACHED_TOKENS_KEY)
@@ -43,12 +44,12 @@
     }
 }
 
-/// What follows the last occurrence of a word.
-fn after_last<'a>(text: &'a str, word: &str) -> Option<&'a str> {
-    text.rfind(word).map(|at| &text[at + word.len()..])
+/// Returns the text after the last occurrence of `marker`.
+fn after_last<'a>(text: &'a str, marker: &str) -> Option<&'a str> {
+    text.rfind(marker).map(|at| &text[at + marker.len()..])
 }
 
-/// The number with which a text begins.
+/// Returns the number at the beginning of a text, after any white space.
 fn leading_number(text: &str) -> Option<u64> {
     let digits: String = text
         .trim_start()
--- a/crates/router/src/upstream/tests.rs
+++ b/crates/router/src/upstream/tests.rs
@@ -1,4 +1,4 @@
-//! Attempts on a paused clock.
+//! Tests of attempts, on a paused clock.
 
 use std::cell::Cell;
 
@@ -9,11 +9,11 @@
 use crate::core::AttemptReport;
 use crate::tasks::TaskGroup;
 
-/// Longer than anything in a test.
+/// Timeout that is not reached in a test.
 const LONG: Duration = Duration::from_secs(5);
 
-/// KV state at a prefill endpoint must not be held for as long as a connection to a decode endpoint
-/// may take.
+/// A prefill endpoint must not hold KV state for as long as connecting to a decode endpoint may
+/// take.
 #[test]
 fn an_attempt_without_a_connection_ends_at_write_by() {
     run_paused(async {
@@ -59,14 +59,18 @@
             ..
         }) = event
         else {
-            panic!("the attempt has not ended")
+            panic!("the first event is not AttemptEnded")
         };
         assert_eq!(
             outcome,
             Outcome::ConnectFailed(ConnectFailure::LocalResources),
-            "the pool is full"
+            "outcome of an attempt while the pool is full"
         );
         let expected = Duration::from_millis(90)..Duration::from_millis(100);
-        assert!(expected.contains(&now.elapsed()), "{:?}", now.elapsed());
+        assert!(
+            expected.contains(&now.elapsed()),
+            "ended after {:?}",
+            now.elapsed()
+        );
     });
 }
--- a/crates/router/tests/discovery.rs
+++ b/crates/router/tests/discovery.rs
@@ -20,8 +20,8 @@
     Config::parse(file.to_string().as_bytes()).unwrap()
 }
 
-/// Fetching the complete list before the first watch would cost a call more, to a service that may be
-/// overloaded.
+/// Fetching the complete list before the first watch would cost a second call to a service that may
+/// be overloaded.
 #[test]
 fn a_restarted_router_requests_the_changes_since_its_last_list() {
     run(async {
