--- a/crates/router/src/discovery/schedule.rs
+++ b/crates/router/src/discovery/schedule.rs
@@ -32,8 +32,8 @@
 /// [`REJECTED_BACKOFF_MAX`] enforces a shorter one. Retries are spaced because a rejected call may
 /// cost the service as much as a served one.
 const REJECTED_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Maximum backoff after a rejection. The sum of it, a call that times out, and connecting for that
-/// call and for the next one is less than [`NOTIFICATION_TIMEOUT`].
+/// Maximum backoff after a rejection. Together with a call that times out, and with connecting for
+/// that call and for the next one, it is shorter than [`NOTIFICATION_TIMEOUT`].
 const REJECTED_BACKOFF_MAX: Duration = Duration::from_millis(2_500);
 /// Bounds of the hold of a watch. The hold is short whatever the number of routers, so that a
 /// broken connection is detected in time. It is raised above the minimum only after rejections.
@@ -42,7 +42,8 @@
 /// Maximum share of a hold by which it is randomly shortened. A change ends the watches of all
 /// routers at once; with equal holds the routers would call at the same moments from then on.
 const HOLD_JITTER: f64 = 0.3;
-/// Each served call reduces the hold's excess over [`HOLD_MIN`] by that excess divided by this.
+/// Divisor of the hold's excess over [`HOLD_MIN`]. Each served call shortens the hold by the
+/// quotient.
 const HOLD_DECAY_DIVISOR: u32 = 8;
 /// Interval within which the list must be fetched if the settings do not give one.
 const DEFAULT_POLL_INTERVAL: Duration = Duration::from_secs(10);
--- a/crates/router/src/upstream/calls.rs
+++ b/crates/router/src/upstream/calls.rs
@@ -162,7 +162,7 @@
                 return;
             }
         }
-        tracing::warn!(%request_id, "KV state not released: no endpoint has responded");
+        tracing::warn!(%request_id, "KV state not released: no endpoint responded in time");
     }
 
     /// Asks one endpoint to release what is held for a request at any endpoint. Returns whether the
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -32,7 +32,7 @@
     idle: RefCell<HashMap<EndpointId, Vec<IdleConnection>>>,
     /// Number of the next connection; numbers identify connections in the log.
     next_number: Cell<u64>,
-    /// One permit for each connection, idle or in use, that the limit allows.
+    /// Holds a permit for each connection that may still be opened.
     permits: Arc<Semaphore>,
     connect_timeout: Duration,
     idle_timeout: Duration,
@@ -91,8 +91,8 @@
         None
     }
 
-    /// Opens a new connection to the endpoint; fails if it is not established by `deadline` and
-    /// within the connect timeout.
+    /// Opens a new connection to the endpoint. It must be established by `deadline` and within the
+    /// connect timeout.
     pub(crate) async fn connect(
         &self,
         endpoint: &Endpoint,
--- a/crates/router/src/upstream/pool/tests.rs
+++ b/crates/router/src/upstream/pool/tests.rs
@@ -66,7 +66,7 @@
             }
             assert!(
                 pool.acquire_idle(&endpoint).is_none(),
-                "reused with unread data {unread:?}"
+                "reused with unread data {unread:?} (None: closed by the endpoint)"
             );
         });
     }
--- a/crates/router/src/upstream/progress.rs
+++ b/crates/router/src/upstream/progress.rs
@@ -30,7 +30,7 @@
     partial_since: Cell<Option<Instant>>,
 }
 
-/// Numbers of bytes since the current request began.
+/// Numbers of bytes written and read since the current request began.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct ByteCounts {
     /// Number of bytes written.
