--- a/crates/batch-scheduler/src/batch.rs
+++ b/crates/batch-scheduler/src/batch.rs
@@ -4,35 +4,36 @@
 
 use crate::{BatchSpec, Flow, Micros};
 
-/// A slice that has been dispatched and has not ended.
+/// A slice that has been dispatched and neither served nor failed.
 #[derive(Debug)]
 pub(crate) struct SliceInFlight {
     pub(crate) items: Range<usize>,
     pub(crate) tokens: u64,
     pub(crate) sent_at: Micros,
-    /// Attempts at it, this one included.
+    /// Number of attempts at the slice, this one included.
     pub(crate) attempts: u32,
 }
 
-/// What a batch waits for.
+/// State of an open batch.
 #[derive(Debug)]
 pub(crate) enum BatchState {
-    /// Its turn in the round robin.
+    /// The batch waits for its turn in the round robin.
     Ready,
-    /// The end of its slice in flight.
+    /// The batch waits for the result of its slice in flight.
     InFlight(SliceInFlight),
-    /// The end of a delay before it is ready again.
+    /// The batch becomes ready again at `until`.
     Delayed { until: Micros },
-    /// To be closed: its outcome is decided.
+    /// The outcome is decided and the batch has not been closed.
     Ended,
 }
 
-/// A failed slice that is to be sent again.
+/// A failed slice that has to be sent again.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SliceRetry {
-    /// The end of its items. It begins with the first item that has not been served.
+    /// Index after the slice's last item. The slice begins with the first item that has not been
+    /// served.
     pub(crate) end: usize,
-    /// Attempts at it so far.
+    /// Number of attempts at the slice so far.
     pub(crate) attempts: u32,
 }
 
@@ -46,21 +47,21 @@
     pub(crate) opened_at: Micros,
     pub(crate) deadline: Micros,
     pub(crate) is_idempotent: bool,
-    /// Items before this one have been served.
+    /// Number of served items; items are served in order.
     pub(crate) served_items: usize,
     pub(crate) served_tokens: u64,
     pub(crate) remaining_tokens: u64,
     pub(crate) served_slices: u32,
-    /// How many slices have been dispatched, retries included.
+    /// Number of dispatched slices, retries included.
     pub(crate) dispatches: u32,
     pub(crate) retry: Option<SliceRetry>,
     pub(crate) state: BatchState,
 }
 
-/// A slice that a batch could send.
+/// The slice that a batch would send next.
 pub(crate) struct SliceCandidate {
     pub(crate) items: Range<usize>,
-    /// The tokens of its items, and the shared ones.
+    /// Number of tokens of the slice: those of its items and the shared tokens.
     pub(crate) tokens: u64,
 }
 
@@ -85,9 +86,9 @@
         }
     }
 
-    /// The next slice of at most `max_tokens`, or of one item: it begins with the first item that
-    /// has not been served. A failed slice is sent again as it was, or shorter, never with other
-    /// items.
+    /// Returns the next slice, which begins with the first item that has not been served. It has at
+    /// most `max_tokens` tokens unless its only item and the shared tokens exceed that. A retried
+    /// slice may contain fewer items than the failed one, but never items beyond it.
     pub(crate) fn next_slice(&self, max_tokens: u64) -> SliceCandidate {
         let start = self.served_items;
         let limit = match self.retry {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Notes that these items have been served.
+    /// Records that these items were served.
     pub(crate) fn record_served(&mut self, items: &Range<usize>) {
         let tokens = token_sum(&self.item_tokens[items.clone()]);
         self.served_items = items.end;
@@ -120,7 +121,7 @@
         self.retry = self.retry.filter(|retry| retry.end > items.end);
     }
 
-    /// Notes that a slice failed, which is sent again if the batch goes on.
+    /// Records a failed slice, which is sent again unless the batch ends.
     pub(crate) fn record_failed(&mut self, slice: &SliceInFlight) {
         let end = match self.retry {
             Some(retry) => retry.end.min(slice.items.end),
@@ -132,13 +133,14 @@
         });
     }
 
-    /// Whether all items have been served.
+    /// Returns whether all items have been served.
     pub(crate) fn is_complete(&self) -> bool {
         self.served_items == self.item_tokens.len()
     }
 
-    /// Whether some of it was executed that must not be executed again.
-    pub(crate) fn has_lasting_effects(&self) -> bool {
+    /// Returns whether the client must not send the batch again, because it is not idempotent and
+    /// some of its items have been served.
+    pub(crate) fn is_unsafe_to_retry(&self) -> bool {
         !self.is_idempotent && self.served_items > 0
     }
 
--- a/crates/batch-scheduler/src/config.rs
+++ b/crates/batch-scheduler/src/config.rs
@@ -2,28 +2,28 @@
 
 use crate::Micros;
 
-/// What an operator sets.
+/// Settings of the scheduler, which the operator may change.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SchedulerConfig {
-    /// How long a slice may take.
+    /// Target duration of a slice in microseconds.
     pub slice_target: Micros,
-    /// The fewest tokens of a slice, except for the last one of its batch.
+    /// Minimum for the token limit of a slice; the last slice of a batch may be smaller.
     pub min_slice_tokens: u64,
-    /// The most tokens of a slice, except for a slice of a single item.
+    /// Maximum number of tokens of a slice; a slice of a single item may be larger.
     pub max_slice_tokens: u64,
-    /// The tokens that a flow gets in a round.
+    /// Number of tokens that a flow may send per round of the round robin.
     pub quantum: u64,
-    /// The most slices in flight.
+    /// Maximum number of slices in flight.
     pub max_in_flight: usize,
-    /// Retries as a share of the slices that succeeded.
+    /// Number of retries that each successful slice adds to the retry budget.
     pub retry_ratio: f64,
-    /// The most retries that may be saved.
+    /// Maximum number of unused retries in the retry budget.
     pub max_saved_retries: f64,
-    /// The most attempts at one slice.
+    /// Maximum number of attempts per slice, the first one included.
     pub max_attempts: u32,
-    /// The most open batches.
+    /// Maximum number of open batches.
     pub max_open_batches: usize,
-    /// The longest retry delay that a rejection advises.
+    /// Maximum retry delay of a rejection, in microseconds.
     pub max_retry_after: Micros,
 }
 
--- a/crates/batch-scheduler/src/deficit_round_robin.rs
+++ b/crates/batch-scheduler/src/deficit_round_robin.rs
@@ -1,31 +1,35 @@
-//! Deficit round robin over tokens: each flow gets as many tokens as any other, however many
-//! batches it has and however large their slices are. Within a flow, batches take turns.
+//! Deficit round robin over tokens. Every flow sends the same number of tokens over time, whatever
+//! the number of its batches and the size of their slices. Within a flow, batches take turns.
 
 use std::collections::{HashMap, VecDeque};
 
-/// What capacity is shared among: a class of request and a tenant.
+/// A flow, which consists of the batches of one class and one tenant. Capacity is shared equally
+/// among flows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Flow {
-    /// The class.
+    /// Class of the requests.
     pub class: u32,
-    /// The tenant, as a number that the caller assigns; 0 where there are none.
+    /// Number that the caller assigns to the tenant; 0 if there are no tenants.
     pub tenant: u64,
 }
 
 #[derive(Debug, Default)]
 struct FlowState {
-    /// The tokens that the flow may still send in this round; below zero is a debt.
+    /// Number of tokens that the flow may still send in this round. A negative value is a debt,
+    /// which later quanta pay off.
     deficit: i64,
+    /// The flow's ready batches, in the order of their turns.
     ready: VecDeque<u64>,
-    /// Whether the flow stands in the ring.
+    /// Whether the flow is in `DeficitRoundRobin::ring`.
     is_in_ring: bool,
-    /// Whether it has had its quantum of this visit.
-    is_visited: bool,
+    /// Whether the flow has received its quantum for its current turn.
+    has_received_quantum: bool,
 }
 
 impl FlowState {
-    /// The tokens of the first batch that is still ready; drops those before it that are not.
-    fn first_ready_tokens(
+    /// Returns the number of tokens of the next slice of the first batch that is still ready.
+    /// Removes the batches before it, which are no longer ready.
+    fn next_slice_tokens(
         &mut self,
         slice_tokens: &mut impl FnMut(u64) -> Option<u64>,
     ) -> Option<i64> {
@@ -39,19 +43,23 @@
     }
 }
 
-/// The most flows that are kept for their debt alone, before debts are dropped.
+/// Maximum number of flows outside the ring that are kept for their debt. When it is exceeded, all
+/// these debts are cancelled.
 const MAX_IDLE_FLOWS: usize = 1_024;
 
-/// Flows that have ready batches, and those that are in debt.
+/// Deficit round robin scheduler of flows.
 #[derive(Debug)]
 pub struct DeficitRoundRobin {
     quantum: i64,
+    /// Flows that are in the ring or in debt.
     flows: HashMap<Flow, FlowState>,
+    /// Flows with ready batches, in the order of their turns. The first one has the current turn.
     ring: VecDeque<Flow>,
 }
 
 impl DeficitRoundRobin {
-    /// A round robin in which a flow gets `quantum` tokens a round.
+    /// Creates a round robin that gives each flow `quantum` tokens per round. A quantum of 0 is
+    /// raised to 1.
     pub fn new(quantum: u64) -> DeficitRoundRobin {
         let quantum = i64::try_from(quantum.max(1)).unwrap_or(i64::MAX);
         DeficitRoundRobin {
@@ -61,7 +69,7 @@
         }
     }
 
-    /// Adds a batch of this flow that is ready to send.
+    /// Adds a ready batch to a flow.
     pub fn push(&mut self, flow: Flow, batch: u64) {
         if self.flows.len() > self.ring.len() + MAX_IDLE_FLOWS {
             self.remove_idle_flows();
@@ -70,13 +78,13 @@
         state.ready.push_back(batch);
         if !state.is_in_ring {
             state.is_in_ring = true;
-            state.is_visited = false;
+            state.has_received_quantum = false;
             self.ring.push_back(flow);
         }
     }
 
-    /// Removes and returns the batch whose turn it is. `slice_tokens` returns the size of a batch's
-    /// next slice, `None` if the batch is no longer ready.
+    /// Removes and returns the batch whose turn it is. `slice_tokens` must return the number of
+    /// tokens of a batch's next slice, or `None` if the batch is no longer ready.
     pub fn next(&mut self, mut slice_tokens: impl FnMut(u64) -> Option<u64>) -> Option<u64> {
         loop {
             let flow = *self.ring.front()?;
@@ -84,31 +92,31 @@
                 self.ring.pop_front();
                 continue;
             };
-            let Some(tokens) = state.first_ready_tokens(&mut slice_tokens) else {
-                self.leave_ring(flow);
+            let Some(tokens) = state.next_slice_tokens(&mut slice_tokens) else {
+                self.remove_first_from_ring(flow);
                 continue;
             };
-            if !state.is_visited {
-                state.is_visited = true;
+            if !state.has_received_quantum {
+                state.has_received_quantum = true;
                 state.deficit = state.deficit.saturating_add(self.quantum);
             }
             if state.deficit > 0 {
-                // A flow may send more than its deficit and owe the rest, so that a slice larger
-                // than the quantum is not held up.
+                // A slice may exceed the deficit, which then becomes a debt. Otherwise, a slice
+                // that is larger than the quantum would have to wait for several rounds.
                 state.deficit = state.deficit.saturating_sub(tokens);
                 return state.ready.pop_front();
             }
-            state.is_visited = false;
+            state.has_received_quantum = false;
             self.ring.rotate_left(1);
-            if self.is_everyone_in_debt() {
-                self.skip_rounds();
+            if self.no_flow_can_send_next_round() {
+                self.skip_rounds_without_sender();
             }
         }
     }
 
-    /// Takes the first flow, which has nothing ready, out of the ring. It keeps no credit, but it
-    /// keeps its debt.
-    fn leave_ring(&mut self, flow: Flow) {
+    /// Removes the first flow, which has no ready batch, from the ring. The flow loses unused
+    /// tokens but keeps its debt.
+    fn remove_first_from_ring(&mut self, flow: Flow) {
         self.ring.pop_front();
         let Some(state) = self.flows.get_mut(&flow) else {
             return;
@@ -120,8 +128,8 @@
         }
     }
 
-    /// Whether no flow in the ring could send in the next round.
-    fn is_everyone_in_debt(&self) -> bool {
+    /// Returns whether no flow in the ring could send even with its next quantum.
+    fn no_flow_can_send_next_round(&self) -> bool {
         self.ring.iter().all(|flow| {
             self.flows
                 .get(flow)
@@ -129,8 +137,9 @@
         })
     }
 
-    /// Passes as many rounds at once as the flow with the least debt needs to send again.
-    fn skip_rounds(&mut self) {
+    /// Skips the rounds in which no flow in the ring could send: as many as the flow with the least
+    /// debt needs before it can send again. Reduces all debts by the quanta of these rounds.
+    fn skip_rounds_without_sender(&mut self) {
         let least_debt = self
             .ring
             .iter()
@@ -146,12 +155,12 @@
         }
     }
 
-    /// How many flows are kept.
+    /// Returns the number of flows that have ready batches or a debt.
     pub fn flow_count(&self) -> usize {
         self.flows.len()
     }
 
-    /// Removes the flows that have nothing ready, with their debts.
+    /// Removes the flows that have no ready batch, and cancels their debts.
     pub fn remove_idle_flows(&mut self) {
         self.flows.retain(|_, state| !state.ready.is_empty());
         self.ring.retain(|flow| self.flows.contains_key(flow));
--- a/crates/batch-scheduler/src/interface.rs
+++ b/crates/batch-scheduler/src/interface.rs
@@ -1,86 +1,87 @@
-//! What goes into the scheduler and what comes out of it.
+//! The inputs and outputs of the scheduler.
 
 use std::ops::Range;
 
 use crate::{Flow, Micros};
 
-/// Identifies an open batch.
+/// Identifier of an open batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct BatchId(pub u64);
 
-/// A batch that arrives.
+/// A new batch, as the caller passes it to [`crate::BatchScheduler::open`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct BatchSpec {
-    /// The flow that it is scheduled in.
+    /// Flow in which the batch is scheduled.
     pub flow: Flow,
-    /// The tokens of each of its items.
+    /// Number of tokens of each item of the batch.
     pub item_tokens: Vec<u32>,
-    /// The tokens that are sent with every slice.
+    /// Number of tokens that are sent with every slice in addition to its items.
     pub shared_tokens: u64,
-    /// The tokens of a slice while too little is known of its class.
+    /// Maximum number of tokens per slice while there are too few samples for the batch's class.
     pub initial_slice_tokens: u64,
-    /// When its client gives up.
+    /// Instant at which the client stops waiting for the batch.
     pub deadline: Micros,
-    /// Whether a slice that may have been executed may be sent again.
+    /// Whether a slice that may have been executed may be retried.
     pub is_idempotent: bool,
 }
 
-/// A slice to be sent.
+/// A slice that the caller must send to an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SliceDispatch {
-    /// Its batch.
+    /// Batch that the slice belongs to.
     pub batch: BatchId,
-    /// The items.
+    /// Indices of the slice's items within the batch.
     pub items: Range<usize>,
-    /// Their tokens, and the shared ones.
+    /// Number of tokens of the slice: those of its items and the shared tokens.
     pub tokens: u64,
-    /// How many dispatches of the batch came before it, retries included: unique within the batch.
+    /// Number of earlier dispatches of the batch, retries included. It is unique within the batch.
     pub sequence: u32,
 }
 
-/// How a slice failed.
+/// Reason why a slice failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SliceFailure {
-    /// It was rejected and not executed. The routing policy has already given it up, so its batch
-    /// is rejected at once.
+    /// The slice was rejected and not executed. The routing policy makes no further attempt at it,
+    /// so the scheduler rejects the batch immediately.
     Rejected {
-        /// After which delay a retry is worthwhile.
+        /// Delay in microseconds after which a retry may succeed.
         retry_after: Micros,
     },
-    /// It was not sent for lack of memory in the router.
+    /// The slice was not sent because the router had too little memory for it.
     OutOfMemory {
-        /// After which delay there may be memory.
+        /// Delay in microseconds after which enough memory may be available.
         retry_after: Micros,
     },
-    /// It may have been executed, or its response cannot be used.
+    /// The slice may have been executed, or its response cannot be used.
     Failed,
 }
 
-/// A batch is rejected: none of it was executed that must not be executed again.
+/// Rejection of a batch. The client can safely send the batch again: no item was executed that must
+/// not be executed twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rejection {
-    /// After which delay a retry is worthwhile.
+    /// Delay in microseconds after which a retry may succeed.
     pub retry_after: Micros,
 }
 
-/// How a batch ends.
+/// Outcome of a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BatchOutcome {
-    /// All its slices have been served.
+    /// All slices of the batch were served.
     Completed,
-    /// It is rejected: it cannot meet its deadline, or there is no capacity.
+    /// The batch was rejected because it cannot meet its deadline or because capacity is lacking.
     Rejected(Rejection),
     /// A slice failed and is not retried.
     Failed,
-    /// Its deadline has passed.
+    /// The deadline passed before the batch was complete.
     DeadlineExceeded,
 }
 
-/// The load of the scheduler.
+/// Current load of the scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Load {
-    /// Open batches.
+pub struct SchedulerLoad {
+    /// Number of open batches.
     pub open_batches: usize,
-    /// Slices in flight.
+    /// Number of slices in flight.
     pub slices_in_flight: usize,
 }
--- a/crates/batch-scheduler/src/retry_budget.rs
+++ b/crates/batch-scheduler/src/retry_budget.rs
@@ -1,7 +1,7 @@
-//! A retry budget: retries are a share of the successes, so that they add little load where much
-//! fails.
+//! A retry budget. It limits retries to a share of the successes, so that retries add little load
+//! when many requests fail.
 
-/// The retries that may be made.
+/// Number of retries that may still be made.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     ratio: f64,
@@ -10,8 +10,9 @@
 }
 
 impl RetryBudget {
-    /// A budget of `ratio` retries for each success, of which at most `max_saved` are saved. It
-    /// starts full: otherwise the first slice to fail would never be retried.
+    /// Creates a budget to which each success adds `ratio` retries, up to `max_saved` unused
+    /// retries. It starts full: otherwise a slice that fails before any slice has succeeded would
+    /// never be retried.
     pub fn new(ratio: f64, max_saved: f64) -> RetryBudget {
         RetryBudget {
             ratio,
@@ -20,12 +21,12 @@
         }
     }
 
-    /// Notes a success.
+    /// Records a success.
     pub fn record_success(&mut self) {
         self.available = (self.available + self.ratio).min(self.max_saved);
     }
 
-    /// Takes one retry; returns whether there was one.
+    /// Takes one retry from the budget if there is one, and returns whether it did.
     pub fn try_take(&mut self) -> bool {
         if self.available < 1.0 {
             return false;
--- a/crates/batch-scheduler/src/retry_budget/tests.rs
+++ b/crates/batch-scheduler/src/retry_budget/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn retries_stay_a_share_of_the_successes() {
+fn retries_are_limited_to_a_share_of_the_successes() {
     let mut budget = RetryBudget::new(0.2, 3.0);
     assert_eq!((0..9).filter(|_| budget.try_take()).count(), 3);
     let mut retries = 0;
--- a/crates/batch-scheduler/src/scheduler.rs
+++ b/crates/batch-scheduler/src/scheduler.rs
@@ -1,39 +1,44 @@
-//! The scheduler: open batches, and which slice is sent next.
+//! The scheduler, which keeps the open batches and selects the next slice to be sent.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 use crate::batch::{token_sum, Batch, BatchState, SliceInFlight};
 use crate::{
-    BatchId, BatchOutcome, BatchSpec, ConcurrencyWindow, DeficitRoundRobin, Load, Micros,
-    Rejection, RetryBudget, SchedulerConfig, SliceBounds, SliceDispatch, SliceFailure,
+    BatchId, BatchOutcome, BatchSpec, ConcurrencyWindow, DeficitRoundRobin, Micros, Rejection,
+    RetryBudget, SchedulerConfig, SchedulerLoad, SliceBounds, SliceDispatch, SliceFailure,
     SliceTimeModel,
 };
 
-/// Served slices of a batch from which its own rate is used to predict its end.
-const MIN_SLICES_FOR_OWN_RATE: u32 = 3;
-/// The predicted time must exceed the time left by this factor before a batch is given up.
+/// Number of served slices of a batch from which its measured rate is used to predict its end.
+const MIN_SLICES_FOR_RATE_PREDICTION: u32 = 3;
+/// A batch is rejected if the predicted time exceeds this factor times the time left before its
+/// deadline.
 const PREDICTION_TOLERANCE: f64 = 1.25;
-/// The shortest delay before a slice that was not executed is sent again.
+/// Minimum delay in microseconds before a slice that was not executed is sent again.
 const MIN_RETRY_DELAY: Micros = 5_000;
 
-/// The scheduler.
+/// Scheduler of batches. The caller opens batches, sends the slices of
+/// [`BatchScheduler::next_dispatch`], reports their results, takes the outcomes and closes the
+/// batches.
 pub struct BatchScheduler {
     config: SchedulerConfig,
     batches: HashMap<BatchId, Batch>,
-    /// By class: batches of one class go to the same endpoints.
+    /// Models of slice durations by class: batches of the same class are served by the same
+    /// endpoints.
     time_models: HashMap<u32, SliceTimeModel>,
     round_robin: DeficitRoundRobin,
     window: ConcurrencyWindow,
     retry_budget: RetryBudget,
     slices_in_flight: usize,
     next_id: u64,
-    /// The deadlines of batches and the ends of their delays.
+    /// Deadlines of the open batches and ends of their retry delays.
     timers: BTreeSet<(Micros, BatchId)>,
+    /// Outcomes that the caller has not taken.
     outcomes: VecDeque<(BatchId, BatchOutcome)>,
 }
 
 impl BatchScheduler {
-    /// A scheduler with no open batch.
+    /// Creates a scheduler without open batches.
     pub fn new(config: SchedulerConfig) -> BatchScheduler {
         BatchScheduler {
             round_robin: DeficitRoundRobin::new(config.quantum),
@@ -49,15 +54,16 @@
         }
     }
 
-    /// Opens a batch, unless there are too many or it cannot meet its deadline.
+    /// Opens a batch. Rejects it if there are too many open batches or if it is predicted to miss
+    /// its deadline.
     pub fn open(&mut self, now: Micros, spec: BatchSpec) -> Result<BatchId, Rejection> {
         if self.batches.len() >= self.config.max_open_batches {
             return Err(self.rejection(self.config.slice_target));
         }
         if let Some(predicted) = self.predict_duration(&spec) {
-            let available = spec.deadline - now;
-            if predicted as f64 > available as f64 * PREDICTION_TOLERANCE {
-                return Err(self.rejection(predicted - available));
+            let time_left = spec.deadline - now;
+            if predicted as f64 > time_left as f64 * PREDICTION_TOLERANCE {
+                return Err(self.rejection(predicted - time_left));
             }
         }
         let id = BatchId(self.next_id);
@@ -68,30 +74,31 @@
         Ok(id)
     }
 
-    /// How long a batch would take beside those that are open; `None` while too little is known.
+    /// Predicts how long a batch would take if it were opened now. Returns `None` while there are
+    /// too few samples for its class.
     fn predict_duration(&self, spec: &BatchSpec) -> Option<Micros> {
         let model = self.time_models.get(&spec.flow.class)?;
         if !model.has_enough_samples() {
             return None;
         }
         let tokens = token_sum(&spec.item_tokens);
-        let slice_tokens = self
-            .slice_tokens(model, spec.initial_slice_tokens)
+        let token_limit = self
+            .token_limit(model, spec.initial_slice_tokens)
             .saturating_sub(spec.shared_tokens)
             .max(1);
-        let slices = tokens.div_ceil(slice_tokens).max(1);
-        let slice_time = model.predict(tokens.min(slice_tokens) + spec.shared_tokens)?;
-        let alone = slice_time.saturating_mul(i64::try_from(slices).unwrap_or(i64::MAX));
-        // A batch has one slice in flight at a time. If there are more batches than slices may be
-        // in flight, they share the window.
-        let running = self.batches.values().filter(|b| !b.has_ended()).count() + 1;
-        let contention = (running as f64 / self.window.size() as f64).max(1.0);
-        Some((alone as f64 * contention) as Micros)
+        let slices = tokens.div_ceil(token_limit).max(1);
+        let slice_time = model.predict(tokens.min(token_limit) + spec.shared_tokens)?;
+        let uncontended_time = slice_time.saturating_mul(i64::try_from(slices).unwrap_or(i64::MAX));
+        // Each batch has at most one slice in flight. If more batches are open than the window
+        // allows slices in flight, they share the window.
+        let open_batch_count = self.batches.values().filter(|b| !b.has_ended()).count() + 1;
+        let contention = (open_batch_count as f64 / self.window.size() as f64).max(1.0);
+        Some((uncontended_time as f64 * contention) as Micros)
     }
 
-    /// The most tokens of a slice.
-    fn slice_tokens(&self, model: &SliceTimeModel, initial: u64) -> u64 {
-        model.slice_tokens(SliceBounds {
+    /// Returns the maximum number of tokens of a slice.
+    fn token_limit(&self, model: &SliceTimeModel, initial: u64) -> u64 {
+        model.token_limit(SliceBounds {
             target: self.config.slice_target,
             initial_tokens: initial,
             min_tokens: self.config.min_slice_tokens,
@@ -99,14 +106,16 @@
         })
     }
 
-    /// The most tokens of the next slice of a batch.
-    fn slice_tokens_of(&self, batch: &Batch) -> u64 {
+    /// Returns the maximum number of tokens of a batch's next slice.
+    fn token_limit_of(&self, batch: &Batch) -> u64 {
         match self.time_models.get(&batch.flow.class) {
-            Some(model) => self.slice_tokens(model, batch.initial_slice_tokens),
+            Some(model) => self.token_limit(model, batch.initial_slice_tokens),
             None => batch.initial_slice_tokens,
         }
     }
 
+    /// Returns a rejection whose retry delay is `delay`, limited to the range between the target
+    /// duration of a slice and the configured maximum.
     fn rejection(&self, delay: Micros) -> Rejection {
         let max = self.config.max_retry_after;
         let min = self.config.slice_target.min(max);
@@ -115,14 +124,14 @@
         }
     }
 
-    /// The next slice to be sent, if one may be.
+    /// Returns the next slice to be sent, or `None` if no slice can be sent now.
     pub fn next_dispatch(&mut self, now: Micros) -> Option<SliceDispatch> {
         if self.slices_in_flight >= self.window.size() {
             return None;
         }
         let id = self.next_ready_batch()?;
         let batch = self.batches.get(&id)?;
-        let slice = batch.next_slice(self.slice_tokens_of(batch));
+        let slice = batch.next_slice(self.token_limit_of(batch));
         let batch = self.batches.get_mut(&id)?;
         let earlier_attempts = batch.retry.map_or(0, |retry| retry.attempts);
         batch.state = BatchState::InFlight(SliceInFlight {
@@ -142,14 +151,14 @@
         })
     }
 
-    /// Takes the batch whose turn it is out of the round robin.
+    /// Removes the batch whose turn it is from the round robin and returns it.
     fn next_ready_batch(&mut self) -> Option<BatchId> {
-        // The round robin asks for sizes, which need the rest of the scheduler.
+        // The closure borrows the scheduler, so the round robin is moved out of it for this call.
         let mut round_robin = std::mem::replace(&mut self.round_robin, DeficitRoundRobin::new(1));
         let next = round_robin.next(|id| {
             let batch = self.batches.get(&BatchId(id))?;
             match batch.state {
-                BatchState::Ready => Some(batch.next_slice(self.slice_tokens_of(batch)).tokens),
+                BatchState::Ready => Some(batch.next_slice(self.token_limit_of(batch)).tokens),
                 _ => None,
             }
         });
@@ -157,7 +166,8 @@
         next.map(BatchId)
     }
 
-    /// Ends the slice in flight of a batch and makes the batch ready; `None` if it has none.
+    /// Removes the slice in flight of a batch and sets the batch's state to ready. Returns `None`
+    /// if the batch has no slice in flight.
     fn take_in_flight(&mut self, id: BatchId) -> Option<SliceInFlight> {
         let batch = self.batches.get_mut(&id)?;
         match std::mem::replace(&mut batch.state, BatchState::Ready) {
@@ -172,7 +182,7 @@
         }
     }
 
-    /// The slice in flight of a batch was served.
+    /// Records that the slice in flight of a batch was served. Has no effect if the batch has none.
     pub fn slice_succeeded(&mut self, now: Micros, id: BatchId) {
         let Some(slice) = self.take_in_flight(id) else {
             return;
@@ -188,30 +198,31 @@
         self.retry_budget.record_success();
         if is_complete {
             self.end(id, BatchOutcome::Completed);
-        } else if let Some(rejection) = self.reject_if_too_slow(now, id) {
+        } else if let Some(rejection) = self.rejection_if_too_slow(now, id) {
             self.end(id, BatchOutcome::Rejected(rejection));
         } else {
             self.make_ready(id);
         }
     }
 
-    /// Whether a batch cannot meet its deadline at its own rate so far, which includes the waits
-    /// between its slices.
-    fn reject_if_too_slow(&self, now: Micros, id: BatchId) -> Option<Rejection> {
+    /// Returns a rejection if the batch would miss its deadline at the rate at which it has been
+    /// served so far, which includes the waits between its slices.
+    fn rejection_if_too_slow(&self, now: Micros, id: BatchId) -> Option<Rejection> {
         let batch = self.batches.get(&id)?;
-        if batch.served_slices < MIN_SLICES_FOR_OWN_RATE {
+        if batch.served_slices < MIN_SLICES_FOR_RATE_PREDICTION {
             return None;
         }
         let time_per_token = (now - batch.opened_at) as f64 / batch.served_tokens.max(1) as f64;
         let predicted = time_per_token * batch.remaining_tokens as f64;
-        let available = (batch.deadline - now) as f64;
-        if predicted > available * PREDICTION_TOLERANCE {
-            Some(self.rejection((predicted - available) as Micros))
+        let time_left = (batch.deadline - now) as f64;
+        if predicted > time_left * PREDICTION_TOLERANCE {
+            Some(self.rejection((predicted - time_left) as Micros))
         } else {
             None
         }
     }
 
+    /// Sets the state of a batch to ready and adds the batch to the round robin.
     fn make_ready(&mut self, id: BatchId) {
         if let Some(batch) = self.batches.get_mut(&id) {
             batch.state = BatchState::Ready;
@@ -219,6 +230,7 @@
         }
     }
 
+    /// Makes a batch wait until the given instant before its failed slice is sent again.
     fn delay(&mut self, id: BatchId, until: Micros) {
         if let Some(batch) = self.batches.get_mut(&id) {
             batch.state = BatchState::Delayed { until };
@@ -226,7 +238,8 @@
         }
     }
 
-    /// The slice in flight of a batch failed.
+    /// Records that the slice in flight of a batch failed, and retries it or ends the batch. Has no
+    /// effect if the batch has none.
     pub fn slice_failed(&mut self, now: Micros, id: BatchId, failure: SliceFailure) {
         let Some(slice) = self.take_in_flight(id) else {
             return;
@@ -243,7 +256,8 @@
             SliceFailure::Failed => now,
         };
         let is_retryable = self.record_failure(now, id, failure);
-        // The budget comes last: a retry is only taken from it if all else permits it.
+        // The budget is checked last, so that a retry is taken from it only if all other conditions
+        // are met.
         let may_retry = is_retryable
             && slice.attempts < self.config.max_attempts
             && retry_at < deadline
@@ -262,8 +276,8 @@
         }
     }
 
-    /// Notes a failure where it changes later decisions, and returns whether a slice that fails so
-    /// may be sent again.
+    /// Updates the concurrency window or the model of slice durations after a failure. Returns
+    /// whether this kind of failure permits a retry of the slice.
     fn record_failure(&mut self, now: Micros, id: BatchId, failure: SliceFailure) -> bool {
         match failure {
             SliceFailure::Rejected { .. } => {
@@ -282,7 +296,7 @@
         }
     }
 
-    /// Ends a batch with its one outcome.
+    /// Ends a batch with this outcome. Has no effect on a batch that has already ended.
     fn end(&mut self, id: BatchId, outcome: BatchOutcome) {
         let Some(batch) = self.batches.get_mut(&id) else {
             return;
@@ -291,17 +305,18 @@
         if batch.has_ended() {
             return;
         }
-        // A rejection says that a retry is harmless, which it is not for a batch with effects.
+        // A rejection tells the client that it can safely retry. That is not so if items were
+        // executed that must not be executed again.
         let outcome = match outcome {
-            BatchOutcome::Rejected(_) if batch.has_lasting_effects() => BatchOutcome::Failed,
+            BatchOutcome::Rejected(_) if batch.is_unsafe_to_retry() => BatchOutcome::Failed,
             outcome => outcome,
         };
         batch.state = BatchState::Ended;
         self.outcomes.push_back((id, outcome));
     }
 
-    /// Closes a batch: its client has the whole response, or has disconnected. Its slice in flight,
-    /// if there is one, has been cancelled.
+    /// Removes a batch whose client has received the whole response or has disconnected. The caller
+    /// must have cancelled the batch's slice in flight, if there is one.
     pub fn close(&mut self, id: BatchId) {
         self.take_in_flight(id);
         if let Some(batch) = self.batches.remove(&id) {
@@ -313,17 +328,18 @@
         }
     }
 
-    /// The next outcome that has not been taken.
+    /// Removes and returns the oldest outcome that the caller has not taken.
     pub fn next_outcome(&mut self) -> Option<(BatchId, BatchOutcome)> {
         self.outcomes.pop_front()
     }
 
-    /// When [`BatchScheduler::tick`] is to be called next.
+    /// Returns the instant at which the caller must call [`BatchScheduler::tick`] next.
     pub fn next_wake(&self) -> Option<Micros> {
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// Ends batches whose deadline has passed, and makes those ready whose delay has.
+    /// Ends the batches whose deadline has passed, and makes the batches ready whose retry delay
+    /// has passed.
     pub fn tick(&mut self, now: Micros) {
         while let Some(&(at, id)) = self.timers.first() {
             if at > now {
@@ -342,9 +358,9 @@
         }
     }
 
-    /// The open batches and slices in flight.
-    pub fn load(&self) -> Load {
-        Load {
+    /// Returns the number of open batches and of slices in flight.
+    pub fn load(&self) -> SchedulerLoad {
+        SchedulerLoad {
             open_batches: self.batches.len(),
             slices_in_flight: self.slices_in_flight,
         }
--- a/crates/batch-scheduler/src/slice_time_model.rs
+++ b/crates/batch-scheduler/src/slice_time_model.rs
@@ -1,60 +1,64 @@
-//! How long a slice takes by its tokens: a line fitted to the slices that were served, of which
-//! older ones weigh less.
+//! A model of the duration of a slice as a function of its tokens: a line that is fitted to the
+//! served slices, with less weight for older ones.
 
 use crate::Micros;
 
-/// The factor by which each new sample lowers the weight of the older ones.
+/// Factor by which each new sample multiplies the weight of the older ones.
 const SAMPLE_DECAY: f64 = 0.95;
-/// The samples from which the model is used.
+/// Number of samples that the model needs before it is used.
 const MIN_SAMPLES: u32 = 6;
-/// By how many mean deviations a slice is sized below its target, so that most slices meet it.
+/// Safety margin below the target duration, in mean deviations, so that most slices meet the
+/// target.
 const DEVIATION_MARGIN: f64 = 2.0;
-/// The weight of a new sample in the mean deviation.
+/// Weight of a new sample in the mean deviation.
 const DEVIATION_GAIN: f64 = 0.1;
-/// The most by which a slice may exceed the largest of the recent ones: the line is not known
-/// beyond.
-const MAX_GROWTH: f64 = 2.0;
-/// The factors of the slice size after a failure and a success, and its least value.
-const SIZE_DECREASE: f64 = 0.8;
-const SIZE_INCREASE: f64 = 1.05;
+/// Maximum size of a slice relative to the largest recent one. The line may be wrong far beyond the
+/// sampled sizes.
+const MAX_GROWTH_FACTOR: f64 = 2.0;
+/// Factor by which a failure multiplies the size factor.
+const SIZE_DECREASE_FACTOR: f64 = 0.8;
+/// Factor by which a success multiplies the size factor, up to 1.
+const SIZE_INCREASE_FACTOR: f64 = 1.05;
+/// Minimum of the size factor.
 const MIN_SIZE_FACTOR: f64 = 0.1;
-/// The variance of the tokens, relative to their mean square, up to which all samples count as of
-/// one size.
+/// Variance of the tokens relative to their mean square, up to which all samples are treated as
+/// having the same size.
 const MIN_RELATIVE_VARIANCE: f64 = 1e-6;
 
-/// What the size of a slice has to keep to.
+/// Bounds of the size of a slice.
 #[derive(Debug, Clone, Copy)]
 pub struct SliceBounds {
-    /// How long it may take.
+    /// Target duration in microseconds.
     pub target: Micros,
-    /// Its tokens while too little is known.
+    /// Maximum number of tokens while there are too few samples.
     pub initial_tokens: u64,
-    /// Its fewest tokens.
+    /// Minimum of the token limit. It takes precedence over the other bounds.
     pub min_tokens: u64,
-    /// Its most tokens.
+    /// Maximum of the token limit.
     pub max_tokens: u64,
 }
 
-/// The time of a slice as a linear function of its tokens.
+/// Duration of a slice in microseconds as a linear function of its tokens.
 struct Line {
     fixed: f64,
     per_token: f64,
 }
 
-/// A weighted linear regression of time over tokens.
+/// A weighted linear regression of the duration of slices over their tokens.
 #[derive(Debug, Clone)]
 pub struct SliceTimeModel {
     samples: u32,
-    weight: f64,
+    total_weight: f64,
     mean_tokens: f64,
     mean_time: f64,
     mean_tokens_squared: f64,
     mean_tokens_time: f64,
-    /// The mean deviation from the line.
+    /// Weighted mean of the absolute deviations from the line, in microseconds.
     deviation: f64,
-    /// The largest of the recent slices.
+    /// Largest number of tokens of the recent slices; earlier maxima decay.
     recent_max_tokens: f64,
-    /// Decreases at failures: the slice may have been too large to be served in time.
+    /// Factor of the token limit. It decreases after failures, because the slice may have been too
+    /// large to be served in time.
     size_factor: f64,
 }
 
@@ -62,7 +66,7 @@
     fn default() -> SliceTimeModel {
         SliceTimeModel {
             samples: 0,
-            weight: 0.0,
+            total_weight: 0.0,
             mean_tokens: 0.0,
             mean_time: 0.0,
             mean_tokens_squared: 0.0,
@@ -75,12 +79,12 @@
 }
 
 impl SliceTimeModel {
-    /// A model without samples.
+    /// Creates a model without samples.
     pub fn new() -> SliceTimeModel {
         SliceTimeModel::default()
     }
 
-    /// Notes that a slice of so many tokens was served in this time.
+    /// Records that a slice with this number of tokens was served in `time`.
     pub fn record_success(&mut self, tokens: u64, time: Micros) {
         let tokens = tokens as f64;
         let time = time.max(0) as f64;
@@ -88,43 +92,45 @@
             let error = (time - expected).abs();
             self.deviation += DEVIATION_GAIN * (error - self.deviation);
         }
-        self.weight = self.weight * SAMPLE_DECAY + 1.0;
-        let gain = 1.0 / self.weight;
+        self.total_weight = self.total_weight * SAMPLE_DECAY + 1.0;
+        let gain = 1.0 / self.total_weight;
         self.mean_tokens += gain * (tokens - self.mean_tokens);
         self.mean_time += gain * (time - self.mean_time);
         self.mean_tokens_squared += gain * (tokens * tokens - self.mean_tokens_squared);
         self.mean_tokens_time += gain * (tokens * time - self.mean_tokens_time);
         self.recent_max_tokens = tokens.max(self.recent_max_tokens * SAMPLE_DECAY);
         self.samples = self.samples.saturating_add(1);
-        self.size_factor = (self.size_factor * SIZE_INCREASE).min(1.0);
+        self.size_factor = (self.size_factor * SIZE_INCREASE_FACTOR).min(1.0);
     }
 
-    /// Notes that a slice failed.
+    /// Records that a slice failed.
     pub fn record_failure(&mut self) {
-        self.size_factor = (self.size_factor * SIZE_DECREASE).max(MIN_SIZE_FACTOR);
+        self.size_factor = (self.size_factor * SIZE_DECREASE_FACTOR).max(MIN_SIZE_FACTOR);
     }
 
-    /// Whether there are enough samples for a prediction.
+    /// Returns whether there are enough samples for a prediction.
     pub fn has_enough_samples(&self) -> bool {
         self.samples >= MIN_SAMPLES
     }
 
-    /// The fitted line. Neither of its terms is below zero: time never falls as tokens grow.
+    /// Returns the fitted line, or `None` without samples. Neither of its terms is negative, so
+    /// that the duration never falls as tokens increase.
     fn fit(&self) -> Option<Line> {
         if self.samples == 0 {
             return None;
         }
         let variance = self.mean_tokens_squared - self.mean_tokens * self.mean_tokens;
-        let through_zero = self.mean_time / self.mean_tokens.max(1.0);
-        // Samples of one size say nothing about the slope: all time is attributed to the tokens.
+        let slope_through_origin = self.mean_time / self.mean_tokens.max(1.0);
+        // Samples of a single size do not determine the slope, so the whole duration is attributed
+        // to the tokens.
         if variance <= MIN_RELATIVE_VARIANCE * self.mean_tokens_squared.max(1.0) {
             return Some(Line {
                 fixed: 0.0,
-                per_token: through_zero,
+                per_token: slope_through_origin,
             });
         }
         let slope = (self.mean_tokens_time - self.mean_tokens * self.mean_time) / variance;
-        let slope = slope.clamp(0.0, through_zero);
+        let slope = slope.clamp(0.0, slope_through_origin);
         Some(Line {
             fixed: self.mean_time - slope * self.mean_tokens,
             per_token: slope,
@@ -136,7 +142,8 @@
         Some(line.fixed + line.per_token * tokens)
     }
 
-    /// How long a slice of so many tokens takes; `None` while too little is known.
+    /// Predicts the duration of a slice with this number of tokens. Returns `None` while there are
+    /// too few samples.
     pub fn predict(&self, tokens: u64) -> Option<Micros> {
         if !self.has_enough_samples() {
             return None;
@@ -145,8 +152,8 @@
         Some(time as Micros)
     }
 
-    /// The most tokens of a slice that is expected to stay within its bounds.
-    pub fn slice_tokens(&self, bounds: SliceBounds) -> u64 {
+    /// Returns the maximum number of tokens with which a slice is expected to stay within `bounds`.
+    pub fn token_limit(&self, bounds: SliceBounds) -> u64 {
         let line = self.fit().filter(|_| self.has_enough_samples());
         let tokens = match line {
             None => bounds.initial_tokens as f64,
@@ -157,7 +164,7 @@
                 } else {
                     f64::MAX
                 };
-                tokens.min(self.recent_max_tokens * MAX_GROWTH)
+                tokens.min(self.recent_max_tokens * MAX_GROWTH_FACTOR)
             }
         };
         let max_tokens = bounds.max_tokens.max(bounds.min_tokens);
--- a/crates/batch-scheduler/src/slice_time_model/tests.rs
+++ b/crates/batch-scheduler/src/slice_time_model/tests.rs
@@ -9,11 +9,12 @@
     max_tokens: 100_000,
 };
 
-/// Serves slices as large as the model says, each in `time`; returns the last size.
+/// Records `slices` slices, each as large as the model allows. `time` returns the duration of a
+/// slice from its tokens and index. Returns the tokens of the last slice.
 fn serve_slices(model: &mut SliceTimeModel, slices: u32, time: impl Fn(u64, u32) -> Micros) -> u64 {
     let mut tokens = 0;
     for n in 0..slices {
-        tokens = model.slice_tokens(BOUNDS);
+        tokens = model.token_limit(BOUNDS);
         model.record_success(tokens, time(tokens, n));
     }
     tokens
@@ -21,7 +22,7 @@
 
 #[test]
 fn slices_grow_up_to_their_target_and_stay_within_it() {
-    // 20 ms and 40 us a token: 100 ms hold 2,000 tokens.
+    // A slice takes 20 ms plus 40 us per token, so the target of 100 ms allows 2,000 tokens.
     let time = |tokens: u64, n: u32| 20_000 + 40 * tokens as Micros + Micros::from(n % 3) * 1_000;
     let tokens = serve_slices(&mut SliceTimeModel::new(), 80, time);
     assert!((1_700..=2_000).contains(&tokens), "{tokens}");
@@ -46,7 +47,7 @@
     for _ in 0..3 {
         model.record_failure();
     }
-    assert!(model.slice_tokens(BOUNDS) < tokens * 6 / 10);
+    assert!(model.token_limit(BOUNDS) < tokens * 6 / 10);
     for _ in 0..99 {
         model.record_failure();
     }
@@ -54,14 +55,14 @@
         min_tokens: 400,
         ..BOUNDS
     };
-    assert!(model.slice_tokens(at_least_400) >= 400);
+    assert!(model.token_limit(at_least_400) >= 400);
     for time in [0, -5, Micros::MAX / 4] {
         model.record_success(10, time);
         let at_most_999 = SliceBounds {
             max_tokens: 999,
             ..BOUNDS
         };
-        assert!((16..=999).contains(&model.slice_tokens(at_most_999)));
+        assert!((16..=999).contains(&model.token_limit(at_most_999)));
     }
 }
 
@@ -73,7 +74,7 @@
         max_tokens: 400,
         ..BOUNDS
     };
-    assert_eq!((model.predict(10), model.slice_tokens(bounds)), (None, 400));
+    assert_eq!((model.predict(10), model.token_limit(bounds)), (None, 400));
     for _ in 0..MIN_SAMPLES {
         model.record_success(100, 1_000);
     }
--- a/crates/batch-scheduler/tests/common/mod.rs
+++ b/crates/batch-scheduler/tests/common/mod.rs
@@ -1,24 +1,23 @@
-//! Helpers of the scheduler's tests.
+//! Helpers for the tests of the scheduler.
 
-use cranetack_batch_scheduler::{BatchScheduler, Flow, Load, Micros, SchedulerConfig};
+use cranetack_batch_scheduler::{BatchScheduler, Flow, Micros, SchedulerConfig, SchedulerLoad};
 
-/// A millisecond.
+/// One millisecond.
 pub(crate) const MS: Micros = 1_000;
 
-/// A load of the scheduler.
-pub(crate) fn load(open_batches: usize, slices_in_flight: usize) -> Load {
-    Load {
+pub(crate) fn load(open_batches: usize, slices_in_flight: usize) -> SchedulerLoad {
+    SchedulerLoad {
         open_batches,
         slices_in_flight,
     }
 }
 
-/// A flow.
 pub(crate) fn flow(class: u32, tenant: u64) -> Flow {
     Flow { class, tenant }
 }
 
-/// A scheduler with a changed configuration.
+/// Creates a scheduler with the default settings, except for a smaller minimum slice and the
+/// changes of `change`.
 pub(crate) fn scheduler(change: impl FnOnce(&mut SchedulerConfig)) -> BatchScheduler {
     let mut config = SchedulerConfig {
         min_slice_tokens: 10,
--- a/crates/batch-scheduler/tests/decisions.rs
+++ b/crates/batch-scheduler/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The scheduler's decisions, case by case.
+//! Tests of single decisions of the scheduler.
 
 mod common;
 
@@ -27,14 +27,14 @@
     let mut sent = Vec::new();
     let mut now = 0;
     loop {
-        if let Some((of, outcome)) = scheduler.next_outcome() {
-            assert_eq!((of, outcome), (id, BatchOutcome::Completed));
+        if let Some((ended_id, outcome)) = scheduler.next_outcome() {
+            assert_eq!((ended_id, outcome), (id, BatchOutcome::Completed));
             break;
         }
         let dispatch = scheduler.next_dispatch(now).unwrap();
         assert!(
             scheduler.next_dispatch(now).is_none(),
-            "one slice in flight"
+            "the batch has more than one slice in flight"
         );
         sent.push(dispatch.items.clone());
         now += 10 * MS;
@@ -90,9 +90,10 @@
     }
 }
 
-/// Retries must not add to an overload: where nothing can be sent, attempts end with the budget.
+/// Retries must not add to an overload: while no slice can be sent, the retry budget limits the
+/// attempts.
 #[test]
-fn without_memory_batches_are_rejected_at_once_with_a_retry_delay() {
+fn batches_are_rejected_promptly_with_a_retry_delay_while_the_router_lacks_memory() {
     let mut scheduler = scheduler(|config| config.max_in_flight = 100);
     let mut now = 0;
     let mut sent = 0;
@@ -125,7 +126,10 @@
         scheduler.tick(now);
     }
     assert_eq!((rejected, sent), (40, 40 + 10));
-    assert!(now < 400 * MS, "none is held until its deadline");
+    assert!(
+        now < 400 * MS,
+        "the last batch was rejected only at {now} us"
+    );
 }
 
 #[test]
@@ -151,23 +155,23 @@
         "{now} {retry_after}"
     );
     scheduler.close(id);
-    // Once the slice times are known, the next one is rejected before any of it is sent.
-    let small = scheduler
+    // Once the model has enough samples, a batch that would be late is rejected when it is opened.
+    let small_batch = scheduler
         .open(now, batch_spec(&[100], now + 500 * MS))
         .unwrap();
     for _ in 0..6 {
         scheduler.next_dispatch(now);
-        scheduler.slice_succeeded(now + 50 * MS, small);
+        scheduler.slice_succeeded(now + 50 * MS, small_batch);
     }
-    scheduler.close(small);
+    scheduler.close(small_batch);
     for n in 0..9 {
-        let one = scheduler
+        let next_batch = scheduler
             .open(now, batch_spec(&[100], now + 500 * MS))
             .unwrap();
         scheduler.next_dispatch(now).unwrap();
         now += (50 + n) * MS;
-        scheduler.slice_succeeded(now, one);
-        scheduler.close(one);
+        scheduler.slice_succeeded(now, next_batch);
+        scheduler.close(next_batch);
     }
     assert!(scheduler
         .open(now, batch_spec(&[100; 100], now + 500 * MS))
@@ -177,17 +181,19 @@
         .is_ok());
 }
 
-/// A short batch gets its turns beside a long one of the same tenant, and a tenant with one batch
-/// gets as many tokens as one with many.
+/// Batches of the same tenant take turns, so that a short batch completes before the long ones. A
+/// tenant with one batch gets as many tokens as a tenant with many batches.
 #[test]
-fn a_batch_does_not_wait_for_a_longer_one() {
+fn a_batch_does_not_wait_until_longer_batches_end() {
     let mut scheduler = scheduler(|config| config.max_in_flight = 1);
-    let far = 1_000_000_000 * MS;
+    let distant_deadline = 1_000_000_000 * MS;
     for _ in 0..20 {
-        scheduler.open(0, batch_spec(&[10; 4_000], far)).unwrap();
+        scheduler
+            .open(0, batch_spec(&[10; 4_000], distant_deadline))
+            .unwrap();
     }
     let mut now = 0;
-    let mut run = |scheduler: &mut BatchScheduler, until: BatchId| {
+    let mut serve_until = |scheduler: &mut BatchScheduler, until: BatchId| {
         let mut slices = 0;
         loop {
             let dispatch = scheduler.next_dispatch(now).unwrap();
@@ -199,29 +205,32 @@
             }
         }
     };
-    let same = scheduler.open(0, batch_spec(&[10; 3], far)).unwrap();
-    assert!(run(&mut scheduler, same) <= 21);
-    let other = scheduler
+    let short_batch = scheduler
+        .open(0, batch_spec(&[10; 3], distant_deadline))
+        .unwrap();
+    assert!(serve_until(&mut scheduler, short_batch) <= 21);
+    let other_tenant_batch = scheduler
         .open(
             0,
             BatchSpec {
                 flow: flow(0, 2),
-                ..batch_spec(&[10; 40], far)
+                ..batch_spec(&[10; 40], distant_deadline)
             },
         )
         .unwrap();
-    assert!(run(&mut scheduler, other) <= 60);
+    assert!(serve_until(&mut scheduler, other_tenant_batch) <= 60);
 }
 
 #[test]
-fn a_deadline_ends_a_batch_in_any_state() {
-    for steps in 0..4 {
+fn a_batch_ends_at_its_deadline_in_any_state() {
+    // States: 0 ready, 1 in flight, 2 ready after a served slice, 3 delayed after a failed slice.
+    for state in 0..4 {
         let mut scheduler = scheduler(|_| ());
         let id = scheduler.open(0, batch_spec(&[50; 9], 30 * MS)).unwrap();
-        if steps > 0 {
+        if state > 0 {
             scheduler.next_dispatch(0).unwrap();
         }
-        match steps {
+        match state {
             2 => scheduler.slice_succeeded(MS, id),
             3 => scheduler.slice_failed(
                 MS,
@@ -236,13 +245,13 @@
         assert_eq!(
             scheduler.next_outcome(),
             Some((id, BatchOutcome::DeadlineExceeded)),
-            "{steps}"
+            "state {state}"
         );
         assert_eq!(
             (scheduler.load(), scheduler.next_dispatch(30 * MS)),
             (load(1, 0), None)
         );
-        // What arrives after the outcome changes nothing.
+        // Results that arrive after the outcome have no effect.
         scheduler.slice_succeeded(31 * MS, id);
         scheduler.slice_failed(31 * MS, id, SliceFailure::Failed);
         assert_eq!(scheduler.next_outcome(), None);
--- a/crates/batch-scheduler/tests/random_model.rs
+++ b/crates/batch-scheduler/tests/random_model.rs
@@ -1,4 +1,4 @@
-//! The scheduler against a model with random steps.
+//! Property test that compares the scheduler with a model under random steps.
 
 mod common;
 
@@ -15,18 +15,19 @@
 const MAX_IN_FLIGHT: usize = 3;
 const MAX_OPEN_BATCHES: usize = 6;
 
-/// What the model knows of an open batch.
+/// The model's state of an open batch.
 struct ModelBatch {
     items: usize,
     deadline: Micros,
     is_idempotent: bool,
     served: usize,
     in_flight: Option<SliceDispatch>,
-    /// Items before this one may have been executed without a response.
+    /// Index before which items may have been executed in slices that failed.
     may_have_been_executed: usize,
     outcome: Option<BatchOutcome>,
 }
 
+/// A step of the test. A `usize` selects one of the batches to which the step applies.
 #[derive(Debug, Clone)]
 enum Step {
     Open {
@@ -69,12 +70,12 @@
     ]
 }
 
-/// The scheduler beside a model of its batches.
+/// The scheduler and a model of its batches, which checks these invariants after each step:
 ///
-/// Whatever the steps: a batch has one slice in flight, which begins with its first item that has
-/// not been served, so that items are served in order and once. Nothing that may have been executed
-/// is executed again unless it is idempotent. A batch has one outcome, with nothing after it, by
-/// its deadline.
+/// - A batch has at most one slice in flight. The slice begins with the first item that has not
+///   been served, so that each item is served once and in order.
+/// - Items that may have been executed are sent again only if the batch is idempotent.
+/// - A batch has exactly one outcome, at the latest at its deadline, and no dispatch after it.
 struct Model {
     scheduler: BatchScheduler,
     batches: HashMap<BatchId, ModelBatch>,
@@ -98,13 +99,13 @@
         }
     }
 
-    /// One of the batches with a slice in flight.
-    fn nth_in_flight(&self, n: usize) -> Option<BatchId> {
+    /// Selects one of the batches with a slice in flight.
+    fn choose_in_flight(&self, n: usize) -> Option<BatchId> {
         let in_flight = self.batches.iter().filter(|(_, b)| b.in_flight.is_some());
-        nth(in_flight.map(|(id, _)| *id).collect(), n)
+        choose(in_flight.map(|(id, _)| *id).collect(), n)
     }
 
-    fn take(&mut self, step: Step) -> Result<(), TestCaseError> {
+    fn apply(&mut self, step: Step) -> Result<(), TestCaseError> {
         match step {
             Step::Open {
                 item_tokens,
@@ -124,7 +125,7 @@
             }
             Step::Dispatch => self.dispatch()?,
             Step::Succeed(n) => {
-                if let Some(id) = self.nth_in_flight(n) {
+                if let Some(id) = self.choose_in_flight(n) {
                     let batch = self.batches.get_mut(&id).unwrap();
                     batch.served = batch.in_flight.take().unwrap().items.end;
                     self.successes += 1;
@@ -132,7 +133,7 @@
                 }
             }
             Step::Fail(n, failure) => {
-                if let Some(id) = self.nth_in_flight(n) {
+                if let Some(id) = self.choose_in_flight(n) {
                     let batch = self.batches.get_mut(&id).unwrap();
                     let slice = batch.in_flight.take().unwrap();
                     if failure == SliceFailure::Failed {
@@ -142,13 +143,13 @@
                 }
             }
             Step::Close(n) => {
-                if let Some(id) = nth(self.batches.keys().copied().collect(), n) {
+                if let Some(id) = choose(self.batches.keys().copied().collect(), n) {
                     self.scheduler.close(id);
                     self.batches.remove(&id);
                 }
             }
-            Step::Wait(span) => {
-                self.now += span;
+            Step::Wait(duration) => {
+                self.now += duration;
                 self.scheduler.tick(self.now);
                 prop_assert!(self.scheduler.next_wake().is_none_or(|at| at > self.now));
             }
@@ -182,13 +183,16 @@
             return Ok(());
         };
         let items = dispatch.items.clone();
-        let batch = self.batches.get_mut(&dispatch.batch).expect("it is open");
+        let batch = self
+            .batches
+            .get_mut(&dispatch.batch)
+            .expect("the dispatch is for an open batch");
         prop_assert!(batch.in_flight.is_none() && batch.outcome.is_none());
         prop_assert_eq!(items.start, batch.served);
         prop_assert!(items.end > items.start && items.end <= batch.items);
         prop_assert!(
             batch.is_idempotent || items.start >= batch.may_have_been_executed,
-            "executed twice"
+            "items of a non-idempotent batch were sent again after they may have been executed"
         );
         self.retries += usize::from(items.start < batch.may_have_been_executed);
         batch.in_flight = Some(dispatch);
@@ -197,8 +201,14 @@
 
     fn check_outcomes(&mut self) -> Result<(), TestCaseError> {
         while let Some((id, outcome)) = self.scheduler.next_outcome() {
-            let batch = self.batches.get_mut(&id).expect("it is open");
-            prop_assert!(batch.outcome.replace(outcome).is_none(), "two outcomes");
+            let batch = self
+                .batches
+                .get_mut(&id)
+                .expect("the outcome is for an open batch");
+            prop_assert!(
+                batch.outcome.replace(outcome).is_none(),
+                "the batch has two outcomes"
+            );
             let is_completed = outcome == BatchOutcome::Completed;
             prop_assert_eq!(is_completed, batch.served == batch.items);
             prop_assert!(outcome != BatchOutcome::DeadlineExceeded || self.now >= batch.deadline);
@@ -207,7 +217,7 @@
                 !is_rejected
                     || batch.is_idempotent
                     || batch.may_have_been_executed.max(batch.served) == 0,
-                "a retry is not harmless"
+                "a non-idempotent batch was rejected after items may have been executed"
             );
             batch.in_flight = None;
         }
@@ -223,9 +233,9 @@
             self.batches
                 .values()
                 .all(|b| b.outcome.is_some() || b.deadline >= self.now),
-            "too late"
+            "an open batch has no outcome after its deadline"
         );
-        // A share of the successes, and what may be saved.
+        // The budget starts with 10 retries, and each success adds 0.2.
         prop_assert!(self.retries as f64 <= 10.0 + 0.2 * f64::from(self.successes) + 1e-9);
         Ok(())
     }
@@ -237,7 +247,8 @@
     }
 }
 
-fn nth(mut ids: Vec<BatchId>, n: usize) -> Option<BatchId> {
+/// Selects one of the batches by index, modulo their number.
+fn choose(mut ids: Vec<BatchId>, n: usize) -> Option<BatchId> {
     ids.sort();
     if ids.is_empty() {
         return None;
@@ -245,10 +256,10 @@
     Some(ids[n % ids.len()])
 }
 
-fn check(steps: Vec<Step>) -> Result<(), TestCaseError> {
+fn check_steps(steps: Vec<Step>) -> Result<(), TestCaseError> {
     let mut model = Model::new();
     for step in steps {
-        model.take(step)?;
+        model.apply(step)?;
         model.check_outcomes()?;
         model.check_load_and_deadlines()?;
     }
@@ -271,6 +282,6 @@
     fn no_sequence_of_steps_violates_an_invariant(
         steps in proptest::collection::vec(step(), 1..120),
     ) {
-        check(steps)?;
+        check_steps(steps)?;
     }
 }
