--- a/crates/inference-api/src/batch.rs
+++ b/crates/inference-api/src/batch.rs
@@ -1,5 +1,5 @@
-//! Batch requests, which carry many items: embeddings and rerank. Items stay where they are in the
-//! body; a slice of them is encoded by copying their bytes.
+//! Batch requests, which contain many items: embeddings and rerank. Items are kept as byte ranges
+//! of the body, and a slice is encoded by copying the bytes of its items.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -15,24 +15,27 @@
 use crate::estimate_tokens;
 use crate::fields::{json_string, push_field, FieldReader, Fields};
 
-/// The most that `dimensions` may be.
+/// Maximum value of `dimensions`.
 const MAX_DIMENSIONS: u64 = 65_536;
-/// What a slice's body may need beside its items and shared fields.
-const ENCODING_OVERHEAD: usize = 64;
+/// Estimated size in bytes of a slice's body beside its items, their separators and the shared
+/// fields.
+const ENCODING_OVERHEAD_BYTES: usize = 64;
 
-/// The form of a batch request and of its response.
+/// Form of a batch request and of its response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BatchForm {
-    /// `/v1/embeddings`
+    /// Form of `/v1/embeddings`.
     Embeddings,
-    /// `/v1/rerank`: documents are strings or objects with a text; `return_documents` returns them.
+    /// Form of `/v1/rerank`. Documents are strings or objects with a `text`, and are included in
+    /// the response if `return_documents` is set.
     RerankV1,
-    /// `/v2/rerank`: documents are strings; the usage is under `meta`.
+    /// Form of `/v2/rerank`. Documents are strings, and the response has its token usage under
+    /// `meta`.
     RerankV2,
 }
 
 impl BatchForm {
-    /// The field that holds the items.
+    /// Returns the name of the field with the items.
     fn items_field(self) -> &'static str {
         match self {
             BatchForm::Embeddings => "input",
@@ -40,7 +43,7 @@
         }
     }
 
-    /// The path at which endpoints serve it: they know one form of rerank.
+    /// Returns the path of the request to an endpoint. Endpoints serve only one form of rerank.
     pub fn endpoint_path(self) -> &'static str {
         match self {
             BatchForm::Embeddings => "/v1/embeddings",
@@ -49,45 +52,46 @@
     }
 }
 
-/// The encoding of vectors that a client wants.
+/// Encoding of vectors in the response to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum VectorEncoding {
-    /// A list of numbers.
+    /// A JSON list of numbers.
     #[default]
     Float,
-    /// 32-bit numbers, little-endian, in base64.
+    /// Little-endian 32-bit floating-point numbers, encoded in base64.
     Base64,
 }
 
 /// A decoded batch request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Batch {
-    /// Its form.
+    /// Form of the request.
     pub form: BatchForm,
-    /// The model that the client names.
+    /// Name of the model, as the client sent it.
     pub model: String,
-    /// The user that the client names.
+    /// Value of `user` in the request.
     pub user: Option<String>,
-    /// The encoding of vectors that the client wants.
+    /// Encoding of vectors in the response.
     pub encoding: VectorEncoding,
-    /// The length of vectors that the client wants.
+    /// Number of dimensions of the vectors that the client requested.
     pub dimensions: Option<u64>,
-    /// How many results the client wants.
+    /// Maximum number of results in the response, if the client limits it.
     pub top_n: Option<usize>,
-    /// Whether documents are returned with their results.
+    /// Whether the response includes the document of each result.
     pub return_documents: bool,
-    /// The tokens that are sent with every slice: those of the query.
+    /// Number of tokens that are sent with every slice: those of the query.
     pub shared_tokens: u64,
-    /// The tokens of each item.
+    /// Number of tokens of each item.
     pub item_tokens: Vec<u32>,
     body: Bytes,
-    /// Where each item is in the body.
+    /// Byte range of each item in the body.
     items: Vec<Range<u32>>,
-    /// The encoded fields that are sent with every slice, except for the model's name.
+    /// Encoded fields that are sent with every slice, except for `model`. Each is followed by a
+    /// comma.
     shared_fields: String,
 }
 
-/// The fields that only one of the two kinds of batch has.
+/// Fields that only embeddings or only rerank requests have.
 #[derive(Default)]
 struct FormFields {
     encoding: VectorEncoding,
@@ -98,7 +102,7 @@
 }
 
 impl Batch {
-    /// Decodes a body.
+    /// Decodes the body of a request.
     pub fn decode(form: BatchForm, body: Bytes, limits: &BodyLimits) -> Result<Batch, ApiError> {
         limits.check(&body)?;
         let fields = Fields::decode(&body)?;
@@ -112,10 +116,14 @@
             BatchForm::RerankV1 | BatchForm::RerankV2 => FormFields::read_rerank(&mut reader),
         };
         reader.finish()?;
-        // The router selects results and returns documents when all slices have been served.
+        // The router itself applies `top_n` and `return_documents` when all slices have been
+        // served.
         let excluded = [form.items_field(), "model", "top_n", "return_documents"];
         let shared_fields = fields.encode_without(&excluded);
-        let items = raw_items.iter().map(|raw| range_in(&body, raw)).collect();
+        let items = raw_items
+            .iter()
+            .map(|raw| byte_range_in(&body, raw))
+            .collect();
         Ok(Batch {
             form,
             model,
@@ -132,33 +140,34 @@
         })
     }
 
-    /// The number of items.
+    /// Returns the number of items.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Whether there are no items, which decoding rejects.
+    /// Returns whether there are no items. Decoding rejects such batches.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// An item as it is in the body.
+    /// Returns an item as it is encoded in the body.
     pub(crate) fn item(&self, index: usize) -> &str {
         let Range { start, end } = self.items[index].clone();
         std::str::from_utf8(&self.body[start as usize..end as usize]).unwrap_or("null")
     }
 
-    /// The tokens of a slice.
+    /// Returns the number of tokens of a slice, the shared tokens included.
     pub fn slice_tokens(&self, slice: &Range<usize>) -> u64 {
         let items = self.item_tokens[slice.clone()].iter();
         self.shared_tokens + items.map(|tokens| u64::from(*tokens)).sum::<u64>()
     }
 
-    /// The body of a slice, for an endpoint that knows the model by this name.
+    /// Encodes the body of a slice for an endpoint. `model` is the endpoint's name of the model.
     pub fn encode(&self, slice: &Range<usize>, model: &str) -> Bytes {
         let items = self.items[slice.clone()].iter();
         let items_length: usize = items.map(ExactSizeIterator::len).sum();
-        let capacity = self.shared_fields.len() + items_length + slice.len() + ENCODING_OVERHEAD;
+        let capacity =
+            self.shared_fields.len() + items_length + slice.len() + ENCODING_OVERHEAD_BYTES;
         let mut text = String::with_capacity(capacity);
         text.push('{');
         text.push_str(&self.shared_fields);
@@ -208,13 +217,14 @@
     }
 }
 
-/// Where a value that was decoded from a body is in it.
-fn range_in(body: &Bytes, raw: &RawValue) -> Range<u32> {
+/// Returns the byte range of a value within the body from which it was decoded.
+fn byte_range_in(body: &Bytes, raw: &RawValue) -> Range<u32> {
     let start = raw.get().as_ptr() as usize - body.as_ptr() as usize;
     start as u32..(start + raw.get().len()) as u32
 }
 
-/// The items. One string, or one string as token ids, is a batch of one.
+/// Returns the items. A single input of embeddings, which is a string or a list of token ids, is a
+/// batch of one item.
 fn read_items<'a>(
     form: BatchForm,
     fields: &Fields<'a>,
@@ -223,7 +233,7 @@
 ) -> Vec<&'a RawValue> {
     let name = form.items_field();
     let Some(raw) = fields.get(name) else {
-        reader.report(name, "is needed: a list that is not empty");
+        reader.add_error(name, "is needed: a list that is not empty");
         return Vec::new();
     };
     if form == BatchForm::Embeddings && is_single_input(raw.get()) {
@@ -233,19 +243,19 @@
         return Vec::new();
     };
     if items.is_empty() {
-        reader.report(name, "must not be empty");
+        reader.add_error(name, "must not be empty");
     }
     items
 }
 
-/// Whether an input is a string or a list that begins with a number.
+/// Returns whether an input is a string or a list that begins with a number.
 fn is_single_input(text: &str) -> bool {
     let first_item = text.strip_prefix('[').map(str::trim_start);
     text.starts_with('"')
         || first_item.is_some_and(|item| item.starts_with(|c: char| c.is_ascii_digit()))
 }
 
-/// The tokens of each valid item.
+/// Returns the number of tokens of each valid item, and adds an error for each invalid one.
 fn read_item_tokens(
     form: BatchForm,
     raw_items: &[&RawValue],
@@ -255,11 +265,11 @@
     for (index, raw) in raw_items.iter().enumerate() {
         match count_item_tokens(form, raw) {
             Some(tokens) => all_tokens.push(u32::try_from(tokens).unwrap_or(u32::MAX)),
-            None if raw_items.len() == 1 && form == BatchForm::Embeddings => reader.report(
+            None if raw_items.len() == 1 && form == BatchForm::Embeddings => reader.add_error(
                 "input",
                 "must be a text, texts, or token ids that are whole numbers",
             ),
-            None => reader.report(
+            None => reader.add_error(
                 format!("{}[{index}]", form.items_field()),
                 "is not as the interface has it",
             ),
@@ -274,7 +284,8 @@
     text: Cow<'a, str>,
 }
 
-/// The tokens of an item; `None` if it is invalid. An empty string has no vector.
+/// Returns the number of tokens of an item, or `None` if it is invalid. An empty string is invalid
+/// for embeddings because it has no vector.
 fn count_item_tokens(form: BatchForm, raw: &RawValue) -> Option<u64> {
     let text = raw.get();
     match (text.as_bytes()[0], form) {
@@ -297,7 +308,7 @@
     }
 }
 
-/// The length of a list of token ids, which are not kept.
+/// Number of token ids in a list. The ids themselves are not kept.
 struct TokenIdCount(u64);
 
 impl<'de> Deserialize<'de> for TokenIdCount {
--- a/crates/inference-api/src/batch/tests.rs
+++ b/crates/inference-api/src/batch/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn embeddings_accept_a_string_strings_or_token_ids() {
+fn embeddings_accept_a_string_a_list_of_strings_or_token_ids() {
     for (input, tokens) in [
         (json!("part"), vec![1]),
         (json!(["a", "bcdef"]), vec![1, 2]),
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_slice_carries_all_fields_but_those_that_the_router_handles() {
+fn a_slice_contains_all_fields_except_for_those_that_the_router_applies() {
     let body = json!({
         "model": "alias",
         "query": "qqqq",
@@ -47,7 +47,7 @@
 
 #[test]
 fn invalid_fields_and_items_are_named_in_the_error() {
-    let good = json!({"model": "m", "query": "q", "documents": ["d"], "input": "a"});
+    let valid_body = json!({"model": "m", "query": "q", "documents": ["d"], "input": "a"});
     for (form, field, value, param) in [
         (BatchForm::Embeddings, "input", json!([]), "input"),
         (BatchForm::Embeddings, "input", json!(""), "input"),
@@ -95,7 +95,7 @@
         ),
         (BatchForm::RerankV1, "model", Value::Null, "model"),
     ] {
-        let mut body = good.clone();
+        let mut body = valid_body.clone();
         body[field] = value.clone();
         let error = decode(form, body).expect_err(field);
         assert_eq!(error.param.as_deref(), Some(param), "{value}");
@@ -111,7 +111,7 @@
     let body = json!({"model": "m", "input": ["a", "b", "c"]}).to_string();
     let error = Batch::decode(BatchForm::Embeddings, body.into(), &limits).unwrap_err();
     assert_eq!(error.param.as_deref(), Some("input"));
-    // The token ids of one string are not items.
+    // A list of token ids is one item.
     let body = json!({"model": "m", "input": [1, 2, 3, 4]}).to_string();
     assert!(Batch::decode(BatchForm::Embeddings, body.into(), &limits).is_ok());
 }
--- a/crates/inference-api/src/body_limits.rs
+++ b/crates/inference-api/src/body_limits.rs
@@ -1,16 +1,17 @@
-//! Limits of a request body that are checked before it is decoded. The check takes one pass and no
-//! memory. It does not say whether the body is JSON: decoding does.
+//! Limits of a request body that are checked before it is decoded. The check makes one pass over
+//! the body and allocates no memory. It does not detect invalid JSON, which decoding rejects.
 
 use crate::error::ApiError;
 
-/// The limits of a body.
+/// Limits of a request body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BodyLimits {
-    /// The most lists and objects nested within one another.
+    /// Maximum nesting depth of lists and objects.
     pub depth: usize,
-    /// The most bytes of one string.
+    /// Maximum length of a string in bytes.
     pub string_bytes: usize,
-    /// The most items of a list whose items are decoded: messages, inputs, documents, tools.
+    /// Maximum number of items of each list whose items are decoded: messages, inputs, documents
+    /// and tools.
     pub items: usize,
 }
 
@@ -25,7 +26,8 @@
 }
 
 impl BodyLimits {
-    /// Checks the nesting and the length of strings.
+    /// Checks the nesting depth and the length of strings. The number of items is checked when the
+    /// lists are decoded.
     pub fn check(&self, body: &[u8]) -> Result<(), ApiError> {
         let mut depth = 0_usize;
         let mut at = 0;
@@ -66,7 +68,8 @@
     }
 }
 
-/// The length of the string that begins here, without its closing quote.
+/// Returns the length in bytes of the string at the beginning of `text`, which follows the opening
+/// quote. Excludes the closing quote.
 fn string_length(text: &[u8]) -> usize {
     let mut at = 0;
     while at < text.len() {
--- a/crates/inference-api/src/body_limits/tests.rs
+++ b/crates/inference-api/src/body_limits/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the limits of bodies.
+//! Tests of the limits of request bodies.
 
 use super::*;
 
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn nesting_and_string_lengths_are_limited_whatever_the_strings_hold() {
+fn nesting_and_string_lengths_are_limited_whatever_the_strings_contain() {
     let code = |body: &str| LIMITS.check(body.as_bytes()).err().map(|e| e.code);
     assert_eq!(code("[[[1]],[[2]]]"), None);
     assert_eq!(code(r#"["[[[["]"#), None);
@@ -17,9 +17,10 @@
     assert_eq!(code("[[[[1]]]]"), Some("too_deep"));
     assert_eq!(code(r#"{"a":"123456"}"#), Some("text_too_long"));
     assert_eq!(code(r#"{"a":"12\"45"}"#), Some("text_too_long"));
-    // Decoding rejects what is not closed; the check does not read past the end.
-    for open in ["\"abc", "\"a\\", "[\"", "]]]]"] {
-        assert_eq!(code(open), None, "{open}");
+    // The check accepts unterminated and unbalanced bodies without reading past the end; decoding
+    // rejects them.
+    for invalid_body in ["\"abc", "\"a\\", "[\"", "]]]]"] {
+        assert_eq!(code(invalid_body), None, "{invalid_body}");
     }
     assert_eq!(code(&"[".repeat(100_000)), Some("too_deep"));
 }
--- a/crates/inference-api/src/chat.rs
+++ b/crates/inference-api/src/chat.rs
@@ -11,22 +11,22 @@
 use crate::estimate_tokens;
 use crate::fields::{json_string, push_field, FieldReader, Fields};
 
-/// A chat request, as far as the router needs it.
+/// The fields of a chat request that the router uses.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChatRequest {
-    /// The model that the client names.
+    /// Name of the model, as the client sent it.
     pub model: String,
-    /// Whether the client wants a stream.
+    /// Whether the client requested a stream.
     pub stream: bool,
-    /// The tokens of its messages and tools.
+    /// Estimated number of tokens of the messages and tools.
     pub prompt_tokens: u64,
-    /// The most tokens of the response, if the client limits them.
+    /// Maximum number of tokens of the response, if the client limits it.
     pub max_tokens: Option<u64>,
-    /// The user that the client names.
+    /// Value of `user` in the request.
     pub user: Option<String>,
 }
 
-/// The roles of messages.
+/// Valid roles of messages.
 const ROLES: [&str; 6] = [
     "system",
     "developer",
@@ -35,11 +35,11 @@
     "tool",
     "function",
 ];
-/// The types of `response_format`.
+/// Valid types of `response_format`.
 const RESPONSE_FORMATS: [&str; 3] = ["text", "json_object", "json_schema"];
-/// The most texts of `stop`.
-const MAX_STOP_TEXTS: usize = 4;
-/// The bytes of JSON that are taken as one token.
+/// Maximum number of stop sequences in `stop`.
+const MAX_STOP_SEQUENCES: usize = 4;
+/// Number of bytes of JSON that are counted as one token in estimates.
 const JSON_BYTES_PER_TOKEN: u64 = 4;
 
 #[derive(Deserialize)]
@@ -82,7 +82,7 @@
 }
 
 impl ChatRequest {
-    /// Decodes a body.
+    /// Decodes the body of a request.
     pub fn decode(body: &[u8], limits: &BodyLimits) -> Result<ChatRequest, ApiError> {
         limits.check(body)?;
         let fields = Fields::decode(body)?;
@@ -106,11 +106,12 @@
         })
     }
 
-    /// The body that an endpoint is sent, which knows the model as `model`.
+    /// Encodes the body of the request to an endpoint. `model` is the endpoint's name of the model.
     ///
-    /// Endpoints always stream, whatever the client wants: the deadline is that of the first token,
-    /// and an endpoint that stops responding is noticed. The body of a client that streams is
-    /// passed on as it is, unless endpoints know its model by another name.
+    /// The router always requests a stream, even if the client does not, because the deadline
+    /// applies to the first token, and because the router can then detect that an endpoint stops
+    /// responding. If the client requested a stream and endpoints use the same name of the model,
+    /// the body is passed on unchanged.
     pub fn encode(&self, body: &Bytes, model: &str) -> Result<Bytes, ApiError> {
         if self.stream && model == self.model {
             return Ok(body.clone());
@@ -134,37 +135,37 @@
     (raw.get().len() as u64).div_ceil(JSON_BYTES_PER_TOKEN)
 }
 
-/// Checks the messages and counts their tokens.
+/// Checks the messages and estimates the number of their tokens.
 fn read_messages(reader: &mut FieldReader, limits: &BodyLimits) -> u64 {
     reader.require("messages", "a list of messages");
     let Some(messages) = reader.list("messages", limits.items) else {
         return 0;
     };
     if messages.is_empty() {
-        reader.report("messages", "must not be empty");
+        reader.add_error("messages", "must not be empty");
     }
     let mut tokens = 0;
     for (index, raw) in messages.into_iter().enumerate() {
         let param = format!("messages[{index}]");
         match serde_json::from_str::<Message>(raw.get()) {
             Ok(message) => tokens += read_message(reader, &param, &message),
-            Err(_) => reader.report(param, "must be an object with a role and a content"),
+            Err(_) => reader.add_error(param, "must be an object with a role and a content"),
         }
     }
     tokens
 }
 
-/// Checks a message and counts its tokens.
+/// Checks a message and estimates the number of its tokens.
 fn read_message(reader: &mut FieldReader, param: &str, message: &Message) -> u64 {
     let role = message.role.as_deref();
     if !role.is_some_and(|role| ROLES.contains(&role)) {
-        reader.report(
+        reader.add_error(
             format!("{param}.role"),
             format!("must be one of {}", ROLES.join(", ")),
         );
     }
     if role == Some("tool") && message.tool_call_id.is_none() {
-        reader.report(
+        reader.add_error(
             format!("{param}.tool_call_id"),
             "is needed for a tool's message",
         );
@@ -173,7 +174,7 @@
     let content_tokens = match message.content.map(count_content_tokens) {
         Some(Some(tokens)) => tokens,
         Some(None) => {
-            reader.report(
+            reader.add_error(
                 format!("{param}.content"),
                 "must be a text, or a list of parts that each have a type",
             );
@@ -181,7 +182,7 @@
         }
         None => {
             if calls.is_none() {
-                reader.report(format!("{param}.content"), "is needed");
+                reader.add_error(format!("{param}.content"), "is needed");
             }
             0
         }
@@ -189,7 +190,7 @@
     content_tokens + calls.map_or(0, json_tokens)
 }
 
-/// The tokens of a message's content; `None` if it is invalid.
+/// Estimates the number of tokens of a message's content. Returns `None` if the content is invalid.
 fn count_content_tokens(raw: &RawValue) -> Option<u64> {
     let text = raw.get();
     if text.starts_with('"') {
@@ -208,7 +209,7 @@
     }
 }
 
-/// Checks the tools and counts their tokens, which belong to the prompt.
+/// Checks the tools and estimates the number of their tokens, which are part of the prompt.
 fn read_tools(reader: &mut FieldReader, limits: &BodyLimits) -> u64 {
     let mut tokens = 0;
     let tools = reader.list("tools", limits.items).unwrap_or_default();
@@ -219,7 +220,7 @@
             tool.r#type != "function" || function.is_some_and(|f| !f.name.is_empty())
         });
         if !is_valid {
-            reader.report(
+            reader.add_error(
                 format!("tools[{index}]"),
                 "must have a type and, for a function, its name",
             );
@@ -239,11 +240,12 @@
         |_| true,
     );
     if options.is_some_and(|o| o.include_usage.is_some()) && !is_stream {
-        reader.report("stream_options", "is for streams only");
+        reader.add_error("stream_options", "is for streams only");
     }
 }
 
-/// Checks the fields that control how the response is sampled. They are passed on unchanged.
+/// Checks the fields that control the sampling and the form of the response. They are passed on
+/// unchanged.
 fn check_sampling(reader: &mut FieldReader) {
     reader.number("temperature", 0.0..=2.0);
     reader.number("top_p", 0.0..=1.0);
@@ -255,7 +257,8 @@
     reader.integer("top_logprobs", 0..=20);
     reader.optional::<&RawValue>("stop", "a text or a list of at most 4 texts", |raw| {
         let list = serde_json::from_str::<Vec<Cow<str>>>(raw.get());
-        raw.get().starts_with('"') || list.is_ok_and(|texts| texts.len() <= MAX_STOP_TEXTS)
+        raw.get().starts_with('"')
+            || list.is_ok_and(|sequences| sequences.len() <= MAX_STOP_SEQUENCES)
     });
     reader.optional(
         "response_format",
--- a/crates/inference-api/src/chat/tests.rs
+++ b/crates/inference-api/src/chat/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn prompt_tokens_are_those_of_messages_calls_and_tools() {
+fn prompt_tokens_include_messages_tool_calls_and_tools() {
     let body = json!({"model": "m", "max_tokens": 5, "max_completion_tokens": 7, "user": "u",
         "messages": [{"role": "user", "content": "12345678"},
             {"role": "user", "content": [{"type": "text", "text": "1234"}, {"type": "image_url"}]},
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn endpoints_stream_and_unknown_fields_are_passed_on() {
+fn requests_to_endpoints_ask_for_a_stream_and_keep_unknown_fields() {
     let body = Bytes::from(
         r#"{"model":"alias","messages":[{"role":"user","content":"\u00e9"}],"x":{"y":[1]}}"#,
     );
@@ -104,7 +104,7 @@
         (&sent["x"], &sent["messages"][0]["content"]),
         (&json!({"y": [1]}), &json!("é"))
     );
-    // The body of a client that streams is not changed.
+    // The body is not changed if the client requested a stream and the model has the same name.
     let body =
         Bytes::from(r#"{ "model":"m","stream":true, "messages":[{"role":"user","content":"a"}]}"#);
     let chat = ChatRequest::decode(&body, &BodyLimits::default()).unwrap();
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn bodies_that_are_no_object_or_repeat_a_field_are_rejected() {
+fn bodies_that_are_not_an_object_or_repeat_a_field_are_rejected() {
     for body in [
         "",
         "[]",
--- a/crates/inference-api/src/chat_collector.rs
+++ b/crates/inference-api/src/chat_collector.rs
@@ -1,4 +1,4 @@
-//! Collects the events of a chat stream into the one response that a client gets which does not
+//! Collects the events of a chat stream into a single response, for a client that did not request a
 //! stream.
 
 use bytes::Bytes;
@@ -6,17 +6,18 @@
 
 use crate::events::{event_data, EventSplitter, InvalidEventStream};
 
-/// The most choices of a response, and tool calls of a choice.
-const MAX_INDEX: usize = 128;
+/// Maximum number of choices of a response and of tool calls of a choice.
+const MAX_LIST_LENGTH: usize = 128;
 
 /// Collects the events of a chat stream.
 #[derive(Debug, Default)]
 pub struct ChatCollector {
     events: EventSplitter,
-    /// The first chunk without its choices and usage.
+    /// Fields of the first chunk, without its choices and usage.
     envelope: Option<Map<String, Value>>,
     choices: Vec<Choice>,
     usage: Option<Value>,
+    /// Whether a chunk contained an error.
     has_error: bool,
     collected_bytes: usize,
 }
@@ -30,7 +31,7 @@
 }
 
 impl ChatCollector {
-    /// Adds data that arrived.
+    /// Adds received data of the stream.
     pub fn push(&mut self, data: &[u8]) -> Result<(), InvalidEventStream> {
         let Some(events) = self.events.push(data)? else {
             return Ok(());
@@ -43,7 +44,8 @@
         Ok(())
     }
 
-    /// The bytes of the events so far: an upper bound of what is held of them.
+    /// Returns the number of bytes of the events so far, as an upper bound of the size of what is
+    /// kept of them.
     pub fn collected_bytes(&self) -> usize {
         self.collected_bytes
     }
@@ -69,7 +71,7 @@
 
     fn push_choice(&mut self, mut choice: Map<String, Value>) -> Result<(), InvalidEventStream> {
         let index = choice.get("index").and_then(Value::as_u64).unwrap_or(0);
-        let target = slot(&mut self.choices, index)?;
+        let target = get_or_extend(&mut self.choices, index)?;
         if let Some(reason) = remove_non_null(&mut choice, "finish_reason") {
             target.finish_reason = reason;
         }
@@ -82,7 +84,8 @@
         Ok(())
     }
 
-    /// The complete response to the request with this id; `None` if it is not complete.
+    /// Returns the response to the request with this id, or `None` if the stream is not complete or
+    /// contained an error.
     pub fn finish(self, request_id: &str, model: &str) -> Option<Bytes> {
         let has_finished =
             !self.choices.is_empty() && self.choices.iter().all(|c| !c.finish_reason.is_null());
@@ -128,7 +131,7 @@
             return Err(InvalidEventStream);
         };
         let index = call.remove("index").and_then(|index| index.as_u64());
-        let target = slot(&mut self.tool_calls, index.unwrap_or(0))?;
+        let target = get_or_extend(&mut self.tool_calls, index.unwrap_or(0))?;
         for (name, value) in call {
             merge_field(target, name, value);
         }
@@ -157,10 +160,11 @@
     object.remove(name).filter(|value| !value.is_null())
 }
 
-/// The element at this index, which is added if it is missing.
-fn slot<T: Default>(list: &mut Vec<T>, index: u64) -> Result<&mut T, InvalidEventStream> {
+/// Returns the element at this index, and extends the list with default elements if it is too
+/// short.
+fn get_or_extend<T: Default>(list: &mut Vec<T>, index: u64) -> Result<&mut T, InvalidEventStream> {
     let index = usize::try_from(index).map_err(|_| InvalidEventStream)?;
-    if index >= MAX_INDEX {
+    if index >= MAX_LIST_LENGTH {
         return Err(InvalidEventStream);
     }
     if list.len() <= index {
@@ -169,7 +173,8 @@
     Ok(&mut list[index])
 }
 
-/// Merges a field of a delta. The fields that identify a tool call are not extended.
+/// Merges a field of a delta into an object. Keeps the first values of `id` and `type`, which
+/// identify a tool call and may be repeated.
 fn merge_field(object: &mut Map<String, Value>, name: String, delta: Value) {
     match object.get_mut(&name) {
         Some(_) if matches!(name.as_str(), "id" | "type") => {}
--- a/crates/inference-api/src/chat_collector/tests.rs
+++ b/crates/inference-api/src/chat_collector/tests.rs
@@ -46,24 +46,24 @@
         ..ProptestConfig::default()
     })]
     #[test]
-    fn however_a_stream_is_chunked_its_events_are_complete_and_collected(
+    fn events_are_split_and_collected_completely_for_any_chunk_lengths(
         chunk_lengths in proptest::collection::vec(1..40_usize, 1..60),
     ) {
         let text = stream();
         let mut events = EventSplitter::default();
         let mut collector = ChatCollector::default();
         let mut output = Vec::new();
-        let mut rest = text.as_bytes();
+        let mut unread = text.as_bytes();
         let mut chunk_lengths = chunk_lengths.into_iter().cycle();
-        while !rest.is_empty() {
-            let length = chunk_lengths.next().unwrap_or(1).min(rest.len());
-            let (chunk, remaining) = rest.split_at(length);
+        while !unread.is_empty() {
+            let length = chunk_lengths.next().unwrap_or(1).min(unread.len());
+            let (chunk, remaining) = unread.split_at(length);
             if let Some(complete) = events.push(chunk).unwrap() {
                 prop_assert!(complete.ends_with(b"\n\n") || complete.ends_with(b"\r\n\r\n"));
                 output.extend_from_slice(&complete);
             }
             collector.push(chunk).unwrap();
-            rest = remaining;
+            unread = remaining;
         }
         prop_assert_eq!(output, text.as_bytes());
         prop_assert!(events.is_done());
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn an_incomplete_response_is_not_returned() {
+fn incomplete_and_failed_streams_yield_no_response() {
     let collector = |text: &str| {
         let mut collector = ChatCollector::default();
         collector
--- a/crates/inference-api/src/error.rs
+++ b/crates/inference-api/src/error.rs
@@ -1,8 +1,8 @@
-//! Errors in the form of the API: `{"error": {"message", "type", "param", "code"}}`.
+//! Errors as the API encodes them: `{"error": {"message", "type", "param", "code"}}`.
 
 use serde::Serialize;
 
-/// The kind of an error: the `type` of the API.
+/// Kind of an error, which the API encodes as its `type`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum ErrorKind {
     /// The request is invalid.
@@ -16,19 +16,19 @@
     Server,
 }
 
-/// An error, and the status of its response.
+/// An error of the API, with the status of its response.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{code}: {message}")]
 pub struct ApiError {
-    /// The HTTP status.
+    /// HTTP status of the response.
     pub status: u16,
-    /// Its `type`.
+    /// Kind of the error, the `type` of the response.
     pub kind: ErrorKind,
-    /// Its `code`.
+    /// Machine-readable code, the `code` of the response.
     pub code: &'static str,
-    /// The field or header that is wrong.
+    /// Name of the invalid field or header.
     pub param: Option<String>,
-    /// The message for people.
+    /// Message for human readers.
     pub message: String,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl ApiError {
-    /// An invalid request.
+    /// Creates an error for an invalid request.
     pub fn invalid(
         status: u16,
         code: &'static str,
@@ -62,12 +62,12 @@
         }
     }
 
-    /// An invalid value: 400 `invalid_value`.
+    /// Creates an error for an invalid value, with status 400 and the code `invalid_value`.
     pub fn invalid_value(param: &str, message: impl Into<String>) -> Self {
         ApiError::invalid(400, "invalid_value", Some(param), message)
     }
 
-    /// A failure of the service.
+    /// Creates an error for a failure of the service.
     pub fn server(status: u16, code: &'static str, message: impl Into<String>) -> Self {
         ApiError {
             status,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The body of the response.
+    /// Encodes the error as the body of a response.
     pub fn to_json(&self) -> String {
         let body = ErrorBody {
             error: ErrorDetail {
@@ -91,7 +91,7 @@
         serde_json::to_string(&body).unwrap_or_default()
     }
 
-    /// The error as the last event of a stream.
+    /// Encodes the error as the last event of a stream.
     pub fn to_event(&self) -> String {
         format!("data: {}\n\n", self.to_json())
     }
--- a/crates/inference-api/src/events.rs
+++ b/crates/inference-api/src/events.rs
@@ -1,40 +1,43 @@
-//! Server-sent events: splitting a stream into complete events, and their data.
+//! Server-sent events: splits a stream into complete events and decodes their data.
 
 use bytes::{Bytes, BytesMut};
 
-/// The most bytes of one event.
+/// Maximum size of an event in bytes.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
-/// What ends an event.
-const EVENT_ENDS: [&[u8]; 3] = [b"\n\n", b"\r\n\r\n", b"\r\r"];
-/// The most bytes of an event's end that may have arrived before its last byte.
-const MAX_PARTIAL_END: usize = 3;
-/// The data of the event that ends a response.
+/// Byte sequences that terminate an event.
+const EVENT_TERMINATORS: [&[u8]; 3] = [b"\n\n", b"\r\n\r\n", b"\r\r"];
+/// Maximum number of bytes of a terminator that may have been received before its last byte.
+const MAX_PARTIAL_TERMINATOR_BYTES: usize = 3;
+/// Data of the last event of a response.
 const DONE: &str = "[DONE]";
 
-/// The stream does not consist of events.
+/// Error for a stream that does not consist of valid events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the stream is not one of events")]
 pub struct InvalidEventStream;
 
-/// Splits a stream into runs of complete events, so that a stream that breaks off never leaves a
-/// part of one.
+/// Splits a stream into sequences of complete events, so that no partial event is passed on if the
+/// stream is interrupted.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// How many bytes of the buffer have been searched for the end of an event.
-    searched: usize,
+    /// Number of bytes of the buffer that have been searched for a terminator.
+    searched_bytes: usize,
+    /// Whether the last event of the response has been received.
     done: bool,
 }
 
 impl EventSplitter {
-    /// Adds data that arrived; returns all complete events that have not been returned yet, if
-    /// there are any.
+    /// Adds received data. Returns the bytes of all complete events that have not been returned
+    /// yet, if there are any.
     pub fn push(&mut self, data: &[u8]) -> Result<Option<Bytes>, InvalidEventStream> {
         self.buffer.extend_from_slice(data);
         let mut complete = 0;
-        let mut at = self.searched.saturating_sub(MAX_PARTIAL_END);
+        let mut at = self
+            .searched_bytes
+            .saturating_sub(MAX_PARTIAL_TERMINATOR_BYTES);
         while at < self.buffer.len() {
-            match event_end_length(&self.buffer[at..]) {
+            match terminator_length(&self.buffer[at..]) {
                 Some(length) => {
                     at += length;
                     self.done |= is_done(&self.buffer[complete..at]);
@@ -43,8 +46,8 @@
                 None => at += 1,
             }
         }
-        self.searched = self.buffer.len() - complete;
-        if self.searched > MAX_EVENT_BYTES {
+        self.searched_bytes = self.buffer.len() - complete;
+        if self.searched_bytes > MAX_EVENT_BYTES {
             return Err(InvalidEventStream);
         }
         if complete == 0 {
@@ -53,20 +56,22 @@
         Ok(Some(self.buffer.split_to(complete).freeze()))
     }
 
-    /// Whether the event that ends a response has arrived.
+    /// Returns whether the last event of the response (`[DONE]`) has been received.
     pub fn is_done(&self) -> bool {
         self.done
     }
 }
 
-/// The length of the event's end that these bytes begin with, if they do.
-fn event_end_length(bytes: &[u8]) -> Option<usize> {
-    let end = EVENT_ENDS.iter().find(|end| bytes.starts_with(end))?;
-    Some(end.len())
+/// Returns the length of the terminator with which the bytes begin, if they begin with one.
+fn terminator_length(bytes: &[u8]) -> Option<usize> {
+    let terminator = EVENT_TERMINATORS
+        .iter()
+        .find(|terminator| bytes.starts_with(terminator))?;
+    Some(terminator.len())
 }
 
-/// The data of each of these complete events, which [`EventSplitter::push`] returned, except for
-/// the one that ends a response.
+/// Returns the data of each event in a sequence of complete events, as [`EventSplitter::push`]
+/// returns it. Excludes events without data and the last event of the response (`[DONE]`).
 pub fn event_data(events: &[u8]) -> Result<Vec<String>, InvalidEventStream> {
     let text = std::str::from_utf8(events)
         .map_err(|_| InvalidEventStream)?
@@ -83,7 +88,7 @@
     data_of_event(event).is_some_and(|data| data == DONE)
 }
 
-/// The data of an event; `None` if it has none.
+/// Returns the data of an event, or `None` if the event has no data.
 fn data_of_event(event: &str) -> Option<String> {
     let lines: Vec<&str> = event
         .lines()
--- a/crates/inference-api/src/fields.rs
+++ b/crates/inference-api/src/fields.rs
@@ -1,6 +1,6 @@
-//! The fields of a JSON object, left where they stand in the body, so that no memory is spent on
-//! what is only passed on. A name may occur once: of two fields with one name, the next reader of
-//! the body might take the other.
+//! The fields of a JSON object as references into the body, so that values that are only passed on
+//! are not copied. Duplicate names are rejected: another parser of the same body might use the
+//! other value.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -12,10 +12,10 @@
 
 use crate::error::ApiError;
 
-/// The most fields of an object. The API defines far fewer.
+/// Maximum number of fields of an object. The API defines far fewer.
 const MAX_FIELDS: usize = 256;
 
-/// The fields of an object, in their order.
+/// The fields of an object, in the order of the body.
 #[derive(Debug, Default)]
 pub(crate) struct Fields<'a>(Vec<(Cow<'a, str>, &'a RawValue)>);
 
@@ -31,7 +31,7 @@
 
             fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Fields<'de>, A::Error> {
                 let mut fields: Vec<(Cow<'de, str>, &'de RawValue)> = Vec::new();
-                while let Some(Name(name)) = map.next_key()? {
+                while let Some(FieldName(name)) = map.next_key()? {
                     if fields.iter().any(|(n, _)| *n == name) {
                         return Err(serde::de::Error::custom(format_args!(
                             "{name:?} stands twice"
@@ -49,25 +49,25 @@
     }
 }
 
-/// A field's name, borrowed if it holds no escapes.
-struct Name<'a>(Cow<'a, str>);
+/// A field's name, borrowed from the body unless it contains escapes.
+struct FieldName<'a>(Cow<'a, str>);
 
-impl<'de: 'a, 'a> Deserialize<'de> for Name<'a> {
+impl<'de: 'a, 'a> Deserialize<'de> for FieldName<'a> {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         struct NameVisitor;
         impl<'de> Visitor<'de> for NameVisitor {
-            type Value = Name<'de>;
+            type Value = FieldName<'de>;
 
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
                 f.write_str("a name")
             }
 
-            fn visit_borrowed_str<E>(self, text: &'de str) -> Result<Name<'de>, E> {
-                Ok(Name(Cow::Borrowed(text)))
+            fn visit_borrowed_str<E>(self, text: &'de str) -> Result<FieldName<'de>, E> {
+                Ok(FieldName(Cow::Borrowed(text)))
             }
 
-            fn visit_str<E>(self, text: &str) -> Result<Name<'de>, E> {
-                Ok(Name(Cow::Owned(text.to_owned())))
+            fn visit_str<E>(self, text: &str) -> Result<FieldName<'de>, E> {
+                Ok(FieldName(Cow::Owned(text.to_owned())))
             }
         }
         deserializer.deserialize_str(NameVisitor)
@@ -75,7 +75,7 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Decodes a body.
+    /// Decodes a body, which must be a JSON object.
     pub(crate) fn decode(body: &'a [u8]) -> Result<Fields<'a>, ApiError> {
         serde_json::from_slice(body).map_err(|error| {
             let message = format!("not a JSON object: {error}");
@@ -83,7 +83,7 @@
         })
     }
 
-    /// The value of a field; null counts as absent.
+    /// Returns the value of a field, or `None` if the field is absent or null.
     pub(crate) fn get(&self, name: &str) -> Option<&'a RawValue> {
         let (_, value) = self.0.iter().find(|(n, _)| n == name)?;
         if value.get() == "null" {
@@ -92,7 +92,7 @@
         Some(value)
     }
 
-    /// Encodes all fields but these, each followed by a comma.
+    /// Encodes all fields except for the excluded ones, each followed by a comma.
     pub(crate) fn encode_without(&self, excluded: &[&str]) -> String {
         let mut text = String::new();
         for (name, value) in &self.0 {
@@ -109,7 +109,7 @@
     serde_json::to_string(text).unwrap_or_default()
 }
 
-/// Appends a field and a comma.
+/// Appends a field, whose value is already encoded, and a comma.
 pub(crate) fn push_field(text: &mut String, name: &str, value: &str) {
     text.push_str(&json_string(name));
     text.push(':');
@@ -117,36 +117,37 @@
     text.push(',');
 }
 
-/// What is wrong with a field.
-struct Problem {
+/// An invalid or missing field.
+struct FieldError {
     param: String,
     message: String,
 }
 
-/// Decodes known fields, and collects the problems of all of them.
+/// Decodes known fields and collects the errors of all of them.
 pub(crate) struct FieldReader<'f, 'a> {
     fields: &'f Fields<'a>,
-    problems: Vec<Problem>,
+    field_errors: Vec<FieldError>,
 }
 
 impl<'f, 'a> FieldReader<'f, 'a> {
-    /// A reader of these fields.
+    /// Creates a reader of these fields.
     pub(crate) fn new(fields: &'f Fields<'a>) -> Self {
         FieldReader {
             fields,
-            problems: Vec::new(),
+            field_errors: Vec::new(),
         }
     }
 
-    /// Reports a problem with a field.
-    pub(crate) fn report(&mut self, param: impl Into<String>, message: impl Into<String>) {
-        self.problems.push(Problem {
+    /// Adds an error for a field. Its message continues the name of the field.
+    pub(crate) fn add_error(&mut self, param: impl Into<String>, message: impl Into<String>) {
+        self.field_errors.push(FieldError {
             param: param.into(),
             message: message.into(),
         });
     }
 
-    /// An optional field. `expected` describes a valid value.
+    /// Decodes an optional field. Returns `None` if it is absent or invalid, and adds an error if
+    /// it is invalid. `expected` describes a valid value.
     pub(crate) fn optional<T: Deserialize<'a>>(
         &mut self,
         name: &str,
@@ -157,37 +158,37 @@
         match serde_json::from_str::<T>(raw.get()) {
             Ok(value) if is_valid(&value) => Some(value),
             _ => {
-                self.report(name, format!("must be {expected}"));
+                self.add_error(name, format!("must be {expected}"));
                 None
             }
         }
     }
 
-    /// Reports a field that is absent.
+    /// Adds an error if the field is absent.
     pub(crate) fn require(&mut self, name: &str, expected: &str) {
         if self.fields.get(name).is_none() {
-            self.report(name, format!("is needed: {expected}"));
+            self.add_error(name, format!("is needed: {expected}"));
         }
     }
 
-    /// A string that must be present and not empty.
+    /// Decodes a string that must be present and not empty. Returns an empty string after an error.
     pub(crate) fn required_string(&mut self, name: &str, expected: &str) -> String {
         self.require(name, expected);
         self.optional::<String>(name, expected, |text| !text.is_empty())
             .unwrap_or_default()
     }
 
-    /// An optional string.
+    /// Decodes an optional string.
     pub(crate) fn string(&mut self, name: &str) -> Option<String> {
         self.optional(name, "a text", |_| true)
     }
 
-    /// An optional boolean.
+    /// Decodes an optional boolean.
     pub(crate) fn boolean(&mut self, name: &str) -> Option<bool> {
         self.optional(name, "true or false", |_| true)
     }
 
-    /// An optional whole number within a range.
+    /// Decodes an optional integer within a range.
     pub(crate) fn integer(&mut self, name: &str, range: RangeInclusive<u64>) -> Option<u64> {
         let expected = match (*range.start(), *range.end()) {
             (low, u64::MAX) => format!("a whole number of at least {low}"),
@@ -196,32 +197,33 @@
         self.optional(name, &expected, |n| range.contains(n))
     }
 
-    /// An optional number within a range.
+    /// Decodes an optional number within a range.
     pub(crate) fn number(&mut self, name: &str, range: RangeInclusive<f64>) -> Option<f64> {
         let expected = format!("a number from {} to {}", range.start(), range.end());
         self.optional(name, &expected, |n| range.contains(n))
     }
 
-    /// The items of an optional list, at most `limit`; `None` if it is absent or invalid.
+    /// Returns the items of an optional list, or `None` if it is absent, invalid or longer than
+    /// `limit`.
     pub(crate) fn list(&mut self, name: &str, limit: usize) -> Option<Vec<&'a RawValue>> {
         let items: Vec<&'a RawValue> = self.optional(name, "a list", |_| true)?;
         if items.len() > limit {
             let message = format!("holds {} items, more than {limit}", items.len());
-            self.report(name, message);
+            self.add_error(name, message);
             return None;
         }
         Some(items)
     }
 
-    /// Returns one error that names every field with a problem, if there are any.
+    /// Returns one error that names all invalid and missing fields, if there are any.
     pub(crate) fn finish(self) -> Result<(), ApiError> {
-        let Some(first) = self.problems.first() else {
+        let Some(first) = self.field_errors.first() else {
             return Ok(());
         };
         let messages: Vec<String> = self
-            .problems
+            .field_errors
             .iter()
-            .map(|problem| format!("{} {}", problem.param, problem.message))
+            .map(|field_error| format!("{} {}", field_error.param, field_error.message))
             .collect();
         Err(ApiError::invalid_value(&first.param, messages.join("; ")))
     }
--- a/crates/inference-api/src/lib.rs
+++ b/crates/inference-api/src/lib.rs
@@ -1,9 +1,10 @@
 //! The messages of the public inference API, without I/O: chat completions, embeddings, rerank and
 //! models.
 //!
-//! A body is checked against [`BodyLimits`] before memory is spent on it, decoded once into a typed
-//! value, and encoded once. What is large (documents, inputs) stays where it is in the body and is
-//! passed on byte by byte; fields that this package does not know are passed on too.
+//! A body is checked against [`BodyLimits`] before memory is allocated for it, decoded once into a
+//! typed value, and encoded once. Large values such as documents and inputs are not copied while
+//! they are decoded; their bytes are passed on unchanged. Fields that this package does not know
+//! are passed on too.
 
 pub mod batch;
 pub mod body_limits;
@@ -26,10 +27,10 @@
 pub use models::{ApiEndpoint, CatalogError, Model, ModelCatalog, PerEndpoint, ResolvedModel};
 pub use slice_result::{ResultError, SliceResult};
 
-/// The characters of a text that are taken as one token.
+/// Number of characters that are counted as one token in estimates.
 const CHARS_PER_TOKEN: u64 = 4;
 
-/// An estimate of the tokens of a text.
+/// Estimates the number of tokens of a text.
 pub fn estimate_tokens(text: &str) -> u64 {
     (text.chars().count() as u64).div_ceil(CHARS_PER_TOKEN)
 }
--- a/crates/inference-api/src/merge.rs
+++ b/crates/inference-api/src/merge.rs
@@ -1,4 +1,4 @@
-//! Merges the results of a batch's slices into the one response that the client gets.
+//! Merges the results of a batch's slices into a single response to the client.
 
 use std::ops::Range;
 
@@ -8,20 +8,21 @@
 use crate::fields::json_string;
 use crate::slice_result::{ItemResult, ResultError, SliceResult};
 
-/// The results of all items of a batch.
+/// Results of all items of a batch.
 struct MergedResults {
     items: Vec<ItemResult>,
     prompt_tokens: u64,
     total_tokens: u64,
 }
 
-/// The result of a reranked item.
+/// Score of a reranked item.
 struct ItemScore {
     index: usize,
     score: f64,
 }
 
-/// Merges the results of slices that cover the whole batch, in their order.
+/// Merges the results of slices into the body of the response. The slices must be in order and
+/// cover the whole batch.
 pub fn merge_results(
     batch: &Batch,
     request_id: &str,
@@ -109,7 +110,7 @@
     }
 }
 
-/// The highest scores first, at most `top_n`. Equal scores stay in the client's order.
+/// Returns at most `top_n` scores, the highest first. Equal scores stay in the order of the items.
 fn best_scores(
     items: Vec<ItemResult>,
     top_n: Option<usize>,
@@ -137,7 +138,8 @@
     format!(r#"{{"index":{index},"relevance_score":{score}{document}}}"#)
 }
 
-/// The field with which a document is returned: an object as it is, a string as the text of one.
+/// Encodes the `document` field of a result. An object is returned unchanged, and a string becomes
+/// the `text` of an object.
 fn returned_document(item: &str) -> String {
     if item.starts_with('{') {
         format!(r#","document":{item}"#)
--- a/crates/inference-api/src/merge/tests.rs
+++ b/crates/inference-api/src/merge/tests.rs
@@ -19,12 +19,13 @@
 }
 
 fn scores(list: &[(usize, f64)]) -> Value {
-    let one = |(index, score): &(usize, f64)| json!({"index": index, "relevance_score": score});
-    json!({"results": list.iter().map(one).collect::<Vec<_>>(), "usage": {"total_tokens": 5}})
+    let score_object =
+        |(index, score): &(usize, f64)| json!({"index": index, "relevance_score": score});
+    json!({"results": list.iter().map(score_object).collect::<Vec<_>>(), "usage": {"total_tokens": 5}})
 }
 
 #[test]
-fn rerank_slices_merge_in_the_numbering_of_the_client() {
+fn merged_rerank_results_have_the_indices_of_the_whole_batch() {
     let documents = json!(["a", {"text": "b"}, "c", "d"]);
     let body = json!({
         "model": "m",
@@ -64,7 +65,7 @@
     let merged = value(merge_results(&v2, "r2", slices.clone()));
     assert_eq!(merged["meta"]["tokens"]["input_tokens"], json!(10));
     assert_eq!(merged["results"].as_array().unwrap().len(), 4);
-    // Parts that do not cover the batch make no response.
+    // Slices that do not cover the batch are not merged.
     assert_eq!(
         merge_results(&v1, "r", slices[..1].to_vec()),
         Err(ResultError::MissingItem)
@@ -76,18 +77,18 @@
 }
 
 #[test]
-fn vectors_are_returned_in_the_wanted_encoding_whichever_the_endpoint_used() {
+fn vectors_are_returned_in_the_requested_encoding_whichever_the_endpoint_used() {
     let base64 = BASE64_STANDARD.encode([0.5_f32, -2.0].map(f32::to_le_bytes).concat());
-    for (format, wanted) in [("float", json!([0.5, -2.0])), ("base64", json!(base64))] {
+    for (format, expected) in [("float", json!([0.5, -2.0])), ("base64", json!(base64))] {
         let body = json!({"model": "m", "input": ["a", "b"], "encoding_format": format});
         let batch = batch(BatchForm::Embeddings, body);
-        for given in [json!([0.5, -2.0]), json!(base64)] {
-            let item = |index: usize| json!({"index": index, "embedding": given});
+        for from_endpoint in [json!([0.5, -2.0]), json!(base64)] {
+            let item = |index: usize| json!({"index": index, "embedding": from_endpoint});
             let usage = json!({"prompt_tokens": 2, "total_tokens": 2});
             let response = json!({"data": [item(1), item(0)], "usage": usage});
             let result = slice_result(&batch, 2, response).unwrap();
             let merged = value(merge_results(&batch, "e", vec![(0..2, result)]));
-            assert_eq!(merged["data"][1]["embedding"], wanted);
+            assert_eq!(merged["data"][1]["embedding"], expected);
             assert_eq!(
                 merged["usage"],
                 json!({"prompt_tokens": 2, "total_tokens": 2})
--- a/crates/inference-api/src/models.rs
+++ b/crates/inference-api/src/models.rs
@@ -1,4 +1,5 @@
-//! The models by their names, and the class of request that each is served as at each endpoint.
+//! The catalog of models: their names and aliases, and the class of the requests to each model at
+//! each endpoint of the API.
 
 use std::collections::HashSet;
 
@@ -7,29 +8,29 @@
 
 use crate::error::ApiError;
 
-/// The most bytes of a model's name.
+/// Maximum length of a model's name in bytes.
 const MAX_NAME_BYTES: usize = 200;
 
-/// An endpoint of the API.
+/// An endpoint of the public API, as opposed to a model server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ApiEndpoint {
-    /// `/v1/chat/completions`
+    /// Endpoint `/v1/chat/completions`.
     Chat,
-    /// `/v1/embeddings`
+    /// Endpoint `/v1/embeddings`.
     Embeddings,
-    /// `/v1/rerank`, `/v2/rerank`
+    /// Endpoints `/v1/rerank` and `/v2/rerank`.
     Rerank,
 }
 
 impl ApiEndpoint {
-    /// All endpoints.
+    /// All endpoints of the API.
     pub const ALL: [ApiEndpoint; 3] = [
         ApiEndpoint::Chat,
         ApiEndpoint::Embeddings,
         ApiEndpoint::Rerank,
     ];
 
-    /// Its name in the operator's file and in the list of models.
+    /// Returns the name of the endpoint in the operator's file and in the list of models.
     pub fn name(self) -> &'static str {
         match self {
             ApiEndpoint::Chat => "chat",
@@ -42,16 +43,16 @@
 /// A value for each endpoint of the API.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PerEndpoint<T> {
-    /// For [`ApiEndpoint::Chat`].
+    /// Value for [`ApiEndpoint::Chat`].
     pub chat: T,
-    /// For [`ApiEndpoint::Embeddings`].
+    /// Value for [`ApiEndpoint::Embeddings`].
     pub embeddings: T,
-    /// For [`ApiEndpoint::Rerank`].
+    /// Value for [`ApiEndpoint::Rerank`].
     pub rerank: T,
 }
 
 impl<T> PerEndpoint<T> {
-    /// The value of an endpoint.
+    /// Returns the value for an endpoint of the API.
     pub fn get(&self, endpoint: ApiEndpoint) -> &T {
         match endpoint {
             ApiEndpoint::Chat => &self.chat,
@@ -61,21 +62,22 @@
     }
 }
 
-/// A model.
+/// A model of the catalog.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Model {
-    /// The name that endpoints of the service know.
+    /// Name by which the model servers know the model.
     pub name: String,
-    /// Further names that clients may use.
+    /// Additional names that clients may use.
     pub aliases: Vec<String>,
-    /// The class that it is served as; none where it is not served.
+    /// Index of the class of the requests at each endpoint of the API, or `None` if the endpoint
+    /// does not serve the model.
     pub classes: PerEndpoint<Option<usize>>,
-    /// The kinds of server that have it, a bit for each; absent for all kinds.
+    /// Kinds of model servers that have the model, as a bit set. `None` stands for all kinds.
     pub kinds: Option<u64>,
 }
 
 impl Model {
-    /// Its names: the one that endpoints know first.
+    /// Returns the name of the model and then its aliases.
     fn names(&self) -> impl Iterator<Item = &String> {
         std::iter::once(&self.name).chain(&self.aliases)
     }
@@ -85,45 +87,45 @@
     }
 }
 
-/// A model that a request names.
+/// The catalog's data on the model that a request names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResolvedModel<'a> {
-    /// The name that endpoints of the service know.
+    /// Name by which the model servers know the model.
     pub name: &'a str,
-    /// The class, if the catalog has the model.
+    /// Index of the class of the request, or `None` if the catalog is empty.
     pub class: Option<usize>,
-    /// The kinds of server that have it.
+    /// Kinds of model servers that have the model, as a bit set. `None` stands for all kinds.
     pub kinds: Option<u64>,
 }
 
-/// Why models make no catalog. Each text names the key in the operator's file.
+/// Reason why a catalog is invalid. Each message begins with the key in the operator's file.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CatalogError {
-    /// A name is empty, too long or not printable.
-    #[error("{key}: {name:?} is no name")]
+    /// A name is empty, too long, or contains a control character.
+    #[error("{key}: {name:?} must have 1 to {MAX_NAME_BYTES} bytes and no control characters")]
     InvalidName {
-        /// The key.
+        /// Key in the operator's file.
         key: String,
-        /// The name.
+        /// Name in the operator's file.
         name: String,
     },
-    /// A name is used twice.
-    #[error("{key}: {name:?} is the name of another model")]
+    /// A name is used more than once.
+    #[error("{key}: the name {name:?} is used more than once")]
     DuplicateName {
-        /// The key.
+        /// Key in the operator's file.
         key: String,
-        /// The name.
+        /// Name in the operator's file.
         name: String,
     },
-    /// A model has no class at any endpoint.
-    #[error("models[{index}]: serves no endpoint")]
+    /// No endpoint of the API serves a model.
+    #[error("models[{index}]: sets none of chat, embeddings and rerank")]
     NoEndpoint {
-        /// The index of the model.
+        /// Index of the model in the operator's file.
         index: usize,
     },
 }
 
-/// All models. An empty catalog accepts any name.
+/// A catalog of models. An empty catalog accepts any name.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ModelCatalog(Vec<Model>);
 
@@ -139,7 +141,8 @@
 }
 
 impl ModelCatalog {
-    /// A catalog, unless a name is invalid or used twice, or a model serves no endpoint.
+    /// Creates a catalog. Returns an error if a name is invalid or used more than once, or if no
+    /// endpoint of the API serves a model.
     pub fn new(models: Vec<Model>) -> Result<ModelCatalog, CatalogError> {
         let mut names = HashSet::new();
         for (index, model) in models.iter().enumerate() {
@@ -154,7 +157,7 @@
         Ok(ModelCatalog(models))
     }
 
-    /// Whether any name is accepted.
+    /// Returns whether the catalog is empty, so that any name is accepted.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -163,7 +166,7 @@
         self.0.iter().find(|m| m.names().any(|n| n == name))
     }
 
-    /// The model that a name stands for at an endpoint.
+    /// Finds the model with this name or alias for an endpoint of the API.
     pub fn resolve<'a>(
         &'a self,
         name: &'a str,
@@ -188,7 +191,7 @@
         })
     }
 
-    /// The response to `/v1/models`: every name that a client may use.
+    /// Encodes the response to `/v1/models`, which lists every name that a client may use.
     pub fn list(&self) -> String {
         let models = self.0.iter();
         let data: Vec<ModelObject> = models
@@ -197,7 +200,7 @@
         json!({"object": "list", "data": data}).to_string()
     }
 
-    /// The response to `/v1/models/{id}`.
+    /// Encodes the response to `/v1/models/{id}`.
     pub fn show(&self, name: &str) -> Result<String, ApiError> {
         let model = self.find(name).ok_or_else(|| unknown_model(name))?;
         Ok(serde_json::to_string(&model_object(model, name)).unwrap_or_default())
--- a/crates/inference-api/src/models/tests.rs
+++ b/crates/inference-api/src/models/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn models_are_resolved_by_name_and_alias_and_others_are_not_found() {
+fn models_are_resolved_by_name_and_alias_and_unknown_names_are_not_found() {
     let all = vec![
         model("parts-chat", &["gpt"], CHAT_ONLY),
         model(
@@ -69,7 +69,7 @@
         (vec![model("", &[], CHAT_ONLY)], "models[0].name"),
         (
             vec![model("a", &[], PerEndpoint::default())],
-            "models[0]: serves no endpoint",
+            "models[0]: sets none of chat, embeddings and rerank",
         ),
     ] {
         let error = ModelCatalog::new(models).unwrap_err().to_string();
--- a/crates/inference-api/src/slice_result.rs
+++ b/crates/inference-api/src/slice_result.rs
@@ -1,4 +1,4 @@
-//! An endpoint's response to a slice of a batch, checked item by item.
+//! Decodes and checks the response of an endpoint to a slice of a batch.
 
 use std::borrow::Cow;
 
@@ -8,41 +8,43 @@
 
 use crate::batch::{Batch, BatchForm, VectorEncoding};
 
-/// Why an endpoint's response to a slice cannot be used.
+/// Reason why an endpoint's response to a slice cannot be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ResultError {
-    /// It is not the JSON of the API.
+    /// The response is not JSON of the expected form.
     #[error("the server's answer is not as the interface has it")]
     Malformed,
     /// An item of the slice has no result.
     #[error("the server's answer leaves an item out")]
     MissingItem,
-    /// An item has two results.
+    /// An item of the slice has two results.
     #[error("the server's answer has an item twice")]
     DuplicateItem,
-    /// A result belongs to no item of the slice.
+    /// A result has an index that is outside of the slice.
     #[error("the server's answer has a result of no item")]
     UnknownItem,
-    /// A vector or score is invalid, or a vector has another length than the others.
+    /// A vector or score is invalid, or a vector has a different length from the others or from the
+    /// requested length.
     #[error("the server's answer has a value that is no number, or a vector of a wrong length")]
     InvalidValue,
 }
 
-/// The checked result of one slice.
+/// Checked results of the items of a slice.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SliceResult {
     pub(crate) items: Vec<ItemResult>,
-    /// The length of its vectors.
+    /// Length of the vectors, or `None` for rerank.
     pub(crate) dimensions: Option<usize>,
     pub(crate) prompt_tokens: u64,
     pub(crate) total_tokens: u64,
 }
 
-/// The result of one item.
+/// Result of an item.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum ItemResult {
-    /// A vector, encoded as the client wants it.
+    /// An embedding vector as JSON, in the encoding that the client requested.
     Vector(String),
+    /// The relevance score of a document.
     Score(f64),
 }
 
@@ -84,17 +86,17 @@
     ) -> Result<SliceResult, ResultError> {
         let response: EndpointResponse =
             serde_json::from_slice(body).map_err(|_| ResultError::Malformed)?;
-        let mut slots = ItemSlots::new(item_count);
+        let mut item_results = ItemResults::new(item_count);
         let mut dimensions = None;
         if batch.form == BatchForm::Embeddings {
             let data = response.data.ok_or(ResultError::Malformed)?;
-            dimensions = decode_vectors(batch, data, &mut slots)?;
+            dimensions = decode_vectors(batch, data, &mut item_results)?;
         } else {
             for item in response.results.ok_or(ResultError::Malformed)? {
-                slots.set(item.index, ItemResult::Score(item.relevance_score))?;
+                item_results.set(item.index, ItemResult::Score(item.relevance_score))?;
             }
         }
-        let items = slots.into_items()?;
+        let items = item_results.into_items()?;
         let usage = response.usage.unwrap_or_default();
         let total_tokens = usage.total_tokens.max(usage.prompt_tokens);
         let prompt_tokens = if usage.prompt_tokens == 0 {
@@ -110,7 +112,7 @@
         })
     }
 
-    /// The memory that it holds, approximately.
+    /// Returns the approximate memory usage in bytes.
     pub fn memory_bytes(&self) -> usize {
         self.items.iter().map(ItemResult::memory_bytes).sum()
     }
@@ -125,18 +127,18 @@
     }
 }
 
-/// One slot for each item of a slice.
-struct ItemSlots(Vec<Option<ItemResult>>);
+/// Results of the items of a slice, in the order of the items. Missing results are `None`.
+struct ItemResults(Vec<Option<ItemResult>>);
 
-impl ItemSlots {
-    fn new(item_count: usize) -> ItemSlots {
-        ItemSlots(vec![None; item_count])
+impl ItemResults {
+    fn new(item_count: usize) -> ItemResults {
+        ItemResults(vec![None; item_count])
     }
 
     fn set(&mut self, index: u64, item: ItemResult) -> Result<(), ResultError> {
         let index = usize::try_from(index).map_err(|_| ResultError::UnknownItem)?;
-        let slot = self.0.get_mut(index).ok_or(ResultError::UnknownItem)?;
-        if slot.replace(item).is_some() {
+        let entry = self.0.get_mut(index).ok_or(ResultError::UnknownItem)?;
+        if entry.replace(item).is_some() {
             return Err(ResultError::DuplicateItem);
         }
         Ok(())
@@ -148,11 +150,11 @@
     }
 }
 
-/// Decodes the vectors of a slice, and returns their length.
+/// Decodes the vectors of a slice into `item_results`, and returns their length.
 fn decode_vectors(
     batch: &Batch,
     data: Vec<EmbeddingItem>,
-    slots: &mut ItemSlots,
+    item_results: &mut ItemResults,
 ) -> Result<Option<usize>, ResultError> {
     let mut dimensions = None;
     for item in data {
@@ -160,23 +162,23 @@
         if *dimensions.get_or_insert(vector.length) != vector.length {
             return Err(ResultError::InvalidValue);
         }
-        slots.set(item.index, ItemResult::Vector(vector.encoded))?;
+        item_results.set(item.index, ItemResult::Vector(vector.encoded))?;
     }
-    let wanted = batch.dimensions.and_then(|d| usize::try_from(d).ok());
-    match (wanted, dimensions) {
-        (Some(wanted), Some(length)) if wanted != length => Err(ResultError::InvalidValue),
+    let requested = batch.dimensions.and_then(|d| usize::try_from(d).ok());
+    match (requested, dimensions) {
+        (Some(requested), Some(length)) if requested != length => Err(ResultError::InvalidValue),
         _ => Ok(dimensions),
     }
 }
 
-/// A vector in the encoding that the client wants, whichever the endpoint used.
+/// A vector in the encoding that the client requested, whichever encoding the endpoint used.
 struct Vector {
     encoded: String,
     length: usize,
 }
 
 impl Vector {
-    fn decode(raw: &RawValue, wanted: VectorEncoding) -> Result<Vector, ResultError> {
+    fn decode(raw: &RawValue, requested: VectorEncoding) -> Result<Vector, ResultError> {
         let text = raw.get();
         let (numbers, encoding) = if text.starts_with('"') {
             (decode_base64(text)?, VectorEncoding::Base64)
@@ -187,10 +189,10 @@
         if numbers.is_empty() || !numbers.iter().all(|n| n.is_finite()) {
             return Err(ResultError::InvalidValue);
         }
-        let encoded = if encoding == wanted {
+        let encoded = if encoding == requested {
             text.to_owned()
         } else {
-            encode_vector(&numbers, wanted)?
+            encode_vector(&numbers, requested)?
         };
         Ok(Vector {
             encoded,
--- a/crates/inference-api/src/slice_result/tests.rs
+++ b/crates/inference-api/src/slice_result/tests.rs
@@ -19,16 +19,19 @@
         BatchForm::RerankV1,
         json!({"model": "m", "query": "q", "documents": ["a", "b"]}),
     );
-    let of = |text: &str| SliceResult::decode(&rerank, 2, text.as_bytes()).unwrap_err();
-    let list = |items: &str| of(&format!(r#"{{"results":[{items}]}}"#));
+    let error_of = |text: &str| SliceResult::decode(&rerank, 2, text.as_bytes()).unwrap_err();
+    let error_of_results = |items: &str| error_of(&format!(r#"{{"results":[{items}]}}"#));
     let (a, b) = (
         r#"{"index":0,"relevance_score":1}"#,
         r#"{"index":1,"relevance_score":1}"#,
     );
-    assert_eq!(list(a), ResultError::MissingItem);
-    assert_eq!(list(&format!("{a},{a},{b}")), ResultError::DuplicateItem);
+    assert_eq!(error_of_results(a), ResultError::MissingItem);
     assert_eq!(
-        list(&format!(r#"{a},{b},{{"index":2,"relevance_score":1}}"#)),
+        error_of_results(&format!("{a},{a},{b}")),
+        ResultError::DuplicateItem
+    );
+    assert_eq!(
+        error_of_results(&format!(r#"{a},{b},{{"index":2,"relevance_score":1}}"#)),
         ResultError::UnknownItem
     );
     for invalid in [
@@ -39,22 +42,22 @@
         r#"{"index":1}"#,
     ] {
         assert_eq!(
-            list(&format!("{a},{invalid}")),
+            error_of_results(&format!("{a},{invalid}")),
             ResultError::Malformed,
             "{invalid}"
         );
     }
     for text in ["", "{}", "[]", "1", r#"{"results":1}"#] {
-        assert_eq!(of(text), ResultError::Malformed);
+        assert_eq!(error_of(text), ResultError::Malformed);
     }
     let body = json!({"model": "m", "input": ["a", "b"], "dimensions": 2});
     let vectors = batch(BatchForm::Embeddings, body);
-    let of = |first: Value, second: Value| {
+    let error_of = |first: Value, second: Value| {
         let data = json!([{"index": 0, "embedding": first}, {"index": 1, "embedding": second}]);
         slice_result(&vectors, 2, json!({"data": data})).err()
     };
-    let good = json!([0.5, 1.0]);
-    assert_eq!(of(good.clone(), good.clone()), None);
+    let valid_vector = json!([0.5, 1.0]);
+    assert_eq!(error_of(valid_vector.clone(), valid_vector.clone()), None);
     for invalid in [
         json!([0.5]),
         json!([0.5, null]),
@@ -65,7 +68,7 @@
         json!("AADAfwAAAAA="),
     ] {
         assert_eq!(
-            of(good.clone(), invalid.clone()),
+            error_of(valid_vector.clone(), invalid.clone()),
             Some(ResultError::InvalidValue),
             "{invalid}"
         );
