--- a/crates/router/src/frontend/inference/buffered_body.rs
+++ b/crates/router/src/frontend/inference/buffered_body.rs
@@ -1,4 +1,4 @@
-//! A whole response on its way to a client.
+//! A response body that is sent to a client from memory.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -10,19 +10,19 @@
 use crate::exchange::IncompleteBody;
 use crate::frontend::byte_budget::ByteReservation;
 
-/// The bytes that are given to the connection at once.
+/// Maximum size in bytes of a frame that is passed to the connection.
 const FRAME_SIZE: usize = 16 * 1024;
 
-/// A response body that is held whole. Its bytes stay reserved until they have gone to the
-/// connection, and go there in frames of limited size, so that a client that reads slowly is
-/// noticed and its unread bytes stay reserved.
+/// A response body that is held in memory as a whole. It is passed to the connection in frames of
+/// limited size, and its bytes stay reserved until then. So the router notices a client that reads
+/// slowly, and the bytes that the client has not read stay reserved.
 pub(super) struct BufferedBody {
     remaining: Bytes,
     reservation: ByteReservation,
 }
 
 impl BufferedBody {
-    /// A body of collected data.
+    /// Creates a response body from a collected one.
     pub(super) fn new(body: CollectedBody) -> BufferedBody {
         BufferedBody {
             remaining: body.data,
--- a/crates/router/src/frontend/inference/collect.rs
+++ b/crates/router/src/frontend/inference/collect.rs
@@ -1,4 +1,4 @@
-//! Collects an endpoint's whole response within the size limit and the byte budget.
+//! Collects the whole body of an endpoint's response, within the size limit and the byte budget.
 
 use std::future::poll_fn;
 
@@ -15,7 +15,7 @@
     pub(super) reservation: ByteReservation,
 }
 
-/// Collects a body as it is.
+/// Collects a body unchanged.
 pub(super) async fn collect_body(
     mut stream: BodyStream,
     mut reservation: ByteReservation,
@@ -36,8 +36,8 @@
     })
 }
 
-/// Collects the events of a stream, and makes the one chat response of them that a client gets
-/// which does not stream.
+/// Collects the events of a chat stream into one response, for a client that did not ask for a
+/// stream.
 pub(super) async fn collect_chat_events(
     mut stream: BodyStream,
     mut reservation: ByteReservation,
@@ -52,7 +52,8 @@
                 let pushed = collector.push(&chunk);
                 pushed.map_err(|_| RequestError::UpstreamFailed)?;
             }
-            // The response may be complete all the same, which its events say.
+            // If the events so far make a complete response, it does not matter that the body
+            // broke off.
             Err(IncompleteBody) => break,
         }
         let held = collector.collected_bytes();
--- a/crates/router/src/frontend/inference/error.rs
+++ b/crates/router/src/frontend/inference/error.rs
@@ -1,4 +1,5 @@
-//! Why a request gets no response of an endpoint, and the response that it gets instead.
+//! Errors of requests that get no response from an endpoint, and the responses that clients get
+//! instead.
 
 use std::time::Duration;
 
@@ -8,27 +9,28 @@
 
 use crate::frontend::{BodyError, ResponseBody};
 
-/// The delay after which a retry is worthwhile when the byte budget is used up.
+/// Delay after which a retry is worthwhile if the byte budget is used up, or if the directory of
+/// tenants has not been read yet.
 pub(super) const MEMORY_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// The `code` of the error that the directory of tenants has not been read.
+/// The `code` of the error for requests that arrive before the directory of tenants has been read.
 const TENANTS_UNKNOWN: &str = "tenants_unknown";
 
-/// Why a request gets no response of an endpoint.
+/// The reason why a request gets no response from an endpoint.
 #[derive(Debug)]
 pub(super) enum RequestError {
-    /// It is invalid, or the service cannot serve it.
+    /// The request is invalid, or the service cannot serve it.
     Api(ApiError),
-    /// Its body was not read.
+    /// The request body was not read.
     Body(BodyError),
-    /// Its path takes only this method.
+    /// The path allows only this method.
     MethodNotAllowed(&'static str),
-    /// It was rejected and has had no effect.
+    /// The request was rejected and has had no effect.
     Rejected { retry_after: Duration },
-    /// Its response had not begun by the deadline.
+    /// The response had not begun by the deadline.
     DeadlineExceeded,
-    /// It may have been executed, but there is no usable response.
+    /// The request may have been executed, but there is no usable response.
     UpstreamFailed,
-    /// Another request with its id is open.
+    /// Another request with the same id is open.
     DuplicateId,
 }
 
@@ -39,13 +41,13 @@
 }
 
 impl RequestError {
-    /// The error that the directory of tenants has not been read yet.
+    /// Returns the error for a request that arrives before the directory of tenants has been read.
     pub(super) fn tenants_unknown() -> RequestError {
         let message = "the directory of tenants has not been read yet";
         RequestError::Api(ApiError::server(503, TENANTS_UNKNOWN, message))
     }
 
-    /// After which delay a retry is worthwhile, if it is known.
+    /// Returns the delay after which a retry is worthwhile, if it is known.
     pub(super) fn retry_after(&self) -> Option<Duration> {
         match self {
             RequestError::Rejected { retry_after } => Some(*retry_after),
@@ -89,7 +91,7 @@
         }
     }
 
-    /// The response to the client.
+    /// Converts the error to the response that the client gets.
     pub(super) fn to_response(&self) -> Response<ResponseBody> {
         let error = self.to_api_error();
         let mut response = json_response(ResponseBody::full(error.to_json()));
@@ -100,7 +102,7 @@
             RequestError::MethodNotAllowed(allowed) => {
                 headers.insert(ALLOW, HeaderValue::from_static(allowed));
             }
-            // The rest of the body is not read.
+            // The rest of the body is not read, so the connection cannot take another request.
             RequestError::Body(_) => {
                 headers.insert(CONNECTION, HeaderValue::from_static("close"));
             }
@@ -122,7 +124,7 @@
     }
 }
 
-/// A response in JSON.
+/// Returns a response with a JSON body and status 200.
 pub(super) fn json_response(body: ResponseBody) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     response
--- a/crates/router/src/frontend/inference/event_stream.rs
+++ b/crates/router/src/frontend/inference/event_stream.rs
@@ -1,4 +1,4 @@
-//! A chat stream on its way to a client.
+//! Forwards the events of a chat stream to a client.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -12,30 +12,31 @@
 
 #[derive(Clone, Copy)]
 enum State {
-    /// EventSplitter are passed on.
+    /// Events are being forwarded.
     Streaming,
-    /// The error event has been returned, and gets one poll to be written.
+    /// The error event has been returned. The next poll returns `Pending`, so that the connection
+    /// writes the event before it is closed.
     ErrorReturned,
-    /// The connection is to be broken off, so that the client does not take what it got as
-    /// complete.
-    BreakingOff,
+    /// The next poll returns an error, which breaks off the connection, so that the client does not
+    /// take the response for complete.
+    Aborting,
     Ended,
 }
 
-/// A response body that passes on complete events only. If the endpoint's stream breaks off, an
-/// error event is the last one, and then the client's connection is broken off as well.
+/// A response body that forwards only complete events. If the endpoint's stream breaks off, the
+/// client gets an error event as the last one, and then its connection is broken off.
 pub(super) struct EventStreamBody {
     stream: BodyStream,
     /// Reports the client's disconnect to the core when the body is dropped.
     _disconnect: DisconnectGuard,
-    /// Covers the chunks that wait for the client.
+    /// The bytes reserved for chunks that the client has not read yet.
     _reservation: ByteReservation,
     events: EventSplitter,
     state: State,
 }
 
 impl EventStreamBody {
-    /// The events of an endpoint's response.
+    /// Creates a body that forwards the events of an endpoint's response.
     pub(super) fn new(
         stream: BodyStream,
         disconnect: DisconnectGuard,
@@ -54,11 +55,11 @@
         match self.state {
             State::Streaming => self.poll_events(cx),
             State::ErrorReturned => {
-                self.state = State::BreakingOff;
+                self.state = State::Aborting;
                 cx.waker().wake_by_ref();
                 Poll::Pending
             }
-            State::BreakingOff => {
+            State::Aborting => {
                 self.state = State::Ended;
                 Poll::Ready(Some(Err(IncompleteBody)))
             }
@@ -72,23 +73,23 @@
                 return Poll::Pending;
             };
             let Some(Ok(data)) = chunk else {
-                // What follows the end of the response is of no use to the client.
+                // The final event has been forwarded, so it does not matter how the body ends.
                 if self.events.is_done() {
                     self.state = State::Ended;
                     return Poll::Ready(None);
                 }
-                return Poll::Ready(Some(Ok(self.break_off())));
+                return Poll::Ready(Some(Ok(self.abort())));
             };
             match self.events.push(&data) {
                 Ok(Some(events)) => return Poll::Ready(Some(Ok(events))),
                 Ok(None) => {}
-                Err(_) => return Poll::Ready(Some(Ok(self.break_off()))),
+                Err(_) => return Poll::Ready(Some(Ok(self.abort()))),
             }
         }
     }
 
-    /// Begins to break the stream off, and returns the error event.
-    fn break_off(&mut self) -> Bytes {
+    /// Begins to abort the response, and returns the error event.
+    fn abort(&mut self) -> Bytes {
         self.state = State::ErrorReturned;
         let error = ApiError::server(502, "upstream_failed", "the answer broke off");
         error.to_event().into()
