--- a/crates/router/src/frontend/inference/batch_queue.rs
+++ b/crates/router/src/frontend/inference/batch_queue.rs
@@ -1,4 +1,4 @@
-//! Runs the batch scheduler: tickets wait for its decisions, and one task calls it when its timers
+//! Runs the batch scheduler: passes its decisions on to open batches, and calls it when its timers
 //! are due.
 
 use std::cell::{Cell, RefCell};
@@ -16,26 +16,26 @@
 /// How long the timer task sleeps when no timer is set.
 const IDLE_SLEEP: Duration = Duration::from_secs(1);
 
-/// A decision on a batch.
+/// A decision of the scheduler on a batch.
 #[derive(Debug)]
 pub(super) enum BatchEvent {
-    /// This slice is to be sent.
+    /// The scheduler has released this slice for sending.
     Dispatch(SliceDispatch),
-    /// The batch has ended. Nothing follows.
+    /// The batch has ended. This is its last event.
     Ended(BatchOutcome),
 }
 
-/// A duration in the scheduler's unit.
+/// Converts a duration to the scheduler's unit, microseconds.
 pub(super) fn to_micros(duration: Duration) -> Micros {
     Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX)
 }
 
-/// A duration from the scheduler's unit; zero if it is negative.
+/// Converts microseconds of the scheduler to a duration. A negative value becomes zero.
 pub(super) fn from_micros(micros: Micros) -> Duration {
     Duration::from_micros(u64::try_from(micros).unwrap_or(0))
 }
 
-/// All batches of the frontend. Cheap to clone.
+/// The open batches of the frontend, and the scheduler that decides on them. Cheap to clone.
 #[derive(Clone)]
 pub(super) struct BatchQueue(Rc<Shared>);
 
@@ -43,21 +43,22 @@
     scheduler: RefCell<BatchScheduler>,
     /// The origin of the scheduler's clock.
     start: Instant,
-    tickets: RefCell<HashMap<BatchId, mpsc::UnboundedSender<BatchEvent>>>,
-    /// When the timer task wakes up.
+    /// The sender of events for each open batch.
+    event_senders: RefCell<HashMap<BatchId, mpsc::UnboundedSender<BatchEvent>>>,
+    /// When the timer task will wake up, on the scheduler's clock; `None` if no timer is set.
     next_wake: Cell<Option<Micros>>,
-    /// Wakes the timer task up earlier.
+    /// Wakes the timer task before `next_wake`.
     wake_earlier: Notify,
 }
 
 impl BatchQueue {
-    /// A queue with no open batch. Must be called within a `LocalSet`. Its timer task ends at its
-    /// first wake-up after the last clone and ticket are dropped.
+    /// Creates a queue with no open batch. Must be called within a `LocalSet`. Its timer task ends
+    /// at the first wake-up after the last clone and the last [`OpenBatch`] are dropped.
     pub(super) fn new(config: SchedulerConfig) -> BatchQueue {
         let shared = Rc::new(Shared {
             scheduler: RefCell::new(BatchScheduler::new(config)),
             start: Instant::now(),
-            tickets: RefCell::default(),
+            event_senders: RefCell::default(),
             next_wake: Cell::default(),
             wake_earlier: Notify::new(),
         });
@@ -65,25 +66,25 @@
         tokio::task::spawn_local(async move {
             while let Some(shared) = weak.upgrade() {
                 shared.wait_for_timer().await;
-                shared.step(|scheduler, now| scheduler.tick(now));
+                shared.update_scheduler(|scheduler, now| scheduler.tick(now));
             }
         });
         BatchQueue(shared)
     }
 
-    /// An instant on the scheduler's clock.
+    /// Converts an instant to the scheduler's clock.
     pub(super) fn time_of(&self, instant: Instant) -> Micros {
         self.0.time_of(instant)
     }
 
     /// Opens a batch, unless the scheduler rejects it.
-    pub(super) fn open(&self, spec: BatchSpec) -> Result<BatchTicket, Rejection> {
+    pub(super) fn open(&self, spec: BatchSpec) -> Result<OpenBatch, Rejection> {
         let now = self.0.now();
         let id = self.0.scheduler.borrow_mut().open(now, spec)?;
         let (sender, events) = mpsc::unbounded_channel();
-        self.0.tickets.borrow_mut().insert(id, sender);
-        self.0.step(|_, _| ());
-        Ok(BatchTicket {
+        self.0.event_senders.borrow_mut().insert(id, sender);
+        self.0.update_scheduler(|_, _| ());
+        Ok(OpenBatch {
             shared: self.0.clone(),
             id,
             events,
@@ -114,11 +115,11 @@
         }
     }
 
-    /// Lets the scheduler take a step, and passes its decisions on.
-    fn step(&self, step: impl FnOnce(&mut BatchScheduler, Micros)) {
+    /// Calls the scheduler with the current time, then passes its decisions on to the batches.
+    fn update_scheduler(&self, update: impl FnOnce(&mut BatchScheduler, Micros)) {
         let now = self.now();
         let mut scheduler = self.scheduler.borrow_mut();
-        step(&mut scheduler, now);
+        update(&mut scheduler, now);
         while let Some((id, outcome)) = scheduler.next_outcome() {
             self.notify(id, BatchEvent::Ended(outcome));
         }
@@ -134,47 +135,48 @@
         }
     }
 
-    /// Passes an event to the batch's ticket; returns whether there still is one.
+    /// Sends an event to an open batch. Returns whether the batch could still receive it.
     fn notify(&self, id: BatchId, event: BatchEvent) -> bool {
-        let tickets = self.tickets.borrow();
-        match tickets.get(&id) {
-            Some(ticket) => ticket.send(event).is_ok(),
+        let senders = self.event_senders.borrow();
+        match senders.get(&id) {
+            Some(sender) => sender.send(event).is_ok(),
             None => false,
         }
     }
 }
 
-/// An open batch, which is closed when this is dropped.
-pub(super) struct BatchTicket {
+/// An open batch. Dropping it closes the batch in the scheduler.
+pub(super) struct OpenBatch {
     shared: Rc<Shared>,
     id: BatchId,
     events: mpsc::UnboundedReceiver<BatchEvent>,
 }
 
-impl BatchTicket {
-    /// Waits for the next decision.
+impl OpenBatch {
+    /// Waits for the scheduler's next decision on the batch.
     pub(super) async fn next_event(&mut self) -> BatchEvent {
-        // The queue drops its sender only with the ticket.
+        // The sender lives until this value is dropped, so `recv` does not return `None`.
         let event = self.events.recv().await;
         event.unwrap_or(BatchEvent::Ended(BatchOutcome::Failed))
     }
 
-    /// The slice in flight was served.
+    /// Tells the scheduler that the slice in flight was served.
     pub(super) fn slice_succeeded(&self) {
         self.shared
-            .step(|scheduler, now| scheduler.slice_succeeded(now, self.id));
+            .update_scheduler(|scheduler, now| scheduler.slice_succeeded(now, self.id));
     }
 
-    /// The slice in flight failed.
+    /// Tells the scheduler that the slice in flight failed.
     pub(super) fn slice_failed(&self, failure: SliceFailure) {
         self.shared
-            .step(|scheduler, now| scheduler.slice_failed(now, self.id, failure));
+            .update_scheduler(|scheduler, now| scheduler.slice_failed(now, self.id, failure));
     }
 }
 
-impl Drop for BatchTicket {
+impl Drop for OpenBatch {
     fn drop(&mut self) {
-        self.shared.tickets.borrow_mut().remove(&self.id);
-        self.shared.step(|scheduler, _| scheduler.close(self.id));
+        self.shared.event_senders.borrow_mut().remove(&self.id);
+        self.shared
+            .update_scheduler(|scheduler, _| scheduler.close(self.id));
     }
 }
--- a/crates/router/src/frontend/inference/batches.rs
+++ b/crates/router/src/frontend/inference/batches.rs
@@ -1,4 +1,4 @@
-//! Batches: embeddings and rerank, sent slice by slice.
+//! Serves batches: embeddings and rerank requests, which are sent slice by slice.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -12,7 +12,7 @@
 use cranetack_routing_policy::Idempotency;
 use http::Response;
 
-use super::batch_queue::{from_micros, to_micros, BatchEvent, BatchTicket};
+use super::batch_queue::{from_micros, to_micros, BatchEvent, OpenBatch};
 use super::buffered_body::BufferedBody;
 use super::collect::{collect_body, CollectedBody};
 use super::error::{json_response, RequestError, MEMORY_RETRY_AFTER};
@@ -30,14 +30,14 @@
     model: ServedModel<'a>,
 }
 
-/// The results of the slices that have been served.
+/// The results of the slices that have been served so far.
 struct ServedSlices {
     results: Vec<(Range<usize>, SliceResult)>,
-    /// Of the request body and of the results.
+    /// The byte reservations of the request body and of the results.
     reservations: Vec<ByteReservation>,
 }
 
-/// The result of one slice.
+/// The result of one slice, and the reservation of its bytes.
 struct ServedSlice {
     result: SliceResult,
     reservation: ByteReservation,
@@ -61,9 +61,9 @@
 }
 
 impl Service {
-    /// Serves a batch slice by slice. The results of served slices are kept; a failed one is sent
-    /// again if the scheduler decides so. The client gets one response.
-    pub(super) async fn batch(
+    /// Serves a batch slice by slice. Results of served slices are kept; a failed slice is sent
+    /// again only if the scheduler decides so. The client gets one final response.
+    pub(super) async fn serve_batch(
         &self,
         context: RequestContext,
         batch: Batch,
@@ -74,13 +74,13 @@
             batch: &batch,
             model: self.resolve_model(&batch.model, context.endpoint)?,
         };
-        let mut ticket = self.queue.open(self.batch_spec(&request))?;
+        let mut open_batch = self.queue.open(self.batch_spec(&request))?;
         let mut served = ServedSlices {
             results: Vec::new(),
             reservations: vec![reservation],
         };
         match self
-            .serve_slices(&request, &mut ticket, &mut served)
+            .serve_slices(&request, &mut open_batch, &mut served)
             .await?
         {
             BatchOutcome::Completed => {}
@@ -88,9 +88,13 @@
             BatchOutcome::Failed => return Err(RequestError::UpstreamFailed),
             BatchOutcome::DeadlineExceeded => return Err(RequestError::DeadlineExceeded),
         }
-        drop(ticket);
+        drop(open_batch);
         let data = merge_results(&batch, context.id(), served.results).map_err(|error| {
-            tracing::warn!(request_id = %context.id(), %error, "could not merge slice results");
+            tracing::warn!(
+                request_id = %context.id(),
+                %error,
+                "could not merge slice results; the batch fails"
+            );
             RequestError::UpstreamFailed
         })?;
         drop(batch);
@@ -128,18 +132,19 @@
     async fn serve_slices(
         &self,
         request: &BatchRequest<'_>,
-        ticket: &mut BatchTicket,
+        open_batch: &mut OpenBatch,
         served: &mut ServedSlices,
     ) -> Result<BatchOutcome, RequestError> {
         loop {
-            let dispatch = match ticket.next_event().await {
+            let dispatch = match open_batch.next_event().await {
                 BatchEvent::Ended(outcome) => return Ok(outcome),
                 BatchEvent::Dispatch(dispatch) => dispatch,
             };
-            // If the batch ends first, dropping the slice cancels its attempt.
+            // If the batch ends while the slice is in flight, dropping the slice's future cancels
+            // its attempt.
             let result = tokio::select! {
                 biased;
-                event = ticket.next_event() => return Ok(match event {
+                event = open_batch.next_event() => return Ok(match event {
                     BatchEvent::Ended(outcome) => outcome,
                     BatchEvent::Dispatch(_) => BatchOutcome::Failed,
                 }),
@@ -149,18 +154,18 @@
                 Ok(slice) => {
                     served.results.push((dispatch.items, slice.result));
                     served.reservations.push(slice.reservation);
-                    ticket.slice_succeeded();
+                    open_batch.slice_succeeded();
                 }
                 Err(SliceError::DuplicateId) => return Err(RequestError::DuplicateId),
                 Err(SliceError::Failed(failure)) => {
-                    ticket.slice_failed(self.failure_during_shutdown(failure));
+                    open_batch.slice_failed(self.failure_during_shutdown(failure));
                 }
             }
         }
     }
 
-    /// During a graceful shutdown a batch does not wait for memory: its client is to retry at
-    /// another router.
+    /// Returns the failure to report to the scheduler. During a graceful shutdown a batch does not
+    /// wait for memory: it is rejected, so that its client retries at another router.
     fn failure_during_shutdown(&self, failure: SliceFailure) -> SliceFailure {
         match failure {
             SliceFailure::OutOfMemory { retry_after }
@@ -191,8 +196,9 @@
         };
         let message = context.message(batch.form.endpoint_path(), body);
         let id = slice_request_id(context, dispatch);
-        let incoming = context.incoming(id, *model, dispatch.tokens, message);
-        // The guard is dropped with the slice, so a client's disconnect cancels the attempt.
+        let incoming = context.incoming_request(id, *model, dispatch.tokens, message);
+        // If the client disconnects, this future is dropped; the guard is dropped with it and
+        // cancels the attempt.
         let (response, _disconnect) = self.handle.submit(incoming).response().await;
         let stream = slice_stream(response, dispatch)?;
         drop(request_reservation);
@@ -203,7 +209,11 @@
             mut reservation,
         } = collected.map_err(|_| SLICE_FAILED)?;
         let result = SliceResult::decode(batch, dispatch.items.len(), &data).map_err(|error| {
-            tracing::warn!(request_id = %context.id(), %error, "invalid response to a slice");
+            tracing::warn!(
+                request_id = %context.id(),
+                %error,
+                "invalid response to a slice; the slice fails"
+            );
             SLICE_FAILED
         })?;
         if !reservation.try_grow_to(result.memory_bytes()) {
@@ -217,8 +227,8 @@
     }
 }
 
-/// The id of a slice's request. Each dispatch is a request of its own to the endpoints, retries
-/// included.
+/// Returns the request id of a dispatch. For the endpoints each dispatch is a separate request,
+/// retries included. The first one has the batch's id; later ones add their sequence number.
 fn slice_request_id(context: &RequestContext, dispatch: &SliceDispatch) -> Rc<str> {
     if dispatch.sequence == 0 {
         return context.id().clone();
@@ -226,7 +236,7 @@
     format!("{}.{}", context.id(), dispatch.sequence).into()
 }
 
-/// The body of the response to a slice, or why there is none.
+/// Returns the body of the response to a slice, or the reason why there is none.
 fn slice_stream(
     response: FinalResponse,
     dispatch: &SliceDispatch,
--- a/crates/router/src/frontend/inference/chat.rs
+++ b/crates/router/src/frontend/inference/chat.rs
@@ -1,4 +1,4 @@
-//! Chat completions.
+//! Serves chat completions.
 
 use bytes::Bytes;
 use cranetack_inference_api::{ApiEndpoint, ChatRequest};
@@ -19,12 +19,12 @@
 use crate::frontend::{BodyError, ResponseBody};
 
 const EVENT_STREAM: &str = "text/event-stream";
-/// The bytes that are reserved for the chunks of a stream that wait for its client.
+/// Bytes reserved for the chunks of a stream that its client has not read yet.
 const STREAM_RESERVATION: usize = 64 * 1024;
 
 impl Service {
     /// Serves a chat request.
-    pub(super) async fn chat(
+    pub(super) async fn serve_chat(
         &self,
         context: RequestContext,
         body: Bytes,
@@ -34,7 +34,8 @@
         let model = self.resolve_model(&chat.model, ApiEndpoint::Chat)?;
         let forwarded = chat.encode(&body, model.name)?;
         drop(body);
-        // What the response will hold is reserved before anything is sent for it.
+        // Memory for the forwarded body, and then for the response, is reserved before the request
+        // is sent.
         if !reservation.try_grow_to(forwarded.len().max(STREAM_RESERVATION)) {
             return Err(RequestError::Body(BodyError::BudgetExhausted));
         }
@@ -42,7 +43,8 @@
         let (response, disconnect) = self.handle.submit(incoming).response().await;
         let EndpointResponse { media_type, stream } =
             EndpointResponse::from_final(response, context.deadline)?;
-        // No further attempt is made: the request body is no longer held.
+        // The response has begun, so no further attempt is made and the request body is no longer
+        // held.
         reservation.shrink_to(STREAM_RESERVATION);
         let is_event_stream = media_type.starts_with(EVENT_STREAM);
         if chat.stream && is_event_stream {
@@ -75,7 +77,8 @@
     if let Some(key) = &context.idempotency_key {
         message.headers.insert(IDEMPOTENCY_KEY, key.clone());
     }
-    let mut incoming = context.incoming(context.id().clone(), model, chat.prompt_tokens, message);
+    let mut incoming =
+        context.incoming_request(context.id().clone(), model, chat.prompt_tokens, message);
     incoming.max_tokens = chat.max_tokens.unwrap_or(0);
     if incoming.session.is_none() {
         let user = chat.user.as_ref();
@@ -84,14 +87,15 @@
     incoming
 }
 
-/// A response that an endpoint has begun.
+/// An endpoint's response, whose body is still arriving.
 struct EndpointResponse {
     media_type: String,
     stream: BodyStream,
 }
 
 impl EndpointResponse {
-    /// The response, or why there is none.
+    /// Returns the endpoint's response, or the error to respond with. Once the deadline has passed,
+    /// a rejection or a failure counts as an exceeded deadline.
     fn from_final(
         response: FinalResponse,
         deadline: Instant,
--- a/crates/router/src/frontend/inference/mod.rs
+++ b/crates/router/src/frontend/inference/mod.rs
@@ -1,8 +1,8 @@
-//! The inference API: chat completions, embeddings, rerank and models in the form of public
-//! inference services. It is off unless an operator's file sets it up.
+//! The inference API: chat completions, embeddings, rerank and the list of models, in the form that
+//! public inference services use. It is served only if the operator gives a file that sets it up.
 //!
-//! It submits requests to the same core as the platform API. A batch, which is a request with many
-//! items, is sent slice by slice; the scheduler behind the `batch_queue` decides on the slices.
+//! It submits requests to the same core as the platform API. A batch is a request with many items;
+//! it is sent slice by slice, as the batch scheduler decides, which `batch_queue` runs.
 
 mod batch_queue;
 mod batches;
@@ -16,4 +16,4 @@
 mod setup;
 
 pub use service::Inference;
-pub use setup::{BatchSetup, EndpointSetup, Limits, ModelSetup, Setup};
+pub use setup::{ApiEndpointSetup, BatchSetup, Limits, ModelSetup, Setup};
--- a/crates/router/src/frontend/inference/request.rs
+++ b/crates/router/src/frontend/inference/request.rs
@@ -1,4 +1,4 @@
-//! What all parts of one request share, and the ids of open requests.
+//! The context that all parts of one request share, and the ids of open requests.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -17,19 +17,19 @@
 use crate::exchange::Message;
 use crate::frontend::request_id::is_valid_request_id;
 
-const REQUEST_ID: &str = "X-Request-Id";
-/// By which an endpoint discards repeats of a request.
+const REQUEST_ID_HEADER: &str = "X-Request-Id";
+/// The header with the key by which an endpoint recognises and discards a repeated request.
 pub(super) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 /// The ids of open requests. Cheap to clone: clones share the ids.
 ///
-/// The ids of a batch's slices are derived from its own, so the core alone cannot see that a
-/// batch's id is in use.
+/// The core sees only the ids of a batch's slices, which are derived from the batch's id, so it
+/// cannot tell whether that id is in use.
 #[derive(Clone, Default)]
 pub(super) struct OpenRequestIds(Rc<RefCell<HashSet<Rc<str>>>>);
 
 impl OpenRequestIds {
-    /// Takes an id; `None` if it is in use.
+    /// Marks an id as in use; returns `None` if it already is.
     pub(super) fn open(&self, id: Rc<str>) -> Option<OpenRequestId> {
         if !self.0.borrow_mut().insert(id.clone()) {
             return None;
@@ -41,7 +41,7 @@
     }
 }
 
-/// An id that is in use until this is dropped.
+/// The id of an open request. Dropping it makes the id free again.
 pub(super) struct OpenRequestId {
     id: Rc<str>,
     open: OpenRequestIds,
@@ -53,15 +53,15 @@
     }
 }
 
-/// Generates ids for requests whose clients gave none.
+/// Generates ids for requests whose client gave none.
 pub(super) struct RequestIdGenerator {
-    /// Distinguishes this router's ids from those of others.
+    /// Distinguishes this router's ids from those of other routers.
     prefix: String,
     count: Cell<u64>,
 }
 
 impl RequestIdGenerator {
-    /// A generator whose ids begin with `seed`.
+    /// Creates a generator of ids that begin with `seed` in hexadecimal.
     pub(super) fn new(seed: u64) -> RequestIdGenerator {
         RequestIdGenerator {
             prefix: format!("{seed:016x}"),
@@ -69,14 +69,14 @@
         }
     }
 
-    /// A new id.
+    /// Generates a new id.
     pub(super) fn generate(&self) -> Rc<str> {
         self.count.set(self.count.get() + 1);
         Rc::from(format!("{}-{}", self.prefix, self.count.get()))
     }
 }
 
-/// The value of a header, if it is present.
+/// Returns the value of a header, if it is present.
 pub(super) fn header<'a>(
     head: &'a RequestHead,
     name: &'static str,
@@ -85,34 +85,34 @@
     value.map_err(|_| ApiError::invalid_value(name, "cannot be read").into())
 }
 
-/// The id that the client gave, if it gave one.
+/// Returns the request id that the client gave, if it gave one.
 pub(super) fn client_request_id(head: &RequestHead) -> Result<Option<Rc<str>>, RequestError> {
-    match header(head, REQUEST_ID)? {
+    match header(head, REQUEST_ID_HEADER)? {
         None => Ok(None),
         Some(id) if is_valid_request_id(id) => Ok(Some(id.into())),
-        Some(_) => Err(ApiError::invalid_value(REQUEST_ID, "must be a plain word").into()),
+        Some(_) => Err(ApiError::invalid_value(REQUEST_ID_HEADER, "must be a plain word").into()),
     }
 }
 
-/// A model as a request is served with it.
+/// How the model that a request names is served.
 #[derive(Clone, Copy)]
 pub(super) struct ServedModel<'a> {
-    /// The name that endpoints know.
+    /// The name by which endpoints know the model.
     pub(super) name: &'a str,
     /// The class of the request.
     pub(super) class: ClassId,
-    /// The kinds of endpoint that have it, a bit for each; absent for all kinds.
+    /// The kinds of endpoint that have the model, one bit for each; `None` for all kinds.
     pub(super) allowed_kinds: Option<u64>,
 }
 
-/// What all parts of a request share.
+/// The context that all parts of a request share, such as the slices of a batch.
 pub(super) struct RequestContext {
     pub(super) id: OpenRequestId,
     pub(super) endpoint: ApiEndpoint,
     pub(super) tenant: Option<Rc<str>>,
     /// The session that the client named.
     pub(super) session: Option<String>,
-    /// The query of its target, with the question mark, or nothing.
+    /// The query of the request's target, with the question mark; empty if there is none.
     pub(super) query: String,
     /// The key by which endpoints discard repeated requests, if the client gave one.
     pub(super) idempotency_key: Option<HeaderValue>,
@@ -121,18 +121,18 @@
 }
 
 impl RequestContext {
-    /// The request's id.
+    /// Returns the request's id.
     pub(super) fn id(&self) -> &Rc<str> {
         &self.id.id
     }
 
-    /// A session's name, qualified by the tenant: sessions of two tenants are two, even if their
-    /// names are equal.
+    /// Returns a session's name qualified by the tenant, so that two tenants that choose the same
+    /// name have different sessions.
     pub(super) fn tenant_session(&self, name: &str) -> String {
         format!("{}/{name}", self.tenant.as_deref().unwrap_or(""))
     }
 
-    /// What endpoints are sent at `path`.
+    /// Builds the message that endpoints are sent at `path`.
     pub(super) fn message(&self, path: &str, body: Bytes) -> Message {
         Message {
             target: format!("{path}{}", self.query),
@@ -142,8 +142,8 @@
         }
     }
 
-    /// What is submitted to the core for a part of the request.
-    pub(super) fn incoming(
+    /// Builds the request that is submitted to the core for one part of this request.
+    pub(super) fn incoming_request(
         &self,
         request_id: Rc<str>,
         model: ServedModel<'_>,
--- a/crates/router/src/frontend/inference/service.rs
+++ b/crates/router/src/frontend/inference/service.rs
@@ -1,4 +1,4 @@
-//! The inference API as a frontend: its paths, and who may use them.
+//! The frontend of the inference API: paths, authentication and error responses.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,7 +20,7 @@
     client_request_id, header, OpenRequestIds, RequestContext, RequestIdGenerator, ServedModel,
     IDEMPOTENCY_KEY,
 };
-use super::setup::{EndpointSetup, Setup};
+use super::setup::{ApiEndpointSetup, Setup};
 use crate::core::Handle;
 use crate::frontend::byte_budget::ByteBudget;
 use crate::frontend::response::set_retry_after;
@@ -34,17 +34,17 @@
 const RERANK_V2_PATH: &str = "/v2/rerank";
 const MODELS_PATH: &str = "/v1/models";
 
-const DEADLINE_MS: &str = "X-Deadline-Ms";
-const SESSION: &str = "X-Key";
-const AUTHORIZATION: &str = "authorization";
-const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
+const DEADLINE_HEADER: &str = "X-Deadline-Ms";
+const SESSION_HEADER: &str = "X-Key";
+const AUTHORIZATION_HEADER: &str = "authorization";
+const REQUEST_ID_HEADER: HeaderName = HeaderName::from_static("x-request-id");
 
-/// The longest time to first byte that a client may ask for.
+/// Maximum time to first byte. A client that asks for a longer one gets this one.
 const MAX_TIME_TO_FIRST_BYTE: Duration = Duration::from_secs(600);
-/// The longest retry delay that clients are advised if the settings do not bound it.
+/// Maximum retry delay that the batch scheduler advises if the settings set no maximum.
 const DEFAULT_MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
 
-/// The inference API as a frontend. Cheap to clone.
+/// The frontend of the inference API. Cheap to clone.
 #[derive(Clone)]
 pub struct Inference(Rc<Service>);
 
@@ -53,7 +53,7 @@
     pub(super) handle: Handle,
     pub(super) setup: Setup,
     pub(super) settings: Settings,
-    /// The classes for models that the catalog does not have.
+    /// The classes of requests whose model has no class in the catalog.
     default_classes: PerEndpoint<ClassId>,
     catalog: ModelCatalog,
     tenants: Option<Tenants>,
@@ -64,7 +64,7 @@
     id_generator: RequestIdGenerator,
 }
 
-/// What a path serves.
+/// The kind of request that a path serves.
 enum Route {
     Chat,
     Batch(ApiEndpoint, BatchForm),
@@ -90,9 +90,9 @@
 }
 
 impl Inference {
-    /// A frontend that submits its requests to `handle`. `seed` distinguishes the request ids that
-    /// it generates from those of other routers. The setup must have passed its check. Must be
-    /// called within a `LocalSet`.
+    /// Creates a frontend that submits its requests to `handle`. `seed` distinguishes the request
+    /// ids that it generates from those of other routers. `setup` must have passed
+    /// [`Setup::check`]. Must be called within a `LocalSet`.
     pub fn new(
         handle: Handle,
         setup: Setup,
@@ -102,7 +102,7 @@
         seed: u64,
         phase: watch::Receiver<Phase>,
     ) -> Inference {
-        let class = |endpoint: &EndpointSetup| {
+        let class = |endpoint: &ApiEndpointSetup| {
             let index = site.classes.iter().position(|c| c.name == endpoint.class);
             ClassId(index.unwrap_or(0))
         };
@@ -143,27 +143,27 @@
         let (id, result) = match client_request_id(&head) {
             Ok(client_id) => {
                 let id = client_id.unwrap_or_else(|| service.id_generator.generate());
-                (id.clone(), service.route(id, head, body).await)
+                (id.clone(), service.handle_request(id, head, body).await)
             }
             Err(error) => (service.id_generator.generate(), Err(error)),
         };
         let mut response = result.unwrap_or_else(|error| service.error_response(&error));
         if let Ok(id) = HeaderValue::from_str(&id) {
-            response.headers_mut().insert(REQUEST_ID, id);
+            response.headers_mut().insert(REQUEST_ID_HEADER, id);
         }
         response
     }
 }
 
 impl Service {
-    async fn route(
+    async fn handle_request(
         &self,
         id: Rc<str>,
         head: RequestHead,
         body: RequestBody,
     ) -> Result<Response<ResponseBody>, RequestError> {
         let Some(route) = Route::from_path(head.uri.path()) else {
-            return self.models(&head);
+            return self.serve_models(&head);
         };
         if head.method != Method::POST {
             return Err(RequestError::MethodNotAllowed("POST"));
@@ -175,16 +175,16 @@
             .await
             .map_err(RequestError::Body)?;
         match route {
-            Route::Chat => self.chat(context, body, reservation).await,
+            Route::Chat => self.serve_chat(context, body, reservation).await,
             Route::Batch(_, form) => {
                 let batch = Batch::decode(form, body, &limits.body_limits())?;
-                self.batch(context, batch, reservation).await
+                self.serve_batch(context, batch, reservation).await
             }
         }
     }
 
-    /// `/v1/models` and `/v1/models/{id}`.
-    fn models(&self, head: &RequestHead) -> Result<Response<ResponseBody>, RequestError> {
+    /// Serves `/v1/models` and `/v1/models/{id}`. Any other path is unknown.
+    fn serve_models(&self, head: &RequestHead) -> Result<Response<ResponseBody>, RequestError> {
         let rest = head.uri.path().strip_prefix(MODELS_PATH);
         let Some(rest) = rest.filter(|rest| rest.is_empty() || rest.starts_with('/')) else {
             let message = "there is nothing at this path";
@@ -201,24 +201,24 @@
         Ok(json_response(ResponseBody::full(text)))
     }
 
-    /// Decodes the head of a request, and takes its id.
+    /// Decodes and authenticates the head of a request, and marks its id as in use.
     fn open_request(
         &self,
         id: Rc<str>,
         head: &RequestHead,
         endpoint: ApiEndpoint,
     ) -> Result<RequestContext, RequestError> {
-        let time_to_first_byte = match header(head, DEADLINE_MS)?.map(str::parse::<u32>) {
+        let time_to_first_byte = match header(head, DEADLINE_HEADER)?.map(str::parse::<u32>) {
             None => Duration::from_millis(self.setup.endpoint(endpoint).deadline_ms.into()),
             Some(Ok(ms)) => Duration::from_millis(ms.into()).min(MAX_TIME_TO_FIRST_BYTE),
             Some(Err(_)) => {
                 return Err(
-                    ApiError::invalid_value(DEADLINE_MS, "must be whole milliseconds").into(),
+                    ApiError::invalid_value(DEADLINE_HEADER, "must be whole milliseconds").into(),
                 )
             }
         };
         let tenant = self.authenticate(head)?;
-        let session = header(head, SESSION)?.map(str::to_owned);
+        let session = header(head, SESSION_HEADER)?.map(str::to_owned);
         let id = self.open_ids.open(id).ok_or(RequestError::DuplicateId)?;
         let query = head.uri.query();
         Ok(RequestContext {
@@ -232,9 +232,9 @@
         })
     }
 
-    /// The tenant that the request's key belongs to, if there are tenants.
+    /// Returns the tenant that the request's key belongs to; `None` if no tenants are configured.
     fn authenticate(&self, head: &RequestHead) -> Result<Option<Rc<str>>, RequestError> {
-        let authorization = header(head, AUTHORIZATION)?;
+        let authorization = header(head, AUTHORIZATION_HEADER)?;
         let Some(tenants) = &self.tenants else {
             return Ok(None);
         };
@@ -248,7 +248,7 @@
         }
     }
 
-    /// How a model that a request names is served at an endpoint of the API.
+    /// Finds out how the model that a request names is served at an API endpoint.
     pub(super) fn resolve_model<'a>(
         &'a self,
         name: &'a str,
@@ -263,7 +263,7 @@
         })
     }
 
-    /// The response to a request that gets none of an endpoint.
+    /// Builds the response to a request that gets none from an endpoint.
     fn error_response(&self, error: &RequestError) -> Response<ResponseBody> {
         let mut response = error.to_response();
         if let Some(retry_after) = error.retry_after() {
@@ -276,7 +276,7 @@
     }
 }
 
-/// The longest retry delay that the settings let clients be advised.
+/// The maximum retry delay that clients are advised, if the settings set one.
 fn max_retry_after(settings: &Settings) -> Option<Duration> {
     let micros = u64::try_from(settings.max_retry_after?).ok()?;
     Some(Duration::from_micros(micros))
@@ -290,8 +290,8 @@
     })
 }
 
-/// A part of a path without percent-encoding. Invalid UTF-8 becomes characters that no model's name
-/// has.
+/// Decodes the percent-encoding of a part of a path. Invalid UTF-8 becomes replacement characters,
+/// which no model's name has.
 fn percent_decoded(text: &str) -> String {
     percent_encoding::percent_decode_str(text)
         .decode_utf8_lossy()
--- a/crates/router/src/frontend/inference/setup.rs
+++ b/crates/router/src/frontend/inference/setup.rs
@@ -1,5 +1,5 @@
-//! The operator's file that sets the inference API up. Keys of the file that are not the code's
-//! terms are renamed where they are decoded; errors name the keys.
+//! The operator's file that sets up the inference API. Where the code uses another name for a key
+//! of the file, a serde attribute gives the key. Errors name the key as it is in the file.
 
 mod batches;
 mod limits;
@@ -14,41 +14,42 @@
 pub use batches::BatchSetup;
 pub use limits::Limits;
 
-/// The most kinds of endpoint that a set of kinds can hold.
+/// Maximum number of kinds of endpoint in a set, which has one bit for each kind.
 const MAX_KINDS: usize = u64::BITS as usize;
 
-/// The file.
+/// The contents of the operator's file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Setup {
-    /// Where clients connect.
+    /// The address at which the router listens for clients.
     pub listen: SocketAddr,
     /// How chat is served.
-    pub chat: EndpointSetup,
+    pub chat: ApiEndpointSetup,
     /// How embeddings are served.
-    pub embeddings: EndpointSetup,
+    pub embeddings: ApiEndpointSetup,
     /// How reranking is served.
-    pub rerank: EndpointSetup,
+    pub rerank: ApiEndpointSetup,
     /// The limits of requests and responses.
     #[serde(default)]
     pub limits: Limits,
     /// How batches are scheduled.
     #[serde(default)]
     pub batches: BatchSetup,
-    /// The models. If none is listed, any name is served by the endpoint's class.
+    /// The models. If none is listed, any name of a model is accepted, and requests have the class
+    /// of their API endpoint.
     #[serde(default)]
     pub models: Vec<ModelSetup>,
 }
 
-/// How one endpoint of the API is served.
+/// How one API endpoint is served.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct EndpointSetup {
-    /// Its class in the settings.
+pub struct ApiEndpointSetup {
+    /// The name, in the settings, of the class of its requests.
     pub class: String,
-    /// The time to first byte for clients that give none.
+    /// Time to first byte in milliseconds for requests whose client gives none.
     pub deadline_ms: u32,
-    /// The tokens of a batch's slices while too little is known of their times.
+    /// Tokens of a batch's slice as long as too little is known about how long slices take.
     #[serde(rename = "slice_tokens", default = "default_initial_slice_tokens")]
     pub initial_slice_tokens: u64,
 }
@@ -57,22 +58,22 @@
     2_048
 }
 
-/// A model, and the classes that it is served as.
+/// A model, and the classes of the requests for it.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSetup {
-    /// The name that servers know.
+    /// The name by which endpoints know the model.
     pub name: String,
     /// Further names that clients may use.
     #[serde(default)]
     pub aliases: Vec<String>,
-    /// Its class for chat, if it serves that.
+    /// The class of its chat requests, if it serves chat.
     pub chat: Option<String>,
-    /// Its class for embeddings.
+    /// The class of its embeddings requests, if it serves embeddings.
     pub embeddings: Option<String>,
-    /// Its class for rerank.
+    /// The class of its rerank requests, if it serves rerank.
     pub rerank: Option<String>,
-    /// The kinds of server that have it; all if there are none here.
+    /// The kinds of endpoint that have the model; empty for all kinds.
     #[serde(default)]
     pub kinds: Vec<String>,
 }
@@ -88,8 +89,8 @@
 }
 
 impl Setup {
-    /// How an endpoint of the API is served.
-    pub fn endpoint(&self, endpoint: ApiEndpoint) -> &EndpointSetup {
+    /// Returns how an API endpoint is served.
+    pub fn endpoint(&self, endpoint: ApiEndpoint) -> &ApiEndpointSetup {
         match endpoint {
             ApiEndpoint::Chat => &self.chat,
             ApiEndpoint::Embeddings => &self.embeddings,
@@ -97,7 +98,8 @@
         }
     }
 
-    /// The models, with the indices of their classes. An error names the key.
+    /// Builds the catalog of models, which refers to classes by their index in the settings. An
+    /// error names the key.
     pub fn catalog(&self, site: &SiteSettings) -> Result<ModelCatalog, String> {
         let mut models = Vec::new();
         for (index, model) in self.models.iter().enumerate() {
@@ -122,7 +124,8 @@
         ModelCatalog::new(models).map_err(|error| error.to_string())
     }
 
-    /// What is wrong with the values beside the settings, in one line that names the key.
+    /// Checks the values, also against the site's settings. An error is one line that names the
+    /// key.
     pub fn check(&self, site: &SiteSettings) -> Result<(), String> {
         for endpoint in ApiEndpoint::ALL {
             let key = endpoint.name();
@@ -148,8 +151,8 @@
     }
 }
 
-/// Kinds of endpoint, a bit for each; absent for all kinds. Together they must be able to prefill
-/// and to decode.
+/// Returns a set of kinds of endpoint with one bit for each, or `None` for all kinds if no kind is
+/// named. Fails if the kinds together cannot prefill or cannot decode.
 fn kind_set(site: &SiteSettings, names: &[String]) -> Result<Option<u64>, String> {
     if names.is_empty() {
         return Ok(None);
@@ -171,10 +174,10 @@
     }
     can_prefill |= can_decode && settings.decode_can_prefill;
     if !can_prefill {
-        return Err("none of them reads prompts".to_owned());
+        return Err("none of these kinds can prefill".to_owned());
     }
     if !can_decode {
-        return Err("none of them writes answers".to_owned());
+        return Err("none of these kinds can decode".to_owned());
     }
     Ok(Some(kinds))
 }
--- a/crates/router/src/frontend/inference/setup/batches.rs
+++ b/crates/router/src/frontend/inference/setup/batches.rs
@@ -1,4 +1,4 @@
-//! How batches are scheduled, in the operator's file.
+//! The table `batches` of the operator's file: how batches are scheduled.
 
 use std::time::Duration;
 
@@ -9,34 +9,34 @@
 
 const MICROS_PER_MILLI: Micros = 1_000;
 
-/// How batches are scheduled: the table `batches`.
+/// The table `batches`: how batches are scheduled.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BatchSetup {
-    /// How long a slice may take.
+    /// Target duration of a slice in milliseconds.
     pub slice_target_ms: u32,
-    /// The fewest tokens of a slice.
+    /// Minimum number of tokens of a slice, except for the last slice of its batch.
     #[serde(rename = "least_tokens")]
     pub min_slice_tokens: u64,
-    /// The most tokens of a slice.
+    /// Maximum number of tokens of a slice, except for a slice of a single item.
     #[serde(rename = "most_tokens")]
     pub max_slice_tokens: u64,
-    /// The most slices in flight, of all batches.
+    /// Maximum number of slices in flight, over all batches.
     #[serde(rename = "at_once")]
     pub max_in_flight: usize,
-    /// The tokens that each class and tenant gets in a round.
+    /// Tokens that each pair of class and tenant gets in a round of deficit round robin.
     #[serde(rename = "round_tokens")]
     pub quantum: u64,
-    /// Retries of slices, as a share of the slices that were served.
+    /// Number of retries of slices that each served slice adds to the retry budget.
     #[serde(rename = "repeat_share")]
     pub retry_ratio: f64,
-    /// The most retries that may be saved for later.
+    /// Maximum number of retries that the retry budget saves.
     #[serde(rename = "repeat_most")]
     pub max_saved_retries: f64,
-    /// The most attempts at one slice.
+    /// Maximum number of attempts at one slice.
     #[serde(rename = "tries")]
     pub max_attempts: u32,
-    /// The most open batches.
+    /// Maximum number of open batches.
     #[serde(rename = "open")]
     pub max_open_batches: usize,
 }
@@ -60,7 +60,7 @@
 }
 
 impl BatchSetup {
-    /// The scheduler's configuration.
+    /// Returns the configuration of the batch scheduler.
     pub fn scheduler_config(&self, max_retry_after: Duration) -> SchedulerConfig {
         SchedulerConfig {
             slice_target: i64::from(self.slice_target_ms) * MICROS_PER_MILLI,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// What is wrong with the values, in one line that names the key.
+    /// Checks the values. An error is one line that names the key.
     pub(super) fn check(&self) -> Result<(), String> {
         for (key, value) in [
             ("slice_target_ms", u64::from(self.slice_target_ms)),
--- a/crates/router/src/frontend/inference/setup/limits.rs
+++ b/crates/router/src/frontend/inference/setup/limits.rs
@@ -1,4 +1,4 @@
-//! The limits of requests and responses in the operator's file.
+//! The table `limits` of the operator's file: the limits of requests and responses.
 
 use std::time::Duration;
 
@@ -6,31 +6,31 @@
 use serde::Deserialize;
 
 const MIB: usize = 1024 * 1024;
-/// The largest `body_bytes`: offsets in a body are kept as 32 bits.
+/// Maximum of `body_bytes`: offsets in a body are stored in 32 bits.
 const MAX_BODY_BYTES: usize = 1 << 30;
-/// The largest `depth`.
+/// Maximum of `depth`.
 const MAX_DEPTH: usize = 100;
 
-/// The limits of requests and responses: the table `limits`.
+/// The table `limits`: the limits of requests and responses.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// The most bytes of one body, decompressed.
+    /// Maximum size in bytes of one body, after decompression.
     pub body_bytes: usize,
-    /// The most bytes of all bodies in flight, of requests and responses.
+    /// Maximum size in bytes of all request and response bodies in flight together.
     #[serde(rename = "held_bytes")]
     pub byte_budget: usize,
-    /// How long a request may take to arrive.
+    /// Maximum time in milliseconds for a request to arrive.
     #[serde(rename = "body_wait_ms")]
     pub request_timeout_ms: u64,
-    /// How long a client may leave response data unread.
+    /// Maximum time in milliseconds for which a client may leave response data unread.
     #[serde(rename = "read_wait_ms")]
     pub unread_timeout_ms: u64,
-    /// The most lists and objects nested within one another.
+    /// Maximum nesting of lists and objects in a request body.
     pub depth: usize,
-    /// The most items of one list.
+    /// Maximum number of items of one list in a request body.
     pub items: usize,
-    /// The most bytes of one string.
+    /// Maximum size in bytes of one string in a request body.
     #[serde(rename = "text_bytes")]
     pub string_bytes: usize,
 }
@@ -51,7 +51,7 @@
 }
 
 impl Limits {
-    /// The limits that are checked before a body is decoded.
+    /// Returns the limits that are checked when a request body is decoded.
     pub fn body_limits(&self) -> BodyLimits {
         BodyLimits {
             depth: self.depth,
@@ -60,17 +60,17 @@
         }
     }
 
-    /// How long a request may take to arrive.
+    /// Returns the maximum time for a request to arrive.
     pub fn request_timeout(&self) -> Duration {
         Duration::from_millis(self.request_timeout_ms)
     }
 
-    /// How long a client may leave response data unread.
+    /// Returns the maximum time for which a client may leave response data unread.
     pub fn unread_timeout(&self) -> Duration {
         Duration::from_millis(self.unread_timeout_ms)
     }
 
-    /// What is wrong with the values, in one line that names the key.
+    /// Checks the values. An error is one line that names the key.
     pub(super) fn check(&self) -> Result<(), String> {
         for (key, value) in [
             ("body_bytes", self.body_bytes as u64),
--- a/crates/router/src/frontend/inference/setup/tests.rs
+++ b/crates/router/src/frontend/inference/setup/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the operator's file of the inference API.
+//! Tests of the checks of the operator's file for the inference API.
 
 use serde_json::json;
 
@@ -15,11 +15,11 @@
     .unwrap()
 }
 
-const FILE: &str = include_str!("../../../../../../deploy/inference.toml");
+const SHIPPED_FILE: &str = include_str!("../../../../../../deploy/inference.toml");
 
 #[test]
 fn the_shipped_file_is_valid() {
-    let setup: Setup = parse_toml(FILE).unwrap();
+    let setup: Setup = parse_toml(SHIPPED_FILE).unwrap();
     setup.check(&site()).unwrap();
     assert!(setup.listen.ip().is_loopback());
     assert_eq!(setup.rerank.class, "rerank");
@@ -30,7 +30,8 @@
         .is_ok());
 }
 
-/// A line of the shipped file, an invalid one in its place, and how the error begins.
+/// Edits that make the shipped file invalid: the text to replace, its replacement, and the
+/// beginning of the error.
 const INVALID_EDITS: [(&str, &str, &str); 16] = [
     ("class = \"rerank\"", "class = \"other\"", "rerank.class"),
     ("class = \"chat\"", "classes = \"chat\"", "chat"),
@@ -81,23 +82,24 @@
     (
         "aliases = [\"parts\"]",
         "kinds = [\"reader\"]",
-        "models[0].kinds: none of them writes",
+        "models[0].kinds: none of these kinds can decode",
     ),
     (
         "aliases = [\"parts\"]",
         "kinds = [\"writer\"]",
-        "models[0].kinds: none of them reads",
+        "models[0].kinds: none of these kinds can prefill",
     ),
 ];
 
 #[test]
 fn an_invalid_file_is_rejected_with_an_error_that_names_its_key() {
-    for (from, to, key) in INVALID_EDITS {
-        assert!(FILE.contains(from), "{from}");
-        let read = parse_toml(&FILE.replace(from, to)).and_then(|s: Setup| s.check(&site()));
-        let message = read.expect_err(to);
+    for (from, to, prefix) in INVALID_EDITS {
+        assert!(SHIPPED_FILE.contains(from), "{from}");
+        let result =
+            parse_toml(&SHIPPED_FILE.replace(from, to)).and_then(|s: Setup| s.check(&site()));
+        let message = result.expect_err(to);
         assert!(
-            message.starts_with(key) && !message.contains('\n'),
+            message.starts_with(prefix) && !message.contains('\n'),
             "{message}"
         );
     }
