--- a/crates/router/tests/batches.rs
+++ b/crates/router/tests/batches.rs
@@ -1,6 +1,7 @@
-//! Faults in batches of the inference API on loopback. Whatever fails, there is one final response
-//! in the form of the API and one attempt in flight; nothing that may have been executed is sent
-//! twice if its class is not idempotent; and slots are released at once.
+//! Tests of faults in batches of the inference API, on loopback. Whatever fails, the client gets
+//! one final response in the form of the API, and at most one attempt is in flight. A slice that
+//! may have been executed is not sent again if its class is non-idempotent. Slots are released at
+//! once.
 
 mod common;
 mod inference_support;
@@ -12,21 +13,21 @@
 use common::{endpoint_entry, run, Behaviour, Client, FakeServer, Observation};
 use http::Request;
 use inference_support::{
-    count_results, nine_slices, post, start_router, started_ids, CHAT, EMBEDDINGS,
+    count_results, nine_slice_rerank, post, start_router, started_ids, CHAT, EMBEDDINGS,
     FIXED_SLICE_SIZE, NON_IDEMPOTENT_RERANK, RERANK,
 };
 use serde_json::{json, Value};
 use tokio::task::{spawn_local, JoinHandle};
 
 #[test]
-fn a_server_failure_in_slice_7_of_9_repeats_that_slice_alone() {
+fn a_failure_in_slice_7_of_9_retries_only_that_slice() {
     run(async {
         let servers = [
             FakeServer::start(4, Behaviour::Answer).await,
             FakeServer::start(4, Behaviour::Answer).await,
         ];
         let router = start_router(&[&servers[0], &servers[1]], &FIXED_SLICE_SIZE).await;
-        // If the connection breaks before the response, the policy retries the slice; if the
+        // If the connection is closed before the response, the policy retries the slice; if the
         // response is invalid, the batch scheduler does.
         for fault in [
             json!({"does": "break", "on": 6, "times": 1}),
@@ -34,21 +35,29 @@
         ] {
             servers
                 .iter()
-                .for_each(|w| w.observations.borrow_mut().clear());
+                .for_each(|server| server.observations.borrow_mut().clear());
             let (status, _, response) = post(
                 &router,
                 RERANK,
                 &[("x-request-id", "d7")],
-                &nine_slices(fault),
+                &nine_slice_rerank(fault),
             )
             .await;
             assert_eq!((status, count_results(&response)), (200, 18));
-            let mut ids: Vec<String> = servers.iter().flat_map(|w| started_ids(w)).collect();
+            let mut ids: Vec<String> = servers
+                .iter()
+                .flat_map(|server| started_ids(server))
+                .collect();
             let sent = ids.len();
             ids.sort();
             ids.dedup();
-            assert!(ids.len() >= 9 && sent <= 11, "{sent} sends of {ids:?}");
-            assert!(servers.iter().all(|w| w.max_concurrent_attempts.get() <= 1));
+            assert!(
+                ids.len() >= 9 && sent <= 11,
+                "{sent} slices were sent, with the distinct ids {ids:?}"
+            );
+            assert!(servers
+                .iter()
+                .all(|server| server.max_concurrent_attempts.get() <= 1));
         }
     });
 }
@@ -64,7 +73,7 @@
             json!({"model": "m", "query": "q", "documents": documents, "toy": fault})
         };
         for fault_name in ["missing", "doubled", "out_of_range", "nan", "not_json"] {
-            // Invalid in the first attempt only: retried, and complete.
+            // Only the response to the first attempt is invalid: a retry completes the batch.
             let (status, _, response) = post(
                 &idempotent,
                 RERANK,
@@ -73,7 +82,8 @@
             )
             .await;
             assert_eq!((status, count_results(&response)), (200, 2), "{fault_name}");
-            // Invalid in every attempt: it fails, and after one attempt if it is not idempotent.
+            // The response to every attempt is invalid: a non-idempotent batch fails after one
+            // attempt.
             server.observations.borrow_mut().clear();
             let (status, _, response) = post(
                 &non_idempotent,
@@ -98,18 +108,18 @@
     });
 }
 
-/// If a slice is rejected after others were executed, the batch is not rejected: a retry would not
-/// be harmless.
+/// If a slice is rejected after others were executed, the batch fails instead of being rejected: a
+/// rejection would tell the client that a retry is harmless.
 #[test]
 fn a_slice_rejected_after_executed_ones_fails_a_non_idempotent_batch() {
     run(async {
         let server = FakeServer::start(4, Behaviour::Answer).await;
-        let mut fixed = NON_IDEMPOTENT_RERANK.to_vec();
-        fixed.extend(FIXED_SLICE_SIZE);
-        let slices = start_router(&[&server], &fixed).await;
-        let rejected = nine_slices(json!({"does": "full", "on": 3}));
+        let mut edits = NON_IDEMPOTENT_RERANK.to_vec();
+        edits.extend(FIXED_SLICE_SIZE);
+        let router = start_router(&[&server], &edits).await;
+        let rejected = nine_slice_rerank(json!({"does": "full", "on": 3}));
         let (status, _, response) =
-            post(&slices, RERANK, &[("x-deadline-ms", "3000")], &rejected).await;
+            post(&router, RERANK, &[("x-deadline-ms", "3000")], &rejected).await;
         assert_eq!(
             (status, &response["error"]["type"]),
             (502, &json!("server_error"))
@@ -145,7 +155,7 @@
 }
 
 #[test]
-fn a_server_that_drains_between_two_slices_gets_no_further_ones() {
+fn an_endpoint_that_drains_between_two_slices_gets_no_further_slices() {
     run(async {
         let (a, b) = (
             FakeServer::start(4, Behaviour::Answer).await,
@@ -153,37 +163,38 @@
         );
         [&a, &b]
             .iter()
-            .for_each(|w| w.service_time.set(Duration::from_millis(60)));
+            .for_each(|server| server.service_time.set(Duration::from_millis(60)));
         let router = start_router(&[&a, &b], &FIXED_SLICE_SIZE).await;
         let pending = {
             let address = router.inference;
             spawn_local(async move {
                 Client::connect(address)
                     .await
-                    .post(RERANK, nine_slices(json!({})))
+                    .post(RERANK, nine_slice_rerank(json!({})))
                     .await
             })
         };
-        let first = tokio::select! {
+        // The endpoint that was used first will drain; the other one stays up.
+        let servers = tokio::select! {
             () = a.wait_until(|seen| seen.len() > 1) => [&a, &b],
             () = b.wait_until(|seen| seen.len() > 1) => [&b, &a],
         };
         router.discovery.publish(vec![
-            endpoint_entry(first[0], "mixed", "draining"),
-            endpoint_entry(first[1], "mixed", "up"),
+            endpoint_entry(servers[0], "mixed", "draining"),
+            endpoint_entry(servers[1], "mixed", "up"),
         ]);
         tokio::time::sleep(Duration::from_millis(250)).await;
-        let before = started_ids(first[0]).len();
+        let before = started_ids(servers[0]).len();
         let (status, response) = pending.await.unwrap();
         assert_eq!((status, count_results(&response)), (200, 18));
-        assert_eq!(started_ids(first[0]).len(), before);
-        assert!(started_ids(first[1]).len() > 1);
+        assert_eq!(started_ids(servers[0]).len(), before);
+        assert!(started_ids(servers[1]).len() > 1);
     });
 }
 
-/// The rejection comes before the deadline, and with a `Retry-After`.
+/// The router rejects the batch long before its deadline, with a `Retry-After` header.
 #[test]
-fn a_batch_that_every_server_rejects_is_rejected_with_a_retry_delay() {
+fn a_batch_that_every_endpoint_rejects_is_rejected_with_a_retry_delay() {
     run(async {
         let server = FakeServer::start(4, Behaviour::Reject).await;
         let router = start_router(
@@ -192,7 +203,8 @@
         )
         .await;
         let began = Instant::now();
-        let (status, headers, response) = post(&router, RERANK, &[], &nine_slices(json!({}))).await;
+        let (status, headers, response) =
+            post(&router, RERANK, &[], &nine_slice_rerank(json!({}))).await;
         assert_eq!(
             (status, &response["error"]["code"]),
             (503, &json!("overloaded"))
@@ -201,12 +213,12 @@
         assert!(retry_after > 0.0 && retry_after <= 1.0, "{retry_after}");
         assert!(
             began.elapsed() < Duration::from_secs(15),
-            "it is not kept until its deadline"
+            "the batch was not rejected within 15 s, long before its deadline"
         );
     });
 }
 
-/// How many slices of a batch were sent.
+/// Counts the slices of a batch that got a slot.
 fn count_slices(seen: &[Observation], batch_id: &str) -> usize {
     let is_of_batch = |s: &&Observation| {
         matches!(s, Observation::RequestStarted { id, .. }
@@ -225,19 +237,23 @@
     seen.iter().filter(is_release).count()
 }
 
-/// Posts nine slices under this id in a task of its own.
+/// Posts a batch of nine slices with this request id, in a separate task.
 fn post_batch(address: SocketAddr, id: &'static str, fault: Value) -> JoinHandle<u16> {
     let request = Request::post(RERANK)
         .header("host", "app")
         .header("x-request-id", id);
-    let request = request.body(nine_slices(fault).to_string().into()).unwrap();
+    let request = request
+        .body(nine_slice_rerank(fault).to_string().into())
+        .unwrap();
     spawn_local(async move { Client::connect(address).await.send(request).await.0 })
 }
 
-/// Cancels a batch in a stage, and returns the time until another batch gets its turn or slot.
+/// Cancels a batch in the given stage, and returns the time until another batch gets its turn or
+/// slot.
 async fn cancel_batch(server: &FakeServer, address: SocketAddr, stage: &str) -> Duration {
     server.observations.borrow_mut().clear();
-    // Between slices: the first one is answered, and the next one waits for another batch.
+    // Between slices: the first slice is served, and the next one waits while a slice of another
+    // batch is in flight.
     let first = if stage == "between slices" {
         json!({"does": "answer", "on": 0})
     } else {
@@ -266,7 +282,8 @@
     let mut cancelled_at = Instant::now();
     cancelled.abort();
     if stage != "in a slice" {
-        // Its turn would come when the slice in flight is cancelled: the next batch must get it.
+        // The cancelled batch would have its turn when the slice in flight is cancelled. The next
+        // batch must get that turn.
         let next = post_batch(address, "next", json!({}));
         tokio::time::sleep(Duration::from_millis(20)).await;
         cancelled_at = Instant::now();
@@ -285,7 +302,7 @@
     assert_eq!(
         count_slices(&server.observations.borrow(), "gone"),
         sent,
-        "nothing more is sent for it: {stage}"
+        "a slice was sent after its batch was cancelled: {stage}"
     );
     let started = count_started(&server.observations.borrow());
     server
@@ -294,9 +311,9 @@
     elapsed
 }
 
-/// A cancelled batch occupies neither a turn nor a slot, whichever stage it is in. One slice may be
-/// in flight at a time. The time is a requirement; the best of several attempts counts, since a
-/// busy machine may delay any one of them.
+/// A cancelled batch occupies neither a turn nor a slot, whichever stage it is in. At most one
+/// slice is in flight at a time. The 300 ms are a requirement; the best of four attempts counts,
+/// since a busy machine may delay any one of them.
 #[test]
 fn cancelling_a_batch_releases_its_slot_within_300_ms_in_every_stage() {
     run(async {
@@ -326,14 +343,14 @@
                 .header("host", "app")
                 .header("x-request-id", "same");
             let request = request
-                .body(nine_slices(json!({})).to_string().into())
+                .body(nine_slice_rerank(json!({})).to_string().into())
                 .unwrap();
             Client::connect(address).await.send(request).await.0
         });
         server.wait_until(|seen| seen.len() > 6).await;
         for path in [RERANK, CHAT] {
             let (status, headers, response) =
-                post(&router, path, &id, &nine_slices(json!({}))).await;
+                post(&router, path, &id, &nine_slice_rerank(json!({}))).await;
             assert_eq!(
                 (status, &response["error"]["code"]),
                 (409, &json!("id_in_use"))
@@ -341,7 +358,7 @@
             assert_eq!(headers["x-request-id"], "same");
         }
         assert_eq!(first.await.unwrap(), 200);
-        let (status, headers, _) = post(&router, RERANK, &id, &nine_slices(json!({}))).await;
+        let (status, headers, _) = post(&router, RERANK, &id, &nine_slice_rerank(json!({}))).await;
         assert_eq!(
             (status, &headers["x-request-id"]),
             (200, &"same".parse().unwrap())
@@ -356,7 +373,7 @@
         let router = start_router(&[&server], &FIXED_SLICE_SIZE).await;
         let (status, headers, _) = post(&router, "/nowhere", &[], &json!({})).await;
         assert!(status == 404 && !headers["x-request-id"].is_empty());
-        // A deadline of 1 ms.
+        // Requests with a deadline of 1 ms exceed it.
         server.service_time.set(Duration::from_millis(100));
         for (path, body) in [
             (EMBEDDINGS, json!({"model": "m", "input": "x"})),
@@ -383,7 +400,7 @@
             &router,
             RERANK,
             &[("x-request-id", "a/b")],
-            &nine_slices(json!({})),
+            &nine_slice_rerank(json!({})),
         )
         .await;
         assert_eq!(
@@ -403,7 +420,7 @@
         let pending = spawn_local(async move {
             Client::connect(address)
                 .await
-                .post(RERANK, nine_slices(json!({})))
+                .post(RERANK, nine_slice_rerank(json!({})))
                 .await
         });
         server.wait_until(|seen| seen.len() > 4).await;
@@ -415,21 +432,21 @@
     });
 }
 
-/// A client with many long batches does not take all turns: a short batch completes while they run.
+/// Many long batches do not take all turns: a short batch completes while they run.
 #[test]
 fn a_short_batch_is_served_while_long_ones_run() {
     run(async {
         let server = FakeServer::start(1, Behaviour::Answer).await;
         server.service_time.set(Duration::from_millis(3));
-        // A long deadline: on a busy machine the long batches would otherwise be rejected as too
-        // slow.
+        // The deadline is long, because a busy machine may be so slow that the router would reject
+        // the long batches.
         let edits = [
             FIXED_SLICE_SIZE[0],
             ("deadline_ms = 10000", "deadline_ms = 600000"),
         ];
         let router = start_router(&[&server], &edits).await;
         let address = router.inference;
-        let long: Vec<_> = (0..6)
+        let long_batches: Vec<_> = (0..6)
             .map(|_| {
                 spawn_local(async move {
                     let documents: Vec<String> = (0..400)
@@ -449,8 +466,8 @@
         )
         .await;
         assert_eq!(status, 200);
-        assert!(long.iter().all(|l| !l.is_finished()));
-        long.iter().for_each(|l| l.abort());
+        assert!(long_batches.iter().all(|batch| !batch.is_finished()));
+        long_batches.iter().for_each(|batch| batch.abort());
         let _: Rc<FakeServer> = server;
     });
 }
--- a/crates/router/tests/conform.rs
+++ b/crates/router/tests/conform.rs
@@ -1,4 +1,4 @@
-//! The conformance suite, against a router with the second front's file as it is shipped.
+//! Runs the conformance suite against a router with the shipped file of the inference API.
 
 mod common;
 
@@ -7,11 +7,11 @@
 use common::{endpoint_entry, Behaviour, FakeServer, TestRouter};
 use cranetack_conformance::{cases, run, Base, CASES};
 
-/// Longer than any single test may take: these are hundreds.
-const ALL: Duration = Duration::from_secs(300);
+/// Maximum time for the whole suite, which has hundreds of cases.
+const SUITE_TIMEOUT: Duration = Duration::from_secs(300);
 
 #[test]
-fn every_case_passes() {
+fn every_conformance_case_passes() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -24,17 +24,20 @@
         let router = TestRouter::start_shipped(
             servers
                 .iter()
-                .map(|w| endpoint_entry(w, "mixed", "up"))
+                .map(|server| endpoint_entry(server, "mixed", "up"))
                 .collect(),
         )
         .await;
         let base = Base::new(&format!("http://{}", router.inference), None).unwrap();
         let cases = cases(CASES).unwrap();
-        let ran = tokio::time::timeout(ALL, run(&base, &cases, |_| ()))
+        let outcomes = tokio::time::timeout(SUITE_TIMEOUT, run(&base, &cases, |_| ()))
             .await
-            .expect("it hangs");
-        let failed: Vec<_> = ran.iter().filter(|o| !o.problems.is_empty()).collect();
+            .expect("the conformance suite did not finish within 300 s");
+        let failed: Vec<_> = outcomes
+            .iter()
+            .filter(|outcome| !outcome.problems.is_empty())
+            .collect();
         assert!(failed.is_empty(), "{failed:#?}");
-        assert_eq!(ran.len(), cases.len());
+        assert_eq!(outcomes.len(), cases.len());
     });
 }
--- a/crates/router/tests/inference.rs
+++ b/crates/router/tests/inference.rs
@@ -1,4 +1,4 @@
-//! The inference API on loopback, with mixed traffic against fake servers.
+//! Tests of the inference API on loopback: chat, embeddings and rerank requests to fake servers.
 
 mod common;
 
@@ -10,13 +10,13 @@
 };
 use serde_json::{json, Value};
 
-fn chat() -> Value {
+fn chat_request() -> Value {
     let messages = json!([{"role": "user", "content": "which gasket?"}]);
     json!({"model": "any", "stream": true, "messages": messages})
 }
 
-/// Between the arrival and the start of a chat request, no more than a few slices of the rerank
-/// start, though tens of them are still to come.
+/// Between the arrival and the start of a chat request, at most three slices of the rerank request
+/// start, although tens of them are still waiting.
 #[test]
 fn a_rerank_of_hundreds_of_candidates_does_not_starve_chat() {
     run(async {
@@ -33,22 +33,27 @@
         for _ in 0..3 {
             let before = server.observations.borrow().len();
             let mut client = Client::connect(router.inference).await;
-            let (status, response) = client.post("/v1/chat/completions", chat()).await;
+            let (status, response) = client.post("/v1/chat/completions", chat_request()).await;
             assert_eq!(
                 (status, response),
                 (200, json!(format!("{EVENT}{FINISH}{DONE}")))
             );
             let seen = server.observations.borrow();
-            let began = seen[before..].iter().filter_map(|s| match s {
+            let started_paths = seen[before..].iter().filter_map(|s| match s {
                 Observation::RequestStarted { path, .. } => Some(path.as_str()),
                 _ => None,
             });
-            let between = began.take_while(|path| *path == "/v1/rerank").count();
-            assert!(between <= 3, "{between} slices went before a chat");
+            let between = started_paths
+                .take_while(|path| *path == "/v1/rerank")
+                .count();
+            assert!(
+                between <= 3,
+                "{between} slices of the rerank request started before a chat request"
+            );
         }
         assert!(
             !rerank.is_finished(),
-            "the chats were answered while the rerank went on"
+            "the rerank request ended before the chat requests were served"
         );
         let (status, response) = rerank.await.unwrap();
         assert_eq!(status, 200);
@@ -63,19 +68,19 @@
         assert_eq!(
             (first * 7) % 400,
             399,
-            "results have the indices of the client's documents"
+            "the result does not have the index of the client's document"
         );
         assert!(server.count_started("/v1/rerank") > 20);
         assert_eq!(
             server.max_concurrent_attempts.get(),
             1,
-            "one attempt in flight for each request"
+            "a request had more than one attempt in flight"
         );
     });
 }
 
-/// The time is a requirement, so it is measured. The best of several attempts counts, since a busy
-/// machine may delay any one of them.
+/// The 300 ms are a requirement, so the time is measured. The best of five attempts counts, since a
+/// busy machine may delay any one of them.
 #[test]
 fn cancelling_an_embeddings_batch_releases_its_slot_within_300_ms() {
     run(async {
@@ -108,7 +113,7 @@
             best = best.min(cancelled_at.elapsed());
         }
         assert!(best < Duration::from_millis(300), "{best:?}");
-        // The slot serves others.
+        // The released slot serves another request.
         server.behaviour.set(Behaviour::Answer);
         let mut client = Client::connect(router.inference).await;
         let (status, response) = client
@@ -126,7 +131,7 @@
 }
 
 #[test]
-fn a_draining_server_gets_no_new_requests() {
+fn a_draining_endpoint_gets_no_new_requests() {
     run(async {
         let (a, b) = (
             FakeServer::start(8, Behaviour::Answer).await,
@@ -157,10 +162,10 @@
             endpoint_entry(active, "mixed", "up"),
         ]);
         tokio::time::sleep(Duration::from_millis(250)).await;
-        let before = [draining, active].map(|w| w.count_started("/v1/embeddings"));
+        let before = [draining, active].map(|server| server.count_started("/v1/embeddings"));
         send_embeddings(12).await;
         assert_eq!(
-            [draining, active].map(|w| w.count_started("/v1/embeddings")),
+            [draining, active].map(|server| server.count_started("/v1/embeddings")),
             [before[0], before[1] + 12]
         );
     });
@@ -193,13 +198,13 @@
         }
         let (status, response) = client.get("/v1/rerank").await;
         assert_eq!((status, response.starts_with(b"{\"error\"")), (405, true));
-        // A server without capacity: the policy gives up, and the client may retry.
+        // The endpoint has no capacity: the policy gives up, and the client may retry.
         let (status, response) = client.post("/v1/embeddings", valid.clone()).await;
         assert_eq!(
             (status, &response["error"]["type"]),
             (503, &json!("server_error"))
         );
-        // A server that does not respond by the deadline.
+        // The endpoint does not respond by the deadline.
         let server = FakeServer::start(1, Behaviour::Hang).await;
         let router = TestRouter::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
         let mut client = Client::connect(router.inference).await;
@@ -213,8 +218,8 @@
             (status, &response["error"]["code"]),
             (504, &json!("deadline_exceeded"))
         );
-        let long = json!({"model": "any", "input": "x".repeat(17_000_000)});
-        let (status, response) = client.post("/v1/embeddings", long).await;
+        let oversized = json!({"model": "any", "input": "x".repeat(17_000_000)});
+        let (status, response) = client.post("/v1/embeddings", oversized).await;
         assert_eq!(
             (status, &response["error"]["code"]),
             (413, &json!("invalid_body"))
--- a/crates/router/tests/inference_limits.rs
+++ b/crates/router/tests/inference_limits.rs
@@ -1,4 +1,4 @@
-//! Streams, slow clients and the limits of bodies and memory of the inference API on loopback.
+//! Tests of the inference API on loopback: streams, slow clients, limits of body size and memory.
 
 mod common;
 mod inference_support;
@@ -9,11 +9,12 @@
 
 use common::{run, Behaviour, Client, FakeServer, Observation, RawClient, EVENT, FINISH};
 use http::Request;
-use inference_support::{nine_slices, post, start_router, CHAT, EMBEDDINGS, RERANK};
+use inference_support::{nine_slice_rerank, post, start_router, CHAT, EMBEDDINGS, RERANK};
 use serde_json::{json, Value};
 use tokio::task::spawn_local;
 
-/// The client of the stream reads nothing and disconnects.
+/// The client reads nothing of the stream and disconnects. The best of four attempts counts, since
+/// a busy machine may delay any one of them.
 #[test]
 fn cancelling_an_unread_stream_releases_its_slot_within_300_ms() {
     run(async {
@@ -36,13 +37,15 @@
                 "POST {CHAT} HTTP/1.1\r\nhost: app\r\ncontent-length: {length}\r\n\r\n{body}"
             ))
             .await;
-            // By then all buffers on the way are full, and the server waits to write.
+            // The fake server records one release when the stream begins and a second one when the
+            // stream is dropped. After the delay all buffers on the way to the client are full, and
+            // the server waits to write.
             server.wait_until(|seen| count_releases(seen) == 1).await;
             tokio::time::sleep(Duration::from_millis(300)).await;
             assert_eq!(
                 count_releases(&server.observations.borrow()),
                 1,
-                "the stream still runs"
+                "the stream ended before its client disconnected"
             );
             let cancelled_at = Instant::now();
             drop(raw);
@@ -53,23 +56,23 @@
     });
 }
 
-/// Requests are cancelled while the body arrives, and while the response is read.
+/// Requests are cancelled while their body arrives, and before their response has been read.
 #[test]
 fn the_byte_reservations_of_cancelled_requests_are_returned() {
     run(async {
         let server = FakeServer::start(4, Behaviour::Answer).await;
-        let small = [
+        let small_limits = [
             ("held_bytes = 67108864", "held_bytes = 4000000"),
             ("body_bytes = 16777216", "body_bytes = 3000000"),
         ];
-        let router = start_router(&[&server], &small).await;
+        let router = start_router(&[&server], &small_limits).await;
         let head = format!("POST {RERANK} HTTP/1.1\r\nhost: app\r\ncontent-length: 3000000\r\n");
         for _ in 0..5 {
             let mut arriving = RawClient::connect(router.inference).await;
             arriving.send(&format!("{head}\r\n{{")).await;
             tokio::time::sleep(Duration::from_millis(20)).await;
-            // The budget has no room for a second one: it is rejected before its body is read, and
-            // gets no `100 Continue`.
+            // The budget has no room for a second request: it is rejected before its body is read,
+            // and gets no `100 Continue`.
             let mut second = RawClient::connect(router.inference).await;
             second
                 .send(&format!("{head}expect: 100-continue\r\n\r\n"))
@@ -82,7 +85,7 @@
             drop(arriving);
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        // A response that its client does not read.
+        // Clients that disconnect without having read the response.
         for _ in 0..5 {
             let documents: Vec<String> = (0..900)
                 .map(|n| format!("{n} {}", "x".repeat(3_000)))
@@ -99,28 +102,28 @@
                 .await;
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
-        let (status, ..) = post(&router, RERANK, &[], &nine_slices(json!({}))).await;
+        let (status, ..) = post(&router, RERANK, &[], &nine_slice_rerank(json!({}))).await;
         assert_eq!(status, 200);
     });
 }
 
-/// If streams have reserved all of the byte budget, the next one is rejected with a `Retry-After`,
-/// and is served once one has ended.
+/// If open streams have used up the byte budget, the router rejects the next stream with a
+/// `Retry-After` header, and serves one again once they have ended.
 #[test]
 fn streams_hold_their_byte_reservations_until_they_end() {
     run(async {
         let server = FakeServer::start(8, Behaviour::Answer).await;
-        let small = [
+        let small_limits = [
             ("held_bytes = 67108864", "held_bytes = 140000"),
             ("body_bytes = 16777216", "body_bytes = 100000"),
         ];
-        let router = start_router(&[&server], &small).await;
+        let router = start_router(&[&server], &small_limits).await;
         let chat = |ms: u64| {
             let messages = json!([{"role": "user", "content": "x"}]);
             json!({"model": "m", "stream": true, "toy": {"ms": ms}, "messages": messages})
         };
         let address = router.inference;
-        let first: Vec<_> = (0..2)
+        let open_streams: Vec<_> = (0..2)
             .map(|_| {
                 spawn_local(
                     async move { Client::connect(address).await.post(CHAT, chat(300)).await.0 },
@@ -141,8 +144,8 @@
             (503, &json!("overloaded"))
         );
         assert!(headers.contains_key("retry-after"));
-        for one in first {
-            assert_eq!(one.await.unwrap(), 200);
+        for stream in open_streams {
+            assert_eq!(stream.await.unwrap(), 200);
         }
         assert_eq!(post(&router, CHAT, &[], &chat(1)).await.0, 200);
     });
@@ -152,32 +155,33 @@
 fn slow_senders_and_slow_readers_are_disconnected() {
     run(async {
         let server = FakeServer::start(4, Behaviour::Answer).await;
-        let waits = [
+        let edits = [
             ("body_wait_ms = 10000", "body_wait_ms = 400"),
             ("read_wait_ms = 30000", "read_wait_ms = 300"),
             ("slice_tokens = 256", "slice_tokens = 9000000"),
             ("most_tokens = 65536", "most_tokens = 9000000"),
         ];
-        let router = start_router(&[&server], &waits).await;
-        let mut slow = RawClient::connect(router.inference).await;
-        slow.send(&format!(
-            "POST {RERANK} HTTP/1.1\r\nhost: app\r\ncontent-length: 16000000\r\n\r\n"
-        ))
-        .await;
-        let dripping = async {
+        let router = start_router(&[&server], &edits).await;
+        let mut slow_sender = RawClient::connect(router.inference).await;
+        slow_sender
+            .send(&format!(
+                "POST {RERANK} HTTP/1.1\r\nhost: app\r\ncontent-length: 16000000\r\n\r\n"
+            ))
+            .await;
+        let slow_sending = async {
             loop {
-                // 1 KB a second.
-                slow.send("xxxxxxxxxx").await;
+                // 10 bytes every 10 ms: 1 KB a second.
+                slow_sender.send("xxxxxxxxxx").await;
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        let _ = tokio::time::timeout(Duration::from_millis(350), dripping).await;
-        let response = slow.read_until_closed().await;
+        let _ = tokio::time::timeout(Duration::from_millis(350), slow_sending).await;
+        let response = slow_sender.read_until_closed().await;
         assert!(
             response.starts_with("HTTP/1.1 408 ") && response.contains("x-request-id: "),
             "{response}"
         );
-        // More than the system's buffers hold, none of which is read.
+        // The response is larger than the system's buffers, and the client reads nothing of it.
         let documents: Vec<String> = (0..4_000)
             .map(|n| format!("{n} {}", "x".repeat(3_000)))
             .collect();
@@ -195,7 +199,7 @@
         tokio::time::sleep(Duration::from_millis(1_500)).await;
         assert!(
             slow_reader.read_until_closed().await.len() < length,
-            "it was disconnected before all was written"
+            "the client that reads slowly got the whole response"
         );
     });
 }
@@ -206,7 +210,7 @@
     encoder.finish().unwrap()
 }
 
-/// Posts a body; returns the status and the code of the error, or nothing.
+/// Posts a body. Returns the status and the error's code, which is empty if there is no error.
 async fn send_body(address: SocketAddr, headers: &[(&str, &str)], body: Vec<u8>) -> (u16, String) {
     let request = Request::post(EMBEDDINGS).header("host", "app");
     let request = headers
@@ -227,7 +231,7 @@
         let valid = json!({"model": "m", "input": ["a"]})
             .to_string()
             .into_bytes();
-        let bomb = gzip(&vec![b' '; 40_000_000]);
+        let gzip_bomb = gzip(&vec![b' '; 40_000_000]);
         type Case<'a> = (&'a [(&'a str, &'a str)], Vec<u8>, u16, &'a str);
         let cases: [Case; 7] = [
             (&[("content-encoding", "gzip")], gzip(&valid), 200, ""),
@@ -237,7 +241,12 @@
                 400,
                 "invalid_body",
             ),
-            (&[("content-encoding", "gzip")], bomb, 413, "invalid_body"),
+            (
+                &[("content-encoding", "gzip")],
+                gzip_bomb,
+                413,
+                "invalid_body",
+            ),
             (
                 &[("content-encoding", "br")],
                 valid.clone(),
@@ -268,7 +277,7 @@
     });
 }
 
-/// An incomplete response never looks complete.
+/// An incomplete response must never look complete to the client.
 #[test]
 fn a_broken_stream_ends_with_an_error_event_and_an_unstreamed_response_fails() {
     run(async {
--- a/crates/router/tests/inference_support/mod.rs
+++ b/crates/router/tests/inference_support/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers of the tests of the inference API.
+//! Helpers for the tests of the inference API.
 #![allow(dead_code)]
 
 use http::{HeaderMap, Request};
@@ -10,19 +10,19 @@
 pub(crate) const EMBEDDINGS: &str = "/v1/embeddings";
 pub(crate) const CHAT: &str = "/v1/chat/completions";
 
-/// The operator's file with rerank served as a non-idempotent class.
+/// Edit of the operator's file that gives rerank requests a non-idempotent class.
 pub(crate) const NON_IDEMPOTENT_RERANK: [(&str, &str); 1] =
     [("class = \"rerank\"", "class = \"order\"")];
 
 pub(crate) async fn start_router(servers: &[&FakeServer], edits: &[(&str, &str)]) -> TestRouter {
-    let lines = servers
+    let entries = servers
         .iter()
-        .map(|w| endpoint_entry(w, "mixed", "up"))
+        .map(|server| endpoint_entry(server, "mixed", "up"))
         .collect();
-    TestRouter::start_with_edits(lines, edits).await
+    TestRouter::start_with_edits(entries, edits).await
 }
 
-/// Posts with headers; returns the status, headers and JSON of the response.
+/// Posts a JSON body with these headers. Returns the status, headers and JSON of the response.
 pub(crate) async fn post(
     router: &TestRouter,
     path: &str,
@@ -42,26 +42,32 @@
     )
 }
 
-/// Nine slices of two documents each, at the initial slice size of 256 tokens.
-pub(crate) fn nine_slices(fault: Value) -> Value {
+/// Returns the body of a rerank request that is sent in nine slices of two documents each, at the
+/// initial slice size of 256 tokens.
+pub(crate) fn nine_slice_rerank(fault: Value) -> Value {
     let documents: Vec<String> = (0..18)
         .map(|n| format!("{n} {}", "x".repeat(500)))
         .collect();
     json!({"model": "m", "query": "q", "documents": documents, "toy": fault})
 }
 
-/// Keeps slices at their initial size.
+/// Edit of the operator's file that keeps slices at their initial size of 256 tokens.
 pub(crate) const FIXED_SLICE_SIZE: [(&str, &str); 1] = [(
     "least_tokens = 16\nmost_tokens = 65536",
     "least_tokens = 256\nmost_tokens = 256",
 )];
 
 pub(crate) fn started_ids(server: &FakeServer) -> Vec<String> {
-    let of = |s: &Observation| match s {
+    let started_id = |observation: &Observation| match observation {
         Observation::RequestStarted { id, .. } => Some(id.clone()),
         _ => None,
     };
-    server.observations.borrow().iter().filter_map(of).collect()
+    server
+        .observations
+        .borrow()
+        .iter()
+        .filter_map(started_id)
+        .collect()
 }
 
 pub(crate) fn count_results(response: &Value) -> usize {
