--- a/crates/router/src/frontend/inference/service.rs
+++ b/crates/router/src/frontend/inference/service.rs
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Serves `/v1/models` and `/v1/models/{id}`. Any other path is unknown.
+    /// Serves `/v1/models` and `/v1/models/{id}`. Any other path gets status 404.
     fn serve_models(&self, head: &RequestHead) -> Result<Response<ResponseBody>, RequestError> {
         let rest = head.uri.path().strip_prefix(MODELS_PATH);
         let Some(rest) = rest.filter(|rest| rest.is_empty() || rest.starts_with('/')) else {
