--- a/crates/router/src/frontend/body.rs
+++ b/crates/router/src/frontend/body.rs
@@ -14,42 +14,42 @@
 
 use super::byte_budget::{ByteBudget, ByteReservation};
 
-/// The compressed bytes that are decompressed at once. Each may become a thousand bytes, which must
-/// be reserved before more are decompressed.
+/// Number of compressed bytes that are decompressed before the byte reservation is extended. The
+/// output is reserved only after it has been produced, and gzip can expand a byte to a thousand.
 const COMPRESSED_CHUNK_SIZE: usize = 1_024;
-/// The most bytes that are drained of a body that was not read.
-const DRAIN_LIMIT: usize = 64 * 1024 * 1024;
-/// How long such a body is drained.
+/// Maximum number of bytes of a rejected body that the router reads and discards.
+const DRAIN_LIMIT_BYTES: usize = 64 * 1024 * 1024;
+/// Maximum time for which the router reads and discards a rejected body.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why the body of a request was not read.
+/// The reason why a request body was not read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// It is larger than this limit.
+    /// The body is larger than this limit, in bytes.
     #[error("the body holds more than {0} bytes")]
     TooLarge(usize),
-    /// It broke off, or could not be decompressed.
+    /// The body ended early, or could not be decompressed.
     #[error("the body could not be read")]
     Unreadable,
-    /// It took too long to arrive.
+    /// The body did not arrive before its deadline.
     #[error("the request took too long")]
     TimedOut,
-    /// Its end is ambiguous.
+    /// The request has both `Content-Length` and `Transfer-Encoding`, so its end is ambiguous.
     #[error("the request has both a length and an encoding")]
     AmbiguousLength,
-    /// The byte budget is used up.
+    /// The byte budget has too few free bytes for the body.
     #[error("there is no room for the body now; trying again is harmless")]
     BudgetExhausted,
-    /// Its content coding is not supported.
+    /// The content coding is not supported.
     #[error("Content-Encoding must be gzip or identity")]
     UnsupportedEncoding,
-    /// Its declared media type is not JSON.
+    /// The declared media type is not JSON.
     #[error("Content-Type must be application/json")]
     UnsupportedMediaType,
 }
 
 impl BodyError {
-    /// The status of the response.
+    /// The HTTP status of the response to the request.
     pub fn status(self) -> StatusCode {
         match self {
             BodyError::TooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
@@ -73,44 +73,48 @@
 /// The body of a request that has not been read yet.
 pub struct RequestBody {
     pub(super) body: Incoming,
-    /// When all of it must have arrived.
+    /// When the whole body must have arrived.
     pub(super) deadline: Instant,
-    /// Whether its end is ambiguous.
-    pub(super) is_ambiguous: bool,
-    /// Whether its client waits for `100 Continue` before it sends the body.
+    /// Whether the request has both `Content-Length` and `Transfer-Encoding`.
+    pub(super) has_ambiguous_length: bool,
+    /// Whether the client waits for `100 Continue` before it sends the body.
     pub(super) expects_continue: bool,
 }
 
 impl RequestBody {
-    /// Reads the whole body, decompressed. The caller holds the reservation as long as the bytes.
+    /// Reads and decompresses the whole body. The caller must keep the reservation for as long as
+    /// it keeps the bytes.
     ///
     /// Nothing is read, and no `100 Continue` is sent, before the declared length is reserved. If
-    /// `headers` are given, they may declare no media type but JSON; otherwise the body is read as
-    /// it is.
+    /// `headers` are given, a body that they declare as anything but JSON is rejected, and their
+    /// content coding is decoded; without `headers`, the bytes are returned as they arrived.
     pub async fn read_to_end(
         self,
         headers: Option<&HeaderMap>,
         size_limit: usize,
         budget: &ByteBudget,
     ) -> Result<(Bytes, ByteReservation), BodyError> {
-        if self.is_ambiguous {
+        if self.has_ambiguous_length {
             return Err(BodyError::AmbiguousLength);
         }
-        let declared = usize::try_from(self.body.size_hint().lower()).unwrap_or(usize::MAX);
+        let declared_length = usize::try_from(self.body.size_hint().lower()).unwrap_or(usize::MAX);
         let mut body = self.body;
-        let result = match admit(headers, declared, size_limit, budget) {
+        let result = match check_headers_and_reserve(headers, declared_length, size_limit, budget) {
             Ok((coding, reservation)) => {
-                let target = BodyBuffer {
+                let buffer = BodyBuffer {
                     size_limit,
                     reservation,
                 };
-                timeout_at(self.deadline, target.read(&mut body, coding, declared))
-                    .await
-                    .unwrap_or(Err(BodyError::TimedOut))
+                timeout_at(
+                    self.deadline,
+                    buffer.read(&mut body, coding, declared_length),
+                )
+                .await
+                .unwrap_or(Err(BodyError::TimedOut))
             }
             Err(error) => Err(error),
         };
-        // A client that still waits for `100 Continue` sends nothing to drain.
+        // A client that still waits for `100 Continue` has sent no body.
         if result.is_err() && !self.expects_continue {
             tokio::task::spawn_local(drain(body));
         }
@@ -118,10 +122,10 @@
     }
 }
 
-/// Checks what the headers declare, and reserves the declared length.
-fn admit(
+/// Checks the declared media type, content coding and length, and reserves the declared length.
+fn check_headers_and_reserve(
     headers: Option<&HeaderMap>,
-    declared: usize,
+    declared_length: usize,
     size_limit: usize,
     budget: &ByteBudget,
 ) -> Result<(ContentCoding, ByteReservation), BodyError> {
@@ -129,19 +133,19 @@
         Some(headers) => content_coding(headers)?,
         None => ContentCoding::Identity,
     };
-    if declared > size_limit {
+    if declared_length > size_limit {
         return Err(BodyError::TooLarge(size_limit));
     }
-    match budget.reserve_for_request(declared) {
+    match budget.reserve_for_request(declared_length) {
         Some(reservation) => Ok((coding, reservation)),
         None => Err(BodyError::BudgetExhausted),
     }
 }
 
-/// Reads and discards the rest of a body for a while. If a connection is closed with unread bytes,
-/// the system may reset it before the client has read the response.
+/// Reads and discards the rest of a body, up to a size and time limit. If a connection is closed
+/// with unread bytes, the operating system may reset it before the client has read the response.
 async fn drain(mut body: Incoming) {
-    let mut remaining = DRAIN_LIMIT;
+    let mut remaining = DRAIN_LIMIT_BYTES;
     let draining = async {
         while let Some(Ok(frame)) = body.frame().await {
             let length = frame.into_data().map_or(0, |data| data.len());
@@ -154,7 +158,7 @@
     let _ = timeout(DRAIN_TIMEOUT, draining).await;
 }
 
-/// The content coding that the headers declare, if their media type is JSON or not declared.
+/// Returns the declared content coding, or an error if the declared media type is not JSON.
 fn content_coding(headers: &HeaderMap) -> Result<ContentCoding, BodyError> {
     if let Some(media_type) = lowercase_header(headers, CONTENT_TYPE) {
         if !is_json(&media_type) {
@@ -174,7 +178,7 @@
     Some(value.to_str().unwrap_or("?").to_ascii_lowercase())
 }
 
-/// Whether a media type in lower case is JSON in UTF-8.
+/// Returns whether a media type in lower case is JSON in UTF-8.
 fn is_json(media_type: &str) -> bool {
     let (essence, parameters) = media_type.split_once(';').unwrap_or((media_type, ""));
     let charset = parameters
@@ -185,7 +189,7 @@
     essence.trim() == "application/json" && is_utf8
 }
 
-/// Collects a body within its size limit and the byte budget.
+/// A reader that keeps a body within its size limit and the byte budget.
 struct BodyBuffer {
     size_limit: usize,
     reservation: ByteReservation,
@@ -196,20 +200,20 @@
         self,
         body: &mut Incoming,
         coding: ContentCoding,
-        declared: usize,
+        declared_length: usize,
     ) -> Result<(Bytes, ByteReservation), BodyError> {
         match coding {
-            ContentCoding::Identity => self.read_plain(body, declared).await,
+            ContentCoding::Identity => self.read_identity(body, declared_length).await,
             ContentCoding::Gzip => self.read_gzip(body).await,
         }
     }
 
-    async fn read_plain(
+    async fn read_identity(
         mut self,
         body: &mut Incoming,
-        declared: usize,
+        declared_length: usize,
     ) -> Result<(Bytes, ByteReservation), BodyError> {
-        let mut plain = BytesMut::with_capacity(declared);
+        let mut plain = BytesMut::with_capacity(declared_length);
         while let Some(data) = next_data(body).await? {
             let length = plain.len() + data.len();
             self.reserve(length, length.max(plain.capacity()))?;
@@ -238,7 +242,7 @@
         Ok((plain.into(), self.reservation))
     }
 
-    /// Checks the length of what has been read, and reserves the memory that holds it.
+    /// Checks `length` against the size limit, and grows the reservation to `capacity`.
     fn reserve(&mut self, length: usize, capacity: usize) -> Result<(), BodyError> {
         if length > self.size_limit {
             return Err(BodyError::TooLarge(self.size_limit));
@@ -250,7 +254,7 @@
     }
 }
 
-/// The data of the next frame that has any; `None` at the end of the body.
+/// Returns the data of the next data frame, or `None` at the end of the body.
 async fn next_data(body: &mut Incoming) -> Result<Option<Bytes>, BodyError> {
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| BodyError::Unreadable)?;
--- a/crates/router/src/frontend/body/tests.rs
+++ b/crates/router/src/frontend/body/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of reading request bodies.
+//! Tests of the checks of a request body's headers.
 
 use super::*;
 
 #[test]
 fn only_json_in_a_supported_content_coding_is_accepted() {
-    let of = |name: http::HeaderName, value: &str| {
+    let coding_with = |name: http::HeaderName, value: &str| {
         let mut headers = HeaderMap::new();
         headers.insert(name, value.parse().unwrap());
         content_coding(&headers)
@@ -14,7 +14,7 @@
         Ok(ContentCoding::Identity)
     );
     assert_eq!(
-        of(CONTENT_TYPE, "Application/JSON; charset=\"UTF-8\""),
+        coding_with(CONTENT_TYPE, "Application/JSON; charset=\"UTF-8\""),
         Ok(ContentCoding::Identity)
     );
     for other in [
@@ -24,15 +24,18 @@
         "",
     ] {
         assert_eq!(
-            of(CONTENT_TYPE, other),
+            coding_with(CONTENT_TYPE, other),
             Err(BodyError::UnsupportedMediaType),
             "{other}"
         );
     }
-    assert_eq!(of(CONTENT_ENCODING, "gzip"), Ok(ContentCoding::Gzip));
+    assert_eq!(
+        coding_with(CONTENT_ENCODING, "gzip"),
+        Ok(ContentCoding::Gzip)
+    );
     for other in ["br", "gzip, gzip", "deflate"] {
         assert_eq!(
-            of(CONTENT_ENCODING, other),
+            coding_with(CONTENT_ENCODING, other),
             Err(BodyError::UnsupportedEncoding),
             "{other}"
         );
--- a/crates/router/src/frontend/byte_budget.rs
+++ b/crates/router/src/frontend/byte_budget.rs
@@ -1,7 +1,7 @@
-//! One budget of bytes for all request and response bodies that a frontend holds in flight.
+//! A limit on the total size of all request and response bodies that a frontend holds in memory.
 //!
 //! A [`ByteReservation`] returns its bytes to the [`ByteBudget`] when it shrinks or is dropped, and
-//! nowhere else.
+//! only then.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,12 +12,12 @@
     peak: Cell<usize>,
 }
 
-/// The budget. Cheap to clone: clones share the same bytes.
+/// A limited number of bytes that can be reserved. Cheap to clone: clones share the same budget.
 #[derive(Clone)]
 pub struct ByteBudget(Rc<Usage>);
 
 impl ByteBudget {
-    /// A budget of `capacity` bytes.
+    /// Creates a budget of `capacity` bytes.
     pub fn new(capacity: usize) -> ByteBudget {
         ByteBudget(Rc::new(Usage {
             capacity,
@@ -26,7 +26,7 @@
         }))
     }
 
-    /// Reserves `bytes`, if so many are free.
+    /// Reserves `bytes`, or returns `None` if fewer are free.
     pub fn reserve(&self, bytes: usize) -> Option<ByteReservation> {
         let mut reservation = ByteReservation {
             budget: self.clone(),
@@ -35,49 +35,51 @@
         reservation.try_grow_to(bytes).then_some(reservation)
     }
 
-    /// Reserves `bytes` for a request body. A quarter of the budget is out of reach of request
-    /// bodies: if they took all of it, none of them could be forwarded or answered.
+    /// Reserves `bytes` for a request body, or returns `None`. A quarter of the budget is not
+    /// available to request bodies: if they took all of it, none of them could be forwarded, and no
+    /// response could be sent.
     pub fn reserve_for_request(&self, bytes: usize) -> Option<ByteReservation> {
-        if !self.fits_request(bytes) {
+        if !self.can_reserve_for_request(bytes) {
             return None;
         }
         self.reserve(bytes)
     }
 
-    /// Whether request bodies may hold `additional` bytes more.
-    fn fits_request(&self, additional: usize) -> bool {
+    /// Returns whether `additional` bytes can be reserved for request bodies.
+    fn can_reserve_for_request(&self, additional: usize) -> bool {
         let request_capacity = self.0.capacity - self.0.capacity / 4;
         additional <= request_capacity.saturating_sub(self.reserved())
     }
 
-    /// The bytes that are reserved now.
+    /// Returns the number of bytes reserved now.
     pub fn reserved(&self) -> usize {
         self.0.reserved.get()
     }
 
-    /// The most bytes that were ever reserved at once.
+    /// Returns the largest number of bytes that were ever reserved at once.
     pub fn peak(&self) -> usize {
         self.0.peak.get()
     }
 }
 
-/// Bytes reserved from a [`ByteBudget`] for as long as this lives.
+/// Bytes that are reserved from a [`ByteBudget`] until this is dropped.
 pub struct ByteReservation {
     budget: ByteBudget,
     bytes: usize,
 }
 
 impl ByteReservation {
-    /// Grows to `bytes` within the share of request bodies: see
-    /// [`ByteBudget::reserve_for_request`]. Returns whether it could.
+    /// Grows to `bytes` if that leaves the part of the budget free that request bodies must not
+    /// use (see [`ByteBudget::reserve_for_request`]). Returns whether the reservation now holds at
+    /// least `bytes`.
     #[must_use]
     pub fn try_grow_for_request(&mut self, bytes: usize) -> bool {
         let additional = bytes.saturating_sub(self.bytes);
-        self.budget.fits_request(additional) && self.try_grow_to(bytes)
+        self.budget.can_reserve_for_request(additional) && self.try_grow_to(bytes)
     }
 
-    /// Grows to `bytes` if so many are free, and otherwise stays as it is. It never shrinks here.
-    /// Returns whether it now holds at least `bytes`.
+    /// Grows to `bytes` if enough bytes are free, and otherwise stays unchanged; it never shrinks.
+    /// Returns whether the reservation now holds at least `bytes`.
     #[must_use]
     pub fn try_grow_to(&mut self, bytes: usize) -> bool {
         let usage = &self.budget.0;
@@ -91,7 +93,7 @@
         true
     }
 
-    /// Returns all but `bytes` to the budget.
+    /// Shrinks to `bytes`, and returns the rest to the budget. Never grows.
     pub fn shrink_to(&mut self, bytes: usize) {
         let surplus = self.bytes.saturating_sub(bytes);
         self.bytes -= surplus;
--- a/crates/router/src/frontend/client_stream.rs
+++ b/crates/router/src/frontend/client_stream.rs
@@ -1,5 +1,5 @@
-//! A client's byte stream, of which the connection state is kept up to date, and which is read
-//! ahead while a request is being answered.
+//! A client's byte stream: it keeps the connection state up to date, and is read ahead while a
+//! request is being answered.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -15,57 +15,58 @@
 use super::connection_state::{Activity, ConnectionState};
 use crate::socket::Socket;
 
-/// The most bytes that are discarded of what is read ahead, so that the disconnect of a client
-/// which has sent much before it is still noticed.
-const DISCARD_LIMIT: usize = 4 * 1024 * 1024;
-/// The bytes that are read ahead at once.
-const CHUNK_SIZE: usize = 2 * 1024;
+/// Maximum number of bytes that are read ahead and discarded. Without discarding, the disconnect of
+/// a client that has sent more than can be buffered would not be detected.
+const DISCARD_LIMIT_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum number of bytes that one read takes from the stream while reading ahead.
+const READ_AHEAD_CHUNK_BYTES: usize = 2 * 1024;
 
-/// Reads ahead while a request is being answered, so that a client's disconnect is noticed. The
-/// HTTP library stops reading once it has any bytes of a further request, and the end of the stream
-/// stands behind those bytes until the response is complete.
+/// A reader that reads ahead while a request is being answered, to detect a client's disconnect.
+/// The HTTP library stops reading once it has received bytes of a further request, and would see
+/// the end of the stream only after the response is complete.
 pub(crate) struct ReadAhead {
     stream: Rc<RefCell<Socket>>,
     state: Rc<ConnectionState>,
 }
 
 impl ReadAhead {
-    /// Reads ahead on `stream`.
+    /// Creates a reader that reads ahead on `stream`.
     pub(super) fn new(stream: Rc<RefCell<Socket>>, state: Rc<ConnectionState>) -> ReadAhead {
         ReadAhead { stream, state }
     }
 
     /// Waits until the client disconnects while one of its requests is being answered. Must be
-    /// polled in the task that reads the stream, and after the read: whoever polls last is woken.
+    /// polled in the same task as the [`TrackedStream`] and after it, because the socket wakes only
+    /// the waker of the last poll.
     pub(crate) async fn client_disconnected(&self) {
         poll_fn(|cx| self.poll_disconnected(cx)).await;
     }
 
     fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
-        let mut chunk = [0; CHUNK_SIZE];
+        let mut chunk = [0; READ_AHEAD_CHUNK_BYTES];
         while self.may_read_ahead() {
             let mut read = ReadBuf::new(&mut chunk);
-            let failed =
+            let has_failed =
                 ready!(Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, &mut read)).is_err();
-            if failed || read.filled().is_empty() {
+            if has_failed || read.filled().is_empty() {
                 return Poll::Ready(());
             }
-            self.keep_or_discard(read.filled());
-            // The reader of the kept bytes has already been polled.
+            self.buffer_or_discard(read.filled());
+            // The reader of the buffered bytes was polled before they were there.
             cx.waker().wake_by_ref();
         }
         Poll::Pending
     }
 
     fn may_read_ahead(&self) -> bool {
-        let answering = matches!(self.state.activity.get(), Activity::Answering);
-        answering && self.state.discarded.get() < DISCARD_LIMIT
+        let is_answering = matches!(self.state.activity.get(), Activity::Answering);
+        is_answering && self.state.discarded.get() < DISCARD_LIMIT_BYTES
     }
 
-    /// Keeps the next request, which a client may send as soon as it has the last event of a
-    /// response. What exceeds the size of a request is discarded; from then on nothing is kept, and
-    /// the connection ends with the current request.
-    fn keep_or_discard(&self, bytes: &[u8]) {
+    /// Buffers bytes of the next request, which a client may send as soon as it has received the
+    /// last event of a response. Bytes that exceed the limits are discarded; from then on nothing
+    /// more is buffered, and the connection is closed after the current request.
+    fn buffer_or_discard(&self, bytes: &[u8]) {
         let discarded = &self.state.discarded;
         if discarded.get() == 0 && self.state.reserve_read_ahead(bytes.len()) {
             self.state.read_ahead.borrow_mut().extend_from_slice(bytes);
@@ -82,12 +83,13 @@
 }
 
 impl TrackedStream {
-    /// Tracks `stream` in `state`.
+    /// Creates a stream that records in `state` what is read from and written to `stream`.
     pub(super) fn new(stream: Rc<RefCell<Socket>>, state: Rc<ConnectionState>) -> TrackedStream {
         TrackedStream { stream, state }
     }
 
-    /// Reads what was read ahead first, then from the stream; its end where the rest was discarded.
+    /// Reads the bytes that were read ahead, then from the stream. If bytes were discarded, reports
+    /// the end of the stream in their place.
     fn poll_next_bytes(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let mut read_ahead = self.state.read_ahead.borrow_mut();
         if read_ahead.is_empty() && self.state.discarded.get() > 0 {
@@ -101,7 +103,7 @@
         read_ahead.advance(length);
         self.state.release_read_ahead(length);
         if read_ahead.is_empty() {
-            // An idle connection holds no buffer.
+            // Frees the buffer, so that an idle connection holds none.
             *read_ahead = BytesMut::new();
         }
         Poll::Ready(Ok(()))
--- a/crates/router/src/frontend/connection_state.rs
+++ b/crates/router/src/frontend/connection_state.rs
@@ -1,5 +1,5 @@
-//! The state of one client connection, shared by all that handle it: what it is doing, what has
-//! been read ahead of the current request, and when it must be closed.
+//! The state of one client connection: its activity, the bytes that were read ahead, and when it
+//! must be closed. The connection's stream, its requests and the connection limiter share it.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,37 +11,38 @@
 
 use crate::framing::Framing;
 
-/// How long a client may take over the head of a request, from the connection's start or its first
-/// byte.
+/// Maximum time until the head of a request has arrived, from the start of the connection for its
+/// first request and from the request's first byte for later ones.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// How long it may take over the whole request, unless the frontend says otherwise.
+/// Default maximum time until the whole request has arrived.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long an idle connection is kept open, while there are permits for others.
+/// Time for which an idle connection is kept open, unless it is evicted earlier.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a client may leave response data unread, unless the frontend says otherwise.
+/// Default maximum time for which a client may leave response data unread.
 const UNREAD_TIMEOUT: Duration = Duration::from_secs(30);
-/// The most bytes of a request body, unless the frontend says otherwise.
+/// Default maximum size of a request body, in bytes.
 pub(super) const REQUEST_BODY_LIMIT: usize = 256 * 1024;
-/// The size limit of the HTTP library's read buffer, and so of a request head. A kept connection
-/// goes on holding as much as its last body made it read at once: a larger limit would let memory
-/// grow with the number of clients that send one request and stay connected.
+/// Maximum size of the HTTP library's read buffer, in bytes, and therefore of a request head. The
+/// buffer of an idle connection keeps the size that its last request body required: with a larger
+/// limit, memory would grow with the number of clients that send one request and stay connected.
 pub(super) const READ_BUFFER_LIMIT: usize = 16 * 1024;
-/// The most bytes that all connections of a frontend together keep of what was read ahead.
+/// Maximum number of bytes that all connections of a frontend together buffer by reading ahead.
 const READ_AHEAD_TOTAL_LIMIT: usize = 8 * 1024 * 1024;
-/// How long a connection is safe from eviction: its request may be on its way.
+/// Minimum idle time before a connection may be evicted, because its request may be in transit.
 const EVICTION_GRACE: Duration = Duration::from_millis(50);
-/// By how much a client that has sent no request counts as idle for longer than one whose request
-/// was answered.
-const SILENT_BIAS: Duration = Duration::from_secs(5);
+/// Time that is added to the idle time of a connection without a complete request, so that it is
+/// evicted before connections whose requests have all been answered.
+const NO_REQUEST_IDLE_BIAS: Duration = Duration::from_secs(5);
 
-/// The limits that a frontend sets for its clients.
+/// Limits that a frontend sets for its clients.
 #[derive(Debug, Clone, Copy)]
 pub struct ClientLimits {
-    /// The time for the whole request, from its first byte.
+    /// Maximum time until the whole request has arrived, from its first byte, or from the start of
+    /// the connection for its first request.
     pub request_timeout: Duration,
-    /// The time for which a client may leave response data unread.
+    /// Maximum time for which a client may leave response data unread.
     pub unread_timeout: Duration,
-    /// The most bytes of a request body.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
 }
 
@@ -55,39 +56,38 @@
     }
 }
 
-/// What a connection is doing.
+/// The current activity of a connection.
 #[derive(Clone, Copy)]
 pub(super) enum Activity {
-    /// Waiting for a request or receiving its head, since the connection's start or the request's
-    /// first byte.
+    /// Since this instant, the connection waits for its first request, or receives a request head.
     Receiving(Instant),
-    /// Answering a request.
+    /// A request is being answered.
     Answering,
-    /// All requests are answered, since this instant.
+    /// All requests have been answered, the last one at this instant.
     Idle(Instant),
 }
 
-/// The state of a connection.
+/// The state of a client connection.
 pub(super) struct ConnectionState {
     limits: ClientLimits,
-    /// What all connections of the frontend have read ahead.
+    /// Number of bytes that all connections of the frontend have buffered by reading ahead.
     read_ahead_total: Rc<Cell<usize>>,
-    /// What the connection is doing.
+    /// The current activity of the connection.
     pub(super) activity: Cell<Activity>,
-    /// Since when the client has left response data unread.
+    /// When writing to the client last became blocked; `None` if it is not blocked.
     pub(super) blocked_since: Cell<Option<Instant>>,
-    /// Where requests begin and end in the bytes read.
+    /// The parser that finds where requests begin and end among the bytes that were read.
     pub(super) framing: RefCell<Framing>,
-    /// The bytes that were read ahead and not yet given to the HTTP library.
+    /// Bytes that were read ahead and not yet read by the HTTP library.
     pub(super) read_ahead: RefCell<BytesMut>,
-    /// How many bytes were read ahead and not kept. If there are any, the connection cannot serve
-    /// another request after the current one.
+    /// Number of bytes that were read ahead and discarded. If there are any, the connection cannot
+    /// serve another request after the current one.
     pub(super) discarded: Cell<usize>,
     close: Notify,
 }
 
 impl ConnectionState {
-    /// The state of a connection that begins now.
+    /// Creates the state of a connection that has just been accepted.
     pub(super) fn new(limits: ClientLimits, read_ahead_total: Rc<Cell<usize>>) -> ConnectionState {
         ConnectionState {
             limits,
@@ -106,8 +106,9 @@
         &self.limits
     }
 
-    /// When the connection is to be closed; `None` while a request is being answered and the client
-    /// reads the response. A client that reads nothing would otherwise hold the response for ever.
+    /// Returns when the connection must be closed, or `None` while a request is being answered and
+    /// the client reads the response. A client that does not read is timed out as well, because it
+    /// would otherwise keep the response in memory for ever.
     pub(super) fn expires_at(&self) -> Option<Instant> {
         match (self.activity.get(), self.blocked_since.get()) {
             (_, Some(since)) => Some(since + self.limits.unread_timeout),
@@ -117,8 +118,9 @@
         }
     }
 
-    /// Reserves space for `length` more bytes read ahead, if neither this connection nor all of them
-    /// together then hold too much: on one connection, no more than a request holds.
+    /// Reserves space for `length` more bytes that were read ahead. Returns whether this connection
+    /// then buffers at most the size of a request, and all connections together at most their
+    /// limit; otherwise, nothing is reserved.
     pub(super) fn reserve_read_ahead(&self, length: usize) -> bool {
         let connection_limit = self.limits.body_bytes + 2 * READ_BUFFER_LIMIT;
         let connection_bytes = self.read_ahead.borrow().len() + length;
@@ -136,11 +138,12 @@
             .set(self.read_ahead_total.get() - length);
     }
 
-    /// How long the connection has been idle, if it may be evicted.
-    pub(super) fn evictable_for(&self, now: Instant) -> Option<Duration> {
+    /// Returns the idle time by which connections are ranked for eviction, or `None` if this one
+    /// must not be evicted.
+    pub(super) fn eviction_idle_time(&self, now: Instant) -> Option<Duration> {
         let (since, bias) = match self.activity.get() {
             Activity::Answering => return None,
-            Activity::Receiving(since) => (since, SILENT_BIAS),
+            Activity::Receiving(since) => (since, NO_REQUEST_IDLE_BIAS),
             Activity::Idle(since) => (since, Duration::ZERO),
         };
         let idle = now.saturating_duration_since(since);
@@ -150,12 +153,12 @@
         Some(idle + bias)
     }
 
-    /// Asks the connection's task to close it.
+    /// Requests that the connection's task closes the connection.
     pub(super) fn request_close(&self) {
         self.close.notify_one();
     }
 
-    /// Waits until the connection is asked to close.
+    /// Waits until closing the connection has been requested.
     pub(super) async fn close_requested(&self) {
         self.close.notified().await;
     }
--- a/crates/router/src/frontend/connections.rs
+++ b/crates/router/src/frontend/connections.rs
@@ -1,8 +1,9 @@
-//! The client connections of a frontend: how many there may be, and which is closed when a new one
-//! needs its permit.
+//! The client connections of a frontend: their number is limited, and idle ones are closed when new
+//! connections need their permits.
 //!
-//! A [`ClientConnection`] holds one permit of the [`ConnectionLimiter`] until it is dropped. A
-//! [`RequestTracker`] notes the requests on it, each for as long as its [`RequestGuard`] lives.
+//! A [`ClientConnection`] holds one permit of the [`ConnectionLimiter`] until it is dropped. Its
+//! [`RequestTracker`] records that a request is being answered, until the [`RequestGuard`] of the
+//! request is dropped.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -18,34 +19,36 @@
 use crate::closing::{discard_received, shut_down_and_drain};
 use crate::socket::Socket;
 
-/// The interval between two evictions while a new connection waits for a permit.
+/// Interval between two evictions while a new connection waits for a permit.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a client may take to close its side once the router has closed its own.
+/// Maximum time for which the router waits for a client to close its side of a connection, after
+/// the router has closed its own.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Bounds the number of connections of a frontend.
+/// The registry of a frontend's client connections, which limits their number.
 pub(crate) struct ConnectionLimiter {
     permits: Arc<Semaphore>,
     limits: ClientLimits,
     read_ahead_total: Rc<Cell<usize>>,
     connections: RefCell<BTreeMap<u64, Rc<ConnectionState>>>,
-    next_number: Cell<u64>,
+    next_connection_id: Cell<u64>,
 }
 
 impl ConnectionLimiter {
-    /// A limiter of at most `connection_limit` connections.
+    /// Creates a limiter that permits at most `connection_limit` connections.
     pub(crate) fn new(connection_limit: usize, limits: ClientLimits) -> Rc<ConnectionLimiter> {
         Rc::new(ConnectionLimiter {
             permits: Arc::new(Semaphore::new(connection_limit)),
             limits,
             read_ahead_total: Rc::default(),
             connections: RefCell::default(),
-            next_number: Cell::default(),
+            next_connection_id: Cell::default(),
         })
     }
 
-    /// Waits for a permit. While there is none, connections that have been idle for longest are
-    /// evicted, so that silent clients cannot hold the permits that others need.
+    /// Waits for a permit. While none is available, the connection that has been idle for longest
+    /// is evicted at each [`EVICTION_INTERVAL`], so that clients that send nothing cannot hold the
+    /// permits that others need.
     pub(crate) async fn acquire(&self) -> Option<OwnedSemaphorePermit> {
         loop {
             if self.permits.available_permits() == 0 {
@@ -58,24 +61,28 @@
         }
     }
 
-    /// Registers a connection that begins now.
+    /// Registers a connection that has just been accepted.
     pub(crate) fn register(
         self: &Rc<Self>,
         permit: Option<OwnedSemaphorePermit>,
     ) -> ClientConnection {
-        let number = self.next_number.replace(self.next_number.get() + 1);
+        let connection_id = self
+            .next_connection_id
+            .replace(self.next_connection_id.get() + 1);
         let state = ConnectionState::new(self.limits, self.read_ahead_total.clone());
         let state = Rc::new(state);
-        self.connections.borrow_mut().insert(number, state.clone());
+        self.connections
+            .borrow_mut()
+            .insert(connection_id, state.clone());
         ClientConnection {
             limiter: self.clone(),
-            number,
+            connection_id,
             state,
             _permit: permit,
         }
     }
 
-    /// Closes the connections that have exceeded a timeout.
+    /// Requests the close of all connections that have exceeded a timeout.
     pub(crate) fn close_expired(&self) {
         let now = Instant::now();
         for state in self.connections.borrow().values() {
@@ -90,41 +97,44 @@
         let connections = self.connections.borrow();
         let idle = connections
             .values()
-            .filter_map(|state| Some((state.evictable_for(now)?, state)));
+            .filter_map(|state| Some((state.eviction_idle_time(now)?, state)));
         if let Some((_, state)) = idle.max_by_key(|(idle, _)| *idle) {
             state.request_close();
         }
     }
 }
 
-/// A connection's permit and state, held for as long as the connection lasts.
+/// The permit and the state of a client connection. Dropping it releases both.
 pub(crate) struct ClientConnection {
     limiter: Rc<ConnectionLimiter>,
-    number: u64,
+    connection_id: u64,
     state: Rc<ConnectionState>,
     _permit: Option<OwnedSemaphorePermit>,
 }
 
 impl Drop for ClientConnection {
     fn drop(&mut self) {
-        self.limiter.connections.borrow_mut().remove(&self.number);
-        let kept = self.state.read_ahead.borrow().len();
-        self.state.release_read_ahead(kept);
+        self.limiter
+            .connections
+            .borrow_mut()
+            .remove(&self.connection_id);
+        let buffered = self.state.read_ahead.borrow().len();
+        self.state.release_read_ahead(buffered);
     }
 }
 
 impl ClientConnection {
-    /// Wraps the connection's stream: the first half is for the HTTP library, the second notices a
-    /// client's disconnect while the library does not read.
+    /// Wraps the connection's stream. The HTTP library uses the [`TrackedStream`]; the [`ReadAhead`]
+    /// detects a client's disconnect while the library does not read.
     pub(crate) fn track(&self, stream: Rc<RefCell<Socket>>) -> (TrackedStream, ReadAhead) {
         let read_ahead = ReadAhead::new(stream.clone(), self.state.clone());
         (TrackedStream::new(stream, self.state.clone()), read_ahead)
     }
 
-    /// Ends the connection after reading what the client has sent: the system answers a close over
-    /// unread bytes with a reset, and the client would lose what it has not read yet. While there
-    /// are permits, the router's side is closed first, and the rest is read until the client closes
-    /// its own.
+    /// Closes the connection after reading what the client has sent. If unread bytes were left, the
+    /// operating system would reset the connection, and the client would lose response data that it
+    /// has not read yet. If permits are available, the router closes its own side first, and reads
+    /// until the client closes the other side, for at most [`LINGER_TIMEOUT`].
     pub(crate) async fn close_gracefully(&self, stream: Rc<RefCell<Socket>>) {
         if self.limiter.permits.available_permits() == 0 {
             return discard_received(&stream).await;
@@ -136,38 +146,39 @@
         }
     }
 
-    /// Whether a request head is awaited, and all earlier responses have been written.
+    /// Returns whether the connection waits for a first request or the rest of a request head, and
+    /// all earlier responses have been written.
     pub(crate) fn is_receiving(&self) -> bool {
         matches!(self.state.activity.get(), Activity::Receiving(_))
             && self.state.blocked_since.get().is_none()
     }
 
-    /// Whether a request has arrived of which nothing has been read yet.
+    /// Returns whether bytes of a new request have arrived and none of them has been read yet.
     pub(crate) fn has_unread_request(&self, stream: &RefCell<Socket>) -> bool {
         let between_requests =
             self.state.framing.borrow().is_between() && self.state.read_ahead.borrow().is_empty();
-        let blocked = self.state.blocked_since.get().is_some();
-        between_requests && !blocked && stream.borrow().has_received()
+        let is_write_blocked = self.state.blocked_since.get().is_some();
+        between_requests && !is_write_blocked && stream.borrow().has_received()
     }
 
-    /// The tracker of the requests on this connection.
-    pub(crate) fn requests(&self) -> RequestTracker {
+    /// Returns the tracker of the requests on this connection.
+    pub(crate) fn request_tracker(&self) -> RequestTracker {
         RequestTracker(self.state.clone())
     }
 
-    /// Waits until the connection is to be closed.
+    /// Waits until closing the connection has been requested.
     pub(crate) async fn close_requested(&self) {
         self.state.close_requested().await;
     }
 }
 
-/// Notes the requests of a connection.
+/// A handle that records when requests on a connection begin and end.
 #[derive(Clone)]
 pub(crate) struct RequestTracker(Rc<ConnectionState>);
 
 impl RequestTracker {
-    /// Notes that the head of a request has arrived. The request counts as being answered until the
-    /// guard is dropped.
+    /// Records that the head of a request has arrived. The request counts as being answered until
+    /// the guard is dropped.
     pub(crate) fn begin(&self) -> RequestGuard {
         let since = match self.0.activity.replace(Activity::Answering) {
             Activity::Receiving(since) => since,
@@ -179,25 +190,26 @@
         }
     }
 
-    /// Whether the end of the current request is ambiguous.
-    pub(crate) fn is_ambiguous(&self) -> bool {
+    /// Returns whether the connection has received a request with an ambiguous end, with both
+    /// `Content-Length` and `Transfer-Encoding`.
+    pub(crate) fn has_ambiguous_length(&self) -> bool {
         self.0.framing.borrow().is_ambiguous()
     }
 
-    /// Whether the connection must end with the current request.
-    pub(crate) fn is_last(&self) -> bool {
+    /// Returns whether the connection must be closed after the current request.
+    pub(crate) fn is_last_request(&self) -> bool {
         self.0.framing.borrow().is_last() || self.0.discarded.get() > 0
     }
 }
 
-/// A request that is being answered, until this is dropped.
+/// A guard for a request that is being answered. Dropping it records that the request has ended.
 pub(crate) struct RequestGuard {
     state: Rc<ConnectionState>,
     body_deadline: Instant,
 }
 
 impl RequestGuard {
-    /// When the whole request must have arrived.
+    /// Returns when the whole request must have arrived.
     pub(crate) fn body_deadline(&self) -> Instant {
         self.body_deadline
     }
--- a/crates/router/src/frontend/server.rs
+++ b/crates/router/src/frontend/server.rs
@@ -1,4 +1,4 @@
-//! Accepts the connections of a listener and serves a [`Frontend`] on each.
+//! Accepts the connections of a listener and serves a [`Frontend`] on each of them.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -29,13 +29,14 @@
 use crate::shutdown::Phase;
 use crate::socket::Socket;
 
-/// The interval between two checks for connections that have exceeded a timeout.
+/// Interval between two checks for connections that have exceeded a timeout.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(100);
-/// The delay after a failure to accept: file descriptors may be short for a while.
+/// Delay before the next attempt to accept a connection after a failure, such as a temporary lack of
+/// file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts connections until `phase` is [`Phase::Finishing`], and returns when all requests on them
-/// have been answered.
+/// Accepts connections until `phase` is [`Phase::Finishing`], and returns when all requests that
+/// arrived on them have been answered.
 pub async fn serve<F: Frontend>(
     listener: TcpListener,
     frontend: F,
@@ -66,7 +67,7 @@
         let service = ConnectionService {
             frontend: frontend.clone(),
             phase: phase.clone(),
-            requests: connection.requests(),
+            request_tracker: connection.request_tracker(),
         };
         connections.spawn_local(serve_connection(stream, connection, service, phase.clone()));
     }
@@ -81,8 +82,9 @@
     }
 }
 
-/// Accepts the next connection, once there is a permit for it: until then clients wait in the
-/// system's queue. No failure, such as a lack of file descriptors, ends the listening.
+/// Waits for a permit and accepts the next connection. Until there is a permit, clients wait in the
+/// operating system's accept queue. No failure stops the listener, not even a lack of file
+/// descriptors.
 async fn accept(
     listener: &TcpListener,
     limiter: &Rc<ConnectionLimiter>,
@@ -91,7 +93,8 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return (stream, limiter.register(permit)),
-            // The client has closed it already, and the next may be waiting.
+            // The client has already closed this connection. The next one may be waiting, so it is
+            // accepted without a delay.
             Err(error)
                 if matches!(
                     error.kind(),
@@ -101,14 +104,14 @@
                 tracing::debug!(%error, "client connection closed before it was accepted");
             }
             Err(error) => {
-                tracing::warn!(%error, "could not accept a client connection");
+                tracing::warn!(%error, "could not accept a client connection, retrying after a delay");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Serves a connection to its end, and closes it.
+/// Serves all requests of a connection, and closes it.
 async fn serve_connection<F: Frontend>(
     stream: TcpStream,
     connection: ClientConnection,
@@ -121,8 +124,8 @@
     connection.close_gracefully(stream).await;
 }
 
-/// Serves the requests of a connection until it ends, its client disconnects, or it is to be
-/// closed.
+/// Serves the requests of a connection until it ends, its client disconnects, or the connection
+/// limiter requests its close.
 async fn serve_requests<F: Frontend>(
     stream: Rc<RefCell<Socket>>,
     connection: &ClientConnection,
@@ -130,19 +133,19 @@
     phase: watch::Receiver<Phase>,
 ) {
     let (tracked, read_ahead) = connection.track(stream.clone());
-    let served = serve_http(tracked, connection, service, phase);
-    tokio::pin!(served);
+    let serving = serve_http(tracked, connection, service, phase);
+    tokio::pin!(serving);
     let result = loop {
         tokio::select! {
             biased;
             () = connection.close_requested() => {
-                // The request was not known when the connection was chosen for closing.
+                // A request that arrived after the connection was chosen for closing is served.
                 if !connection.has_unread_request(&stream) {
                     return;
                 }
             }
-            result = &mut served => break result,
-            () = disconnect_logged(&read_ahead) => return,
+            result = &mut serving => break result,
+            () = wait_for_disconnect(&read_ahead) => return,
         }
     };
     if let Err(error) = result {
@@ -150,61 +153,60 @@
     }
 }
 
-async fn disconnect_logged(read_ahead: &ReadAhead) {
+async fn wait_for_disconnect(read_ahead: &ReadAhead) {
     read_ahead.client_disconnected().await;
     tracing::debug!("client disconnected before its response was complete");
 }
 
-/// Runs HTTP on a connection until it ends, which a graceful shutdown makes it do after the current
-/// request.
+/// Serves HTTP on a connection until it ends. A graceful shutdown ends it after the current request.
 async fn serve_http<F: Frontend>(
     stream: TrackedStream,
     connection: &ClientConnection,
     service: ConnectionService<F>,
     mut phase: watch::Receiver<Phase>,
 ) -> hyper::Result<()> {
-    // The limiter enforces the timeouts of clients.
-    let served = http1::Builder::new()
+    // hyper's own timeout is disabled: the connection limiter enforces the timeouts of clients.
+    let serving = http1::Builder::new()
         .header_read_timeout(None)
         .max_buf_size(READ_BUFFER_LIMIT)
         .serve_connection(TokioIo::new(stream), TowerToHyperService::new(service));
-    tokio::pin!(served);
+    tokio::pin!(serving);
     tokio::select! {
         biased;
-        result = &mut served => return result,
+        result = &mut serving => return result,
         _ = phase.wait_for(|p| *p >= Phase::Finishing) => {}
     }
-    // A request head that is not complete by now might be complete too late to be answered: its
-    // client sends it to another router.
+    // A request whose head is still incomplete might be complete too late to be answered before the
+    // router stops. The connection is closed, and the client sends the request to another router.
     if connection.is_receiving() {
         return Ok(());
     }
-    served.as_mut().graceful_shutdown();
-    served.await
+    serving.as_mut().graceful_shutdown();
+    serving.await
 }
 
-/// A frontend as a tower service on one connection.
+/// A tower service that serves a frontend on one connection.
 #[derive(Clone)]
 struct ConnectionService<F> {
     frontend: F,
     phase: watch::Receiver<Phase>,
-    requests: RequestTracker,
+    request_tracker: RequestTracker,
 }
 
 impl<F: Frontend> ConnectionService<F> {
     async fn respond(self, request: Request<Incoming>) -> Response<GuardedBody> {
-        let guard = self.requests.begin();
+        let guard = self.request_tracker.begin();
         let expects_continue = request.headers().contains_key(EXPECT);
         let request = request.map(|body| RequestBody {
             body,
             deadline: guard.body_deadline(),
-            is_ambiguous: self.requests.is_ambiguous(),
+            has_ambiguous_length: self.request_tracker.has_ambiguous_length(),
             expects_continue,
         });
         let mut response = self.frontend.respond(request).await;
-        // A client that learns it now sends its next request elsewhere, and its connection need not
-        // be closed later.
-        if *self.phase.borrow() >= Phase::Draining || self.requests.is_last() {
+        // `Connection: close` makes the client send its next request on another connection, and
+        // this one need not be closed later.
+        if *self.phase.borrow() >= Phase::Draining || self.request_tracker.is_last_request() {
             response
                 .headers_mut()
                 .insert(CONNECTION, HeaderValue::from_static("close"));
