--- a/crates/router/src/frontend/headers.rs
+++ b/crates/router/src/frontend/headers.rs
@@ -1,4 +1,4 @@
-//! Which headers of a client's request are forwarded to an endpoint.
+//! Selection of the headers of a client's request that are forwarded to an endpoint.
 
 use http::header::{
     HeaderName, CONNECTION, CONTENT_LENGTH, CONTENT_TYPE, EXPECT, HOST, PROXY_AUTHENTICATE,
@@ -6,8 +6,8 @@
 };
 use http::HeaderMap;
 
-/// Headers that concern one connection alone (RFC 9110, 7.6.1), and the framing of the body, which
-/// each attempt writes anew.
+/// Headers that apply to a single connection (RFC 9110, 7.6.1), and those that frame the body, which
+/// each attempt writes itself.
 const HOP_BY_HOP: [HeaderName; 10] = [
     CONNECTION,
     CONTENT_LENGTH,
@@ -20,24 +20,24 @@
     TRANSFER_ENCODING,
     UPGRADE,
 ];
-/// Hop-by-hop headers without a constant in the library.
+/// Hop-by-hop headers for which the `http` crate has no constant.
 const HOP_BY_HOP_NAMES: [&str; 2] = ["keep-alive", "proxy-connection"];
 /// Headers that each attempt sets itself.
 const SET_BY_ATTEMPT: [&str; 2] = ["x-request-id", "x-deadline-ms"];
 
-/// The headers that are forwarded unchanged: all but the hop-by-hop ones and those that an attempt
-/// sets itself. They may mean something to the endpoint: an idempotency key, for one, lets it
-/// discard repeated requests.
-pub(crate) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    let listed = listed_in_connection(headers);
+/// Returns the headers that are forwarded unchanged: all except the hop-by-hop headers and those
+/// that an attempt sets itself. Endpoints may use them: an idempotency key, for example, lets an
+/// endpoint discard repeated requests.
+pub(crate) fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
+    let listed_names = listed_in_connection(headers);
     headers
         .iter()
-        .filter(|(name, _)| is_forwarded(name, &listed))
+        .filter(|(name, _)| is_forwarded(name, &listed_names))
         .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
 }
 
-/// The names that the `Connection` headers list: those headers are hop-by-hop too.
+/// Returns the header names that the `Connection` headers list. They are hop-by-hop as well.
 fn listed_in_connection(headers: &HeaderMap) -> Vec<&str> {
     headers
         .get_all(CONNECTION)
@@ -52,7 +52,7 @@
     let is_listed = listed_in_connection
         .iter()
         .any(|listed| name.as_str().eq_ignore_ascii_case(listed));
-    // Each attempt sets the media type from the message.
+    // Each attempt sets `Content-Type` from the media type of the message.
     name != CONTENT_TYPE
         && !HOP_BY_HOP.contains(name)
         && !HOP_BY_HOP_NAMES.contains(&name.as_str())
--- a/crates/router/src/frontend/headers/tests.rs
+++ b/crates/router/src/frontend/headers/tests.rs
@@ -24,14 +24,14 @@
     ];
     let headers =
         headers.map(|(name, value)| (name.parse::<HeaderName>().unwrap(), value.parse().unwrap()));
-    let passed = end_to_end(&headers.into_iter().collect());
-    let mut seen: Vec<_> = passed
+    let forwarded = end_to_end_headers(&headers.into_iter().collect());
+    let mut names_and_values: Vec<_> = forwarded
         .iter()
         .map(|(name, value)| (name.as_str(), value.to_str().unwrap()))
         .collect();
-    seen.sort_unstable();
+    names_and_values.sort_unstable();
     assert_eq!(
-        seen,
+        names_and_values,
         [
             ("idempotency-key", "k1"),
             ("x-key", "s1"),
--- a/crates/router/src/frontend/mod.rs
+++ b/crates/router/src/frontend/mod.rs
@@ -1,7 +1,9 @@
-//! The server side of the router: listening, client connections, and the two APIs served on them.
+//! The server side of the router: listeners, client connections, and the two APIs that are served
+//! on them.
 //!
-//! A [`Frontend`] is one API. It decodes a request once, waits for the core's response at the
-//! exchange, and encodes the response once. [`serve`] runs it on the connections of one listener.
+//! A [`Frontend`] implements one API. It decodes each request once, submits it to the core, waits for
+//! the final response, and encodes that once. [`serve`] runs a frontend on the connections of one
+//! listener.
 
 mod body;
 mod byte_budget;
@@ -29,7 +31,7 @@
 
 /// An API that the router serves.
 pub trait Frontend: Clone + 'static {
-    /// The limits for its clients.
+    /// Returns the limits for clients of this API.
     fn limits(&self) -> ClientLimits {
         ClientLimits::default()
     }
--- a/crates/router/src/frontend/platform.rs
+++ b/crates/router/src/frontend/platform.rs
@@ -1,4 +1,5 @@
-//! The platform API: chat completions that are described by headers, with bodies that pass unread.
+//! The platform API: chat completions that are described by request headers. Request bodies are
+//! forwarded without being decoded.
 
 use std::rc::Rc;
 use std::str::FromStr;
@@ -13,7 +14,7 @@
 
 use super::byte_budget::ByteBudget;
 use super::connection_state::REQUEST_BODY_LIMIT;
-use super::headers::end_to_end;
+use super::headers::end_to_end_headers;
 use super::request_id::is_valid_request_id;
 use super::response::{set_retry_after, streaming_response};
 use super::{BodyError, Frontend, Readiness, RequestBody, ResponseBody};
@@ -31,7 +32,7 @@
 const RETRY: &str = "X-Retry";
 const EXTRAS: &str = "X-Extras";
 
-/// The value of [`RETRY`] with which a client resumes a broken stream.
+/// The value of the [`RETRY`] header with which a client resumes a broken stream.
 const RETRY_RESUMED: &str = "again";
 
 /// The platform API as a frontend. Cheap to clone.
@@ -44,14 +45,15 @@
 }
 
 impl Platform {
-    /// A frontend that submits its requests to `handle`.
+    /// Creates a frontend that submits its requests to the core through `handle`.
     pub fn new(handle: Handle, site: &SiteSettings, readiness: Readiness) -> Platform {
         let class_names = site.classes.iter().map(|c| c.name.clone()).collect();
         Platform {
             handle,
             class_names: Rc::new(class_names),
             readiness,
-            // The connection limit bounds the bytes of all bodies here.
+            // No byte budget is needed: the connection limit and the body size limit together
+            // bound the memory of all bodies.
             budget: ByteBudget::new(usize::MAX),
         }
     }
@@ -73,10 +75,10 @@
             .read_to_end(None, REQUEST_BODY_LIMIT, &self.budget)
             .await?;
         let incoming = decode(&head, body, &self.class_names)?;
-        let (response, disconnect) = self.handle.submit(incoming).response().await;
+        let (response, disconnect_guard) = self.handle.submit(incoming).response().await;
         Ok(match response {
             FinalResponse::Streaming { media_type, body } => {
-                streaming_response(&media_type, body, disconnect)
+                streaming_response(&media_type, body, disconnect_guard)
             }
             FinalResponse::Rejected(retry_after) => {
                 let mut response = text_response(
@@ -124,7 +126,7 @@
     response
 }
 
-/// Why a request cannot be decoded.
+/// The reason why a request cannot be read or decoded.
 #[derive(Debug, PartialEq, thiserror::Error)]
 enum RequestError {
     #[error("the header {0} is missing")]
@@ -161,7 +163,7 @@
     value.map_err(|_| RequestError::InvalidHeader(name))
 }
 
-/// The value of a header that must be present and not empty.
+/// Returns the value of a header that must be present and not empty.
 fn required_header<'a>(
     headers: &'a HeaderMap,
     name: &'static str,
@@ -223,7 +225,7 @@
     }
 }
 
-/// What endpoints are sent of a request.
+/// Builds the message that is sent to an endpoint for a request.
 fn endpoint_message(head: &RequestHead, body: Bytes) -> Result<Message, RequestError> {
     let target = match head.uri.path_and_query() {
         Some(target) => target.as_str(),
@@ -233,12 +235,12 @@
     Ok(Message {
         target: target.to_owned(),
         media_type: media_type.to_owned(),
-        headers: end_to_end(&head.headers),
+        headers: end_to_end_headers(&head.headers),
         body,
     })
 }
 
-/// The pairs of the header [`EXTRAS`] that the router uses; others are ignored.
+/// The key-value pairs of the [`EXTRAS`] header that the router uses; others are ignored.
 #[derive(Default)]
 struct Extras {
     shared_prefix: Option<String>,
--- a/crates/router/src/frontend/readiness.rs
+++ b/crates/router/src/frontend/readiness.rs
@@ -1,28 +1,29 @@
-//! Whether the router is ready for new clients.
+//! The readiness of the router for new clients.
 
 use tokio::sync::watch;
 
 use crate::shutdown::Phase;
 
-/// Whether load balancers should send clients here: the endpoint list has arrived, and the graceful
-/// shutdown has not begun.
+/// The condition for load balancers to send clients to this router: the first response of discovery
+/// has arrived or has been waited for long enough, and the graceful shutdown has not begun.
 #[derive(Clone)]
 pub struct Readiness {
-    endpoints_known: watch::Receiver<bool>,
+    discovery_done: watch::Receiver<bool>,
     phase: watch::Receiver<Phase>,
 }
 
 impl Readiness {
-    /// Ready once `endpoints_known` is true, until `phase` changes.
-    pub fn new(endpoints_known: watch::Receiver<bool>, phase: watch::Receiver<Phase>) -> Readiness {
+    /// Creates a readiness that holds from when `discovery_done` becomes true until `phase` is no
+    /// longer [`Phase::Serving`].
+    pub fn new(discovery_done: watch::Receiver<bool>, phase: watch::Receiver<Phase>) -> Readiness {
         Readiness {
-            endpoints_known,
+            discovery_done,
             phase,
         }
     }
 
-    /// Whether the router is ready now.
+    /// Returns whether the router is ready now.
     pub fn is_ready(&self) -> bool {
-        *self.endpoints_known.borrow() && *self.phase.borrow() == Phase::Serving
+        *self.discovery_done.borrow() && *self.phase.borrow() == Phase::Serving
     }
 }
--- a/crates/router/src/frontend/request_id.rs
+++ b/crates/router/src/frontend/request_id.rs
@@ -1,11 +1,11 @@
-//! The form of request ids.
+//! Validation of request ids.
 
-/// The most bytes of a request id.
-const REQUEST_ID_LIMIT: usize = 128;
+/// Maximum length of a request id, in bytes.
+const MAX_REQUEST_ID_BYTES: usize = 128;
 
-/// Whether a client's request id can be used. It becomes a part of the paths of the endpoints' slot
-/// reservation calls, so it must consist of unreserved URI characters (RFC 3986, 2.3).
+/// Returns whether a client's request id is valid. It becomes a part of the paths of slot
+/// reservation calls to endpoints, so it must consist of unreserved URI characters (RFC 3986, 2.3).
 pub(super) fn is_valid_request_id(id: &str) -> bool {
     let is_unreserved = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b'~');
-    !id.is_empty() && id.len() <= REQUEST_ID_LIMIT && id.bytes().all(is_unreserved)
+    !id.is_empty() && id.len() <= MAX_REQUEST_ID_BYTES && id.bytes().all(is_unreserved)
 }
--- a/crates/router/src/frontend/response.rs
+++ b/crates/router/src/frontend/response.rs
@@ -1,4 +1,4 @@
-//! What the responses of all frontends have in common.
+//! Helpers to build responses, shared by all frontends.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 use super::response_body::ResponseBody;
 use crate::exchange::{BodyStream, DisconnectGuard};
 
-/// The response that passes an endpoint's body on to the client.
+/// Returns a response that forwards an endpoint's response body to the client.
 pub(super) fn streaming_response(
     media_type: &str,
     stream: BodyStream,
-    disconnect: DisconnectGuard,
+    disconnect_guard: DisconnectGuard,
 ) -> Response<ResponseBody> {
-    let mut response = Response::new(ResponseBody::stream(stream, disconnect));
+    let mut response = Response::new(ResponseBody::stream(stream, disconnect_guard));
     if let Ok(media_type) = HeaderValue::from_str(media_type) {
         response.headers_mut().insert(CONTENT_TYPE, media_type);
     }
--- a/crates/router/src/frontend/response_body.rs
+++ b/crates/router/src/frontend/response_body.rs
@@ -10,33 +10,34 @@
 use super::connections::RequestGuard;
 use crate::exchange::{BodyStream, DisconnectGuard, IncompleteBody};
 
-/// The body of a response.
+/// The body of a response to a client.
 pub enum ResponseBody {
-    /// A complete body that the router made.
+    /// A complete body that the router generated.
     Full(Full<Bytes>),
-    /// The response of an endpoint, passed on as it arrives.
+    /// The response body of an endpoint, forwarded as it arrives.
     Stream(StreamBody),
-    /// A body type of a frontend's own.
+    /// A body of a type that a frontend defines.
     Boxed(Pin<Box<dyn Body<Data = Bytes, Error = IncompleteBody>>>),
 }
 
 impl ResponseBody {
-    /// A complete body.
+    /// Returns a body with the complete `data`.
     pub fn full(data: impl Into<Bytes>) -> ResponseBody {
         ResponseBody::Full(Full::new(data.into()))
     }
 
-    /// A body type of a frontend's own.
+    /// Returns a body of a type that a frontend defines.
     pub fn boxed(body: impl Body<Data = Bytes, Error = IncompleteBody> + 'static) -> ResponseBody {
         ResponseBody::Boxed(Box::pin(body))
     }
 
-    /// The response of an endpoint. `disconnect` is dropped with the body.
-    pub fn stream(stream: BodyStream, disconnect: DisconnectGuard) -> ResponseBody {
+    /// Returns a body that forwards the response body of an endpoint. The guard is dropped with the
+    /// returned body.
+    pub fn stream(stream: BodyStream, disconnect_guard: DisconnectGuard) -> ResponseBody {
         ResponseBody::Stream(StreamBody {
             stream,
-            _disconnect: disconnect,
-            is_broken: false,
+            _disconnect_guard: disconnect_guard,
+            error_pending: false,
         })
     }
 }
@@ -75,26 +76,26 @@
     }
 }
 
-/// An endpoint's response on its way to a client.
+/// An endpoint's response body that is being forwarded to a client.
 pub struct StreamBody {
     stream: BodyStream,
     /// Reports the client's disconnect to the core when the body is dropped.
-    _disconnect: DisconnectGuard,
-    /// The stream has broken off, and the error has not been returned yet.
-    is_broken: bool,
+    _disconnect_guard: DisconnectGuard,
+    /// Whether the stream has ended early, and the error has not been returned yet.
+    error_pending: bool,
 }
 
 impl StreamBody {
-    /// On an error, hyper closes the connection without the last chunk, and without the data that
-    /// it has not written yet. So the error is held back for one poll: the client gets what arrived
-    /// before it.
+    /// Polls for the next data. An error is returned one poll later than it occurs: on an error,
+    /// hyper closes the connection without the last chunk and without the data that it has not
+    /// written yet, and the delay lets it write the data that arrived before the error.
     fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, IncompleteBody>>> {
-        if self.is_broken {
+        if self.error_pending {
             return Poll::Ready(Some(Err(IncompleteBody)));
         }
         let next = self.stream.poll_next(cx);
         if let Poll::Ready(Some(Err(IncompleteBody))) = next {
-            self.is_broken = true;
+            self.error_pending = true;
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
@@ -102,14 +103,14 @@
     }
 }
 
-/// A response body that keeps its request noted as being answered until it is dropped.
+/// A response body whose request counts as being answered until the body is dropped.
 pub(crate) struct GuardedBody {
     body: ResponseBody,
     _guard: RequestGuard,
 }
 
 impl GuardedBody {
-    /// A body that holds `guard`.
+    /// Creates a body that keeps `guard` until it is dropped.
     pub(crate) fn new(body: ResponseBody, guard: RequestGuard) -> GuardedBody {
         GuardedBody {
             body,
