--- a/crates/router/tests/client_connections.rs
+++ b/crates/router/tests/client_connections.rs
@@ -1,4 +1,4 @@
-//! Connections of clients and the graceful shutdown on loopback: limits, timeouts and disconnects.
+//! Limits, timeouts and disconnects of client connections, and the graceful shutdown, on loopback.
 
 mod common;
 mod platform_support;
@@ -9,22 +9,22 @@
     endpoint_entry, run, settings, Behaviour, Client, FakeServer, Observation, RawClient,
     TestRouter,
 };
-use platform_support::{count_slot_calls, start_pair, CHAT};
+use platform_support::{count_slot_calls, start_router_with_lane, CHAT_PATH};
 use tokio::task::spawn_local;
 
-/// The attempt is cancelled, and the KV state that an interrupted prefill may have left is
-/// released.
+/// When a client disconnects during a prefill, the attempt is cancelled, and the KV state that the
+/// interrupted prefill may have left is released.
 #[test]
 fn a_disconnect_during_prefill_releases_the_kv_state() {
     run(async {
-        let (prefill, decode, router) = start_pair(Behaviour::Answer).await;
+        let (prefill, decode, router) = start_router_with_lane(Behaviour::Answer).await;
         prefill.behaviour.set(Behaviour::Hang);
         let mut client = Client::connect(router.platform).await;
         let pending = spawn_local(async move { client.send_chat("d1", "chat", 5_000).await.0 });
         prefill
             .wait_until(|seen| {
                 seen.iter()
-                    .any(|s| matches!(s, Observation::RequestStarted { .. }))
+                    .any(|observation| matches!(observation, Observation::RequestStarted { .. }))
             })
             .await;
         pending.abort();
@@ -40,35 +40,36 @@
         {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        assert_eq!(decode.count_started(CHAT), 0);
+        assert_eq!(decode.count_started(CHAT_PATH), 0);
     });
 }
 
-/// The end of the client's stream stands behind a pipelined request: the first request is
-/// cancelled, and the one behind it is never forwarded.
+/// A client disconnects after it has sent a pipelined second request: the router must detect the
+/// disconnect behind unread bytes, cancel the first request, and never forward the second.
 #[test]
-fn a_disconnect_behind_a_pipelined_request_is_noticed() {
+fn a_disconnect_behind_a_pipelined_request_is_detected() {
     run(async {
-        let (prefill, decode, router) = start_pair(Behaviour::Answer).await;
+        let (prefill, decode, router) = start_router_with_lane(Behaviour::Answer).await;
         prefill.behaviour.set(Behaviour::Hang);
-        let asks = |id: &str, body: &str| {
+        let chat_request = |id: &str, body: &str| {
             format!(
-                "POST {CHAT} HTTP/1.1\r\nhost: app\r\nx-request-id: {id}\r\nx-class: chat\r\n\
+                "POST {CHAT_PATH} HTTP/1.1\r\nhost: app\r\nx-request-id: {id}\r\nx-class: chat\r\n\
                  x-deadline-ms: 60000\r\ncontent-length: {}\r\n\r\n{body}",
                 body.len()
             )
         };
-        // A small one that arrives with the first, and one of which the library reads a part.
+        // A small second request that arrives with the first, and a large one, of which the HTTP
+        // library reads only a part.
         for (n, body) in ["{}".to_owned(), "x".repeat(14 * 1024)].iter().enumerate() {
             let [first, second] = ["first", "second"].map(|name| format!("{name}{n}"));
             let mut client = RawClient::connect(router.platform).await;
             client
-                .send(&(asks(&first, "{}") + &asks(&second, body)))
+                .send(&(chat_request(&first, "{}") + &chat_request(&second, body)))
                 .await;
             prefill
                 .wait_until(|seen| {
                     seen.contains(&Observation::RequestStarted {
-                        path: CHAT.to_owned(),
+                        path: CHAT_PATH.to_owned(),
                         id: first.clone(),
                     })
                 })
@@ -85,35 +86,39 @@
             }
         }
         assert_eq!(
-            (prefill.count_started(CHAT), decode.count_started(CHAT)),
+            (
+                prefill.count_started(CHAT_PATH),
+                decode.count_started(CHAT_PATH)
+            ),
             (2, 0)
         );
     });
 }
 
-/// Clients cannot use up file descriptors and memory, and idle connections do not keep active
-/// clients out.
+/// The number of client connections is limited, which bounds file descriptors and memory. Idle
+/// connections are evicted, so that they do not keep active clients out.
 #[test]
 fn client_connections_are_limited_and_idle_ones_are_evicted() {
     run(async {
-        let (prefill, _decode, router) = start_pair(Behaviour::Answer).await;
-        // 64 descriptors less 32 are shared by servers and clients, and the clients' by two
-        // frontends.
+        let (prefill, _decode, router) = start_router_with_lane(Behaviour::Answer).await;
+        // Of 64 descriptors, 32 are reserved. Half of the rest is for clients, and two frontends
+        // share that half.
         const CONNECTION_LIMIT: usize = 8;
-        let mut kept = Client::connect(router.platform).await;
-        assert_eq!(kept.get("/up").await.0, 200);
-        let mut silent = Vec::new();
+        let mut idle_client = Client::connect(router.platform).await;
+        assert_eq!(idle_client.get("/up").await.0, 200);
+        let mut silent_clients = Vec::new();
         for _ in 0..2 * CONNECTION_LIMIT {
-            silent.push(RawClient::connect(router.platform).await);
+            silent_clients.push(RawClient::connect(router.platform).await);
         }
         let mut client = Client::connect(router.platform).await;
         assert_eq!(client.send_chat("k0", "order", 5_000).await.0, 200);
-        // Requests that are being answered keep their permits: one more client waiting.
+        // Connections whose requests are being answered keep their permits, so that one more client
+        // has to wait.
         prefill.behaviour.set(Behaviour::Hang);
-        let mut pending = Vec::new();
+        let mut pending_requests = Vec::new();
         for n in 0..CONNECTION_LIMIT {
             let mut client = Client::connect(router.platform).await;
-            pending.push(spawn_local(async move {
+            pending_requests.push(spawn_local(async move {
                 client.send_chat(&format!("k{n}x"), "order", 9_000).await.0
             }));
         }
@@ -121,25 +126,28 @@
             .wait_until(|seen| seen.len() >= CONNECTION_LIMIT)
             .await;
         let mut client = Client::connect(router.platform).await;
-        let waiting = spawn_local(async move { client.get("/up").await.0 });
+        let waiting_request = spawn_local(async move { client.get("/up").await.0 });
         tokio::time::sleep(Duration::from_millis(200)).await;
-        assert!(!waiting.is_finished() && pending.iter().all(|a| !a.is_finished()));
-        pending.pop().unwrap().abort();
-        assert_eq!(waiting.await.unwrap(), 200);
+        assert!(
+            !waiting_request.is_finished()
+                && pending_requests.iter().all(|task| !task.is_finished())
+        );
+        pending_requests.pop().unwrap().abort();
+        assert_eq!(waiting_request.await.unwrap(), 200);
     });
 }
 
-/// Connections of clients that send nothing, or never complete a request, are closed after a
-/// timeout, while others are served. An idle connection between two requests stays open.
+/// The router closes a connection after a timeout if no request or only a part of one arrives, and
+/// at once if the request is invalid. An idle connection between two requests stays open.
 #[test]
-fn an_incomplete_request_times_out() {
+fn incomplete_and_invalid_requests_close_the_connection() {
     run(async {
-        let (_prefill, _decode, router) = start_pair(Behaviour::Answer).await;
-        let mut kept = Client::connect(router.platform).await;
-        assert_eq!(kept.get("/up").await.0, 200);
-        let head = format!("POST {CHAT} HTTP/1.1\r\nhost: app\r\n");
+        let (_prefill, _decode, router) = start_router_with_lane(Behaviour::Answer).await;
+        let mut idle_client = Client::connect(router.platform).await;
+        assert_eq!(idle_client.get("/up").await.0, 200);
+        let head = format!("POST {CHAT_PATH} HTTP/1.1\r\nhost: app\r\n");
         let platform = router.platform;
-        let ends = [
+        let checks = [
             (String::new(), ""),
             (head.clone(), ""),
             (
@@ -157,82 +165,85 @@
             ),
             ("\u{1}\u{2}\r\n\r\n".to_owned(), "HTTP/1.1 400 "),
         ]
-        .map(|(text, answer)| {
+        .map(|(text, expected_start)| {
             spawn_local(async move {
-                let mut raw = RawClient::connect(platform).await;
-                raw.send(&text).await;
-                let response = raw.read_until_closed().await;
+                let mut raw_client = RawClient::connect(platform).await;
+                raw_client.send(&text).await;
+                let response = raw_client.read_until_closed().await;
                 assert!(
-                    response.starts_with(answer) && response.is_empty() == answer.is_empty(),
+                    response.starts_with(expected_start)
+                        && response.is_empty() == expected_start.is_empty(),
                     "{text:?}: {response:?}"
                 );
             })
         });
-        for end in ends {
-            end.await.unwrap();
+        for check in checks {
+            check.await.unwrap();
         }
-        assert_eq!(kept.get("/up").await.0, 200);
+        assert_eq!(idle_client.get("/up").await.0, 200);
     });
 }
 
-/// Request smuggling: a request with an ambiguous length is rejected, and nothing of it or of a
-/// request hidden in its body is forwarded.
+/// Request smuggling: a request with both `Content-Length` and `Transfer-Encoding` is rejected, and
+/// neither the request nor one hidden in its body is forwarded.
 #[test]
 fn a_request_with_content_length_and_transfer_encoding_is_rejected() {
     run(async {
-        let (prefill, _decode, router) = start_pair(Behaviour::Answer).await;
+        let (prefill, _decode, router) = start_router_with_lane(Behaviour::Answer).await;
         let request = |id: &str, framing: &str| {
             format!(
-                "POST {CHAT} HTTP/1.1\r\nhost: app\r\nx-request-id: {id}\r\nx-class: chat\r\n\
+                "POST {CHAT_PATH} HTTP/1.1\r\nhost: app\r\nx-request-id: {id}\r\nx-class: chat\r\n\
                 x-deadline-ms: 2000\r\n{framing}\r\n"
             )
         };
         let (length, encoding) = ("content-length: 5\r\n", "transfer-encoding: chunked\r\n");
         for framing in [format!("{length}{encoding}"), format!("{encoding}{length}")] {
-            let mut raw = RawClient::connect(router.platform).await;
-            raw.send(&format!(
-                "{}0\r\n\r\n{}",
-                request("l1", &framing),
-                request("l2", "")
-            ))
-            .await;
-            let response = raw.read_until_closed().await;
+            let mut raw_client = RawClient::connect(router.platform).await;
+            raw_client
+                .send(&format!(
+                    "{}0\r\n\r\n{}",
+                    request("l1", &framing),
+                    request("l2", "")
+                ))
+                .await;
+            let response = raw_client.read_until_closed().await;
             assert!(
                 response.starts_with("HTTP/1.1 400 ") && !response[9..].contains("HTTP/1.1"),
                 "{response}"
             );
         }
-        let mut raw = RawClient::connect(router.platform).await;
+        let mut raw_client = RawClient::connect(router.platform).await;
         let hidden = request("l4", &format!("{encoding}{length}"));
-        raw.send(&format!(
-            "{}2\r\n{{}}\r\n0\r\n\r\n{hidden}0\r\n\r\n",
-            request("l3", encoding)
-        ))
-        .await;
-        let response = raw.read_until_closed().await;
+        raw_client
+            .send(&format!(
+                "{}2\r\n{{}}\r\n0\r\n\r\n{hidden}0\r\n\r\n",
+                request("l3", encoding)
+            ))
+            .await;
+        let response = raw_client.read_until_closed().await;
         assert!(
             response.starts_with("HTTP/1.1 200 "),
-            "a transfer encoding alone is valid: {response}"
+            "a request with `Transfer-Encoding` alone must be served, got {response}"
         );
-        assert_eq!(prefill.count_started(CHAT), 1);
+        assert_eq!(prefill.count_started(CHAT_PATH), 1);
     });
 }
 
-/// Requests that were accepted are answered, and idle connections are closed.
+/// During a graceful shutdown, accepted requests are answered, and idle connections are closed.
 #[test]
 fn a_graceful_shutdown_answers_all_accepted_requests() {
     run(async {
-        let (prefill, _decode, mut router) = start_pair(Behaviour::Answer).await;
+        let (prefill, _decode, mut router) = start_router_with_lane(Behaviour::Answer).await;
         prefill.service_time.set(Duration::from_millis(1_000));
-        let mut kept = Client::connect(router.platform).await;
-        assert_eq!(kept.get("/up").await.0, 200);
+        let mut idle_client = Client::connect(router.platform).await;
+        assert_eq!(idle_client.get("/up").await.0, 200);
         let mut client = Client::connect(router.platform).await;
         let pending = spawn_local(async move { client.send_chat("f1", "order", 5_000).await });
         prefill
-            .wait_until(|seen| !seen.is_empty() || prefill.count_started(CHAT) > 0)
+            .wait_until(|seen| !seen.is_empty() || prefill.count_started(CHAT_PATH) > 0)
             .await;
         router.stop.take().unwrap().send(()).unwrap();
-        // Connections are still accepted for a while, but clients are asked to close them.
+        // The router still accepts connections for a while, but asks clients to close them.
         while Client::connect(router.platform).await.get("/up").await.0 == 200 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -247,25 +258,25 @@
         let (status, _, body) = pending.await.unwrap();
         assert_eq!((status, body.is_some()), (200, true));
         router.stopped.await.unwrap();
-        drop(kept);
+        drop(idle_client);
     });
 }
 
-/// If streams can be migrated, one is broken off in time, so that its client resumes it at another
-/// router; and no request is left unanswered.
+/// With resumable streams, the router ends an endless stream early enough before the shutdown for
+/// its client to resume it at another router, and gives all other requests a final response.
 #[test]
 fn with_resumable_streams_all_requests_are_answered_before_the_shutdown_deadline() {
     run(async {
         let prefill = FakeServer::start(8, Behaviour::Prefill).await;
         let decode = FakeServer::start(8, Behaviour::StreamEndlessly).await;
-        let mut set = settings();
-        set["domain"]["resume"] = true.into();
-        let lines = vec![
+        let mut site_settings = settings();
+        site_settings["domain"]["resume"] = true.into();
+        let entries = vec![
             endpoint_entry(&prefill, "reader", "up"),
             endpoint_entry(&decode, "writer", "up"),
         ];
-        let mut router = TestRouter::start_with_settings(lines, set).await;
-        let ask = |id: &'static str, class: &'static str| {
+        let mut router = TestRouter::start_with_settings(entries, site_settings).await;
+        let start_chat = |id: &'static str, class: &'static str| {
             let platform = router.platform;
             spawn_local(async move {
                 Client::connect(platform)
@@ -274,7 +285,7 @@
                     .await
             })
         };
-        let streaming = ask("q1", "order");
+        let streaming = start_chat("q1", "order");
         prefill
             .wait_until(|seen| {
                 seen.contains(&Observation::SlotReleased {
@@ -283,11 +294,11 @@
             })
             .await;
         prefill.behaviour.set(Behaviour::Hang);
-        let waiting = ask("q2", "order");
+        let waiting_request = start_chat("q2", "order");
         prefill
             .wait_until(|seen| {
                 seen.contains(&Observation::RequestStarted {
-                    path: CHAT.to_owned(),
+                    path: CHAT_PATH.to_owned(),
                     id: "q2".to_owned(),
                 })
             })
@@ -296,9 +307,9 @@
         let (status, _, body) = streaming.await.unwrap();
         assert_eq!((status, body), (200, None));
         assert_eq!(
-            waiting.await.unwrap().0,
+            waiting_request.await.unwrap().0,
             503,
-            "a prefill has no effect: a retry is harmless"
+            "a request that was only in prefill must be rejected, as a retry is harmless"
         );
         router.stopped.await.unwrap();
         assert_eq!(
--- a/crates/router/tests/client_model.rs
+++ b/crates/router/tests/client_model.rs
@@ -1,6 +1,6 @@
-//! A model of clients' connections, against which random steps are checked: each complete request
-//! has one attempt and its response, an incomplete one has none, and the attempt of a client that
-//! disconnects is cancelled.
+//! Checks random sequences of steps against a model of client connections: each complete request
+//! gets one attempt and its response, an incomplete request gets no attempt, and the attempt of a
+//! client that disconnects is cancelled.
 
 mod common;
 
@@ -14,64 +14,67 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use tokio::time::timeout;
 
-/// Connections at once: fewer than the router allows.
+/// Maximum number of concurrent connections, below the router's connection limit.
 const CLIENTS: usize = 4;
-/// A bound on what happens at once, far below any time-out of the router.
-const SOON: Duration = Duration::from_secs(1);
+/// Maximum time for an expected event, far below any timeout of the router.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// A step of a test sequence. Steps that do not apply to the current state do nothing.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// Connects, where there is no connection.
+    /// The client connects, if it has no connection.
     Connect(usize),
-    /// Sends a part of a request.
+    /// The client sends up to this many bytes of its request, and begins a new request if it has
+    /// none.
     SendPart(usize, usize),
-    /// Sends the rest of it.
+    /// The client sends the rest of its request, or a complete new one.
     SendRest(usize),
-    /// The server responds to its oldest attempt, in one write or in two.
-    Respond { in_two: bool },
-    /// Closes the connection.
+    /// The endpoint responds to its oldest attempt, in one write or in two.
+    Respond { in_two_writes: bool },
+    /// The client closes its connection.
     Close(usize),
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn any_step() -> impl Strategy<Value = Step> {
     let client = 0..CLIENTS;
     prop_oneof![
         3 => client.clone().prop_map(Step::Connect),
         2 => (client.clone(), 1..200_usize)
             .prop_map(|(client, length)| Step::SendPart(client, length)),
         4 => client.clone().prop_map(Step::SendRest),
-        3 => any::<bool>().prop_map(|in_two| Step::Respond { in_two }),
+        3 => any::<bool>().prop_map(|in_two_writes| Step::Respond { in_two_writes }),
         2 => client.prop_map(Step::Close),
     ]
 }
 
-/// A client's connection as the model has it.
+/// The model's state of a client with a connection.
 struct Client {
     connection: ManualConnection,
-    /// The request that it has begun to send.
+    /// The request that the client has only partly sent.
     unsent: Option<UnsentRequest>,
-    /// Whether a request of it is at the server.
+    /// Whether the client waits for a response.
     is_waiting: bool,
 }
 
-/// The part of a request that has not been sent yet.
+/// A request that has only partly been sent, and the rest of its bytes.
 struct UnsentRequest {
-    number: usize,
+    request_id: usize,
     rest: String,
 }
 
-/// An attempt at the server, and the client whose request it is.
+/// An attempt at the endpoint, and the index of the client that sent the request.
 struct Attempt {
     connection: ManualConnection,
     client: usize,
 }
 
 struct Model {
-    server: ManualServer,
+    endpoint: ManualServer,
     router: TestRouter,
     clients: [Option<Client>; CLIENTS],
     attempts: VecDeque<Attempt>,
-    requests: usize,
+    /// Number of requests so far. The next request has the next higher id.
+    request_count: usize,
 }
 
 fn request(id: usize) -> String {
@@ -86,22 +89,23 @@
 
 impl Model {
     async fn start() -> Model {
-        let server = ManualServer::start().await;
+        let endpoint = ManualServer::start().await;
         let mut settings = settings();
         settings["domain"]["ahead"] = false.into();
         let router =
-            TestRouter::start_with_settings(vec![server.endpoint_entry("mixed", "up")], settings)
+            TestRouter::start_with_settings(vec![endpoint.endpoint_entry("mixed", "up")], settings)
                 .await;
         Model {
-            server,
+            endpoint,
             router,
             clients: Default::default(),
             attempts: VecDeque::new(),
-            requests: 0,
+            request_count: 0,
         }
     }
 
-    async fn check(&mut self, step: Step) {
+    /// Performs a step and checks what the router does.
+    async fn run_step(&mut self, step: Step) {
         match step {
             Step::Connect(client) if self.clients[client].is_none() => {
                 let connection = ManualConnection::connect(self.router.platform).await;
@@ -113,53 +117,55 @@
             }
             Step::SendPart(client, length) => self.send(client, length).await,
             Step::SendRest(client) => self.send(client, usize::MAX).await,
-            Step::Respond { in_two } => self.respond(in_two).await,
+            Step::Respond { in_two_writes } => self.respond(in_two_writes).await,
             Step::Close(client) => self.close(client).await,
             Step::Connect(_) => {}
         }
     }
 
-    async fn send(&mut self, number: usize, length: usize) {
-        let Some(client) = self.clients[number]
+    /// Sends up to `length` bytes of the client's request. Once the request is complete, expects
+    /// its attempt.
+    async fn send(&mut self, client_index: usize, length: usize) {
+        let Some(client) = self.clients[client_index]
             .as_mut()
             .filter(|client| !client.is_waiting)
         else {
             return;
         };
         let UnsentRequest {
-            number: id,
+            request_id: id,
             rest: unsent,
         } = client.unsent.take().unwrap_or_else(|| {
-            self.requests += 1;
+            self.request_count += 1;
             UnsentRequest {
-                number: self.requests,
-                rest: request(self.requests),
+                request_id: self.request_count,
+                rest: request(self.request_count),
             }
         });
-        let (now, later) = unsent.split_at(length.min(unsent.len()));
-        client.connection.send(now).await;
-        if !later.is_empty() {
+        let (sent_now, sent_later) = unsent.split_at(length.min(unsent.len()));
+        client.connection.send(sent_now).await;
+        if !sent_later.is_empty() {
             client.unsent = Some(UnsentRequest {
-                number: id,
-                rest: later.to_owned(),
+                request_id: id,
+                rest: sent_later.to_owned(),
             });
             return;
         }
         client.is_waiting = true;
-        let connection = timeout(SOON, self.accept_attempt(id))
+        let connection = timeout(EVENT_TIMEOUT, self.accept_attempt(id))
             .await
-            .expect("an attempt");
+            .expect("the router must start an attempt for a complete request");
         self.attempts.push_back(Attempt {
             connection,
-            client: number,
+            client: client_index,
         });
     }
 
-    /// The next attempt, which is this request's. Releases for requests of clients that have
-    /// disconnected may come before it.
+    /// Accepts the next attempt and checks that it belongs to the request `id`. Releases of KV
+    /// state for clients that have disconnected may arrive before it, and are answered.
     async fn accept_attempt(&self, id: usize) -> ManualConnection {
         loop {
-            let (mut connection, head) = self.server.accept_request().await;
+            let (mut connection, head) = self.endpoint.accept_request().await;
             if !head.starts_with("DELETE /bootstrap/rooms/") {
                 assert!(head.contains(&format!("x-request-id: m{id}\r\n")), "{head}");
                 return connection;
@@ -170,12 +176,13 @@
         }
     }
 
-    async fn respond(&mut self, in_two: bool) {
+    /// Responds to the oldest attempt, and expects the response at its client.
+    async fn respond(&mut self, in_two_writes: bool) {
         let Some(mut attempt) = self.attempts.pop_front() else {
             return;
         };
         let head = format!("{STREAM_HEAD}{}", chunk(DONE));
-        if in_two {
+        if in_two_writes {
             attempt.connection.send(&head).await;
             attempt.connection.send(LAST_CHUNK).await;
         } else {
@@ -186,10 +193,10 @@
         }
         let client = self.clients[attempt.client]
             .as_mut()
-            .expect("its attempt ended with it");
-        let received = timeout(SOON, client.connection.read_until(LAST_CHUNK))
+            .expect("an attempt must end when its client disconnects");
+        let received = timeout(EVENT_TIMEOUT, client.connection.read_until(LAST_CHUNK))
             .await
-            .expect("a response");
+            .expect("the client must receive the response");
         assert!(
             received.starts_with("HTTP/1.1 200 ") && received.contains(DONE),
             "{received}"
@@ -197,22 +204,26 @@
         client.is_waiting = false;
     }
 
-    async fn close(&mut self, number: usize) {
-        if self.clients[number]
+    /// Closes the client's connection, and expects that its attempt is cancelled.
+    async fn close(&mut self, client_index: usize) {
+        if self.clients[client_index]
             .take()
             .is_none_or(|client| !client.is_waiting)
         {
             return;
         }
-        let at = self
+        let index = self
             .attempts
             .iter()
-            .position(|attempt| attempt.client == number)
-            .expect("it is there");
-        let mut attempt = self.attempts.remove(at).expect("it is there");
-        timeout(SOON, attempt.connection.read_to_end())
+            .position(|attempt| attempt.client == client_index)
+            .expect("a waiting client must have an attempt");
+        let mut attempt = self
+            .attempts
+            .remove(index)
+            .expect("the position must be valid");
+        timeout(EVENT_TIMEOUT, attempt.connection.read_to_end())
             .await
-            .expect("the attempt is cancelled");
+            .expect("the attempt of a disconnected client must be cancelled");
     }
 }
 
@@ -224,12 +235,12 @@
         ..Config::default()
     };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]);
-    let step_sequences = prop::collection::vec(step(), 1..40);
+    let step_sequences = prop::collection::vec(any_step(), 1..40);
     let checked = TestRunner::new_with_rng(config, rng).run(&step_sequences, |steps| {
         run(async {
             let mut model = Model::start().await;
             for step in steps {
-                model.check(step).await;
+                model.run_step(step).await;
             }
         });
         Ok(())
--- a/crates/router/tests/platform.rs
+++ b/crates/router/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform API on loopback, against fake prefill and decode servers.
+//! Tests of the platform API on loopback, with fake prefill and decode endpoints.
 
 mod common;
 mod platform_support;
@@ -9,13 +9,13 @@
     endpoint_entry, run, start_scripted_server, Behaviour, Client, FakeDiscovery, FakeServer,
     Observation, ScriptedServer, TestRouter, DONE, EVENT, FINISH,
 };
-use platform_support::{count_slot_calls, start_pair, CHAT};
+use platform_support::{count_slot_calls, start_router_with_lane, CHAT_PATH};
 use tokio::task::spawn_local;
 
 #[test]
 fn a_request_is_prefilled_and_decoded_after_a_slot_is_reserved() {
     run(async {
-        let (prefill, decode, router) = start_pair(Behaviour::Answer).await;
+        let (prefill, decode, router) = start_router_with_lane(Behaviour::Answer).await;
         prefill.service_time.set(Duration::from_millis(30));
         let mut client = Client::connect(router.platform).await;
         // One connection serves several requests.
@@ -29,42 +29,49 @@
             assert_eq!(count_slot_calls(&decode, "POST", id), 1);
         }
         assert_eq!(
-            (prefill.count_started(CHAT), decode.count_started(CHAT)),
+            (
+                prefill.count_started(CHAT_PATH),
+                decode.count_started(CHAT_PATH)
+            ),
             (2, 2)
         );
     });
 }
 
-/// A request that may have been executed is not retried for an `unsafe` class, and is for a `safe`
-/// one.
+/// A request that may have been executed is not retried if its class is `unsafe`, and is retried if
+/// its class is `safe`.
 #[test]
 fn a_connection_lost_after_the_last_byte_fails_a_non_idempotent_request() {
     run(async {
-        let (_prefill, decode, router) = start_pair(Behaviour::CloseConnection).await;
+        let (_prefill, decode, router) = start_router_with_lane(Behaviour::CloseConnection).await;
         let mut client = Client::connect(router.platform).await;
         let (status, _, _) = client.send_chat("b1", "order", 5_000).await;
-        assert_eq!((status, decode.count_started(CHAT)), (502, 1));
+        assert_eq!((status, decode.count_started(CHAT_PATH)), (502, 1));
         let (status, _, _) = client.send_chat("b2", "chat", 5_000).await;
         assert_eq!(
-            (status, decode.count_started(CHAT)),
+            (status, decode.count_started(CHAT_PATH)),
             (503, 3),
-            "four attempts are two prefills and two decodes"
+            "two of the four permitted attempts must be prefills and two decodes"
         );
     });
 }
 
-/// The client's connection ends without the last chunk, so that the stream does not look complete.
+/// When an endpoint's stream breaks off, the router closes the client's connection without the last
+/// chunk, so that the client does not take the stream for complete.
 #[test]
 fn a_broken_stream_is_forwarded_as_broken() {
     run(async {
-        let (_prefill, decode, router) = start_pair(Behaviour::TruncateStream).await;
+        let (_prefill, decode, router) = start_router_with_lane(Behaviour::TruncateStream).await;
         let mut client = Client::connect(router.platform).await;
         let (status, _, body) = client.send_chat("c1", "chat", 5_000).await;
-        assert_eq!((status, body, decode.count_started(CHAT)), (200, None, 1));
+        assert_eq!(
+            (status, body, decode.count_started(CHAT_PATH)),
+            (200, None, 1)
+        );
     });
 }
 
-/// The head of a chunked response, and chunks of its body.
+/// Returns the head of a chunked response, followed by these chunks.
 fn chunked_response(chunks: &[&str]) -> String {
     let head =
         "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
@@ -73,8 +80,8 @@
     })
 }
 
-/// A non-idempotent request with a corrupt response head fails at once: it is neither retried, as
-/// it has been executed, nor kept until its deadline.
+/// If a response becomes corrupt before its first event, a non-idempotent request fails at once: it
+/// is neither retried, as it may have been executed, nor kept waiting until its deadline.
 #[test]
 fn a_response_corrupt_before_its_first_event_may_have_been_executed() {
     for script in [
@@ -100,7 +107,7 @@
     }
 }
 
-/// A stream that becomes corrupt neither goes on nor ends as if it were complete.
+/// A stream that becomes corrupt is broken off: it is neither continued nor ended as if complete.
 #[test]
 fn a_stream_corrupt_after_its_first_event_is_broken_off() {
     for corrupt in [
@@ -133,22 +140,23 @@
     }
 }
 
-/// Neither is a valid response lost for the sake of what surrounds it, nor is a second response
-/// after it taken for that of the next request.
+/// A valid response is forwarded despite an interim response before it, an invalid load report in
+/// its head, and a surplus response after it. The surplus response is not taken for the response to
+/// the next request.
 #[test]
 fn a_valid_response_is_forwarded_without_surplus_data() {
     run(async {
-        let answer = format!(
+        let response = format!(
             "HTTP/1.1 103 Early Hints\r\nx: y\r\n\r\n{}0\r\n\r\n",
             chunked_response(&[EVENT, DONE])
         );
-        let answer = answer.replace("content-type", "x-load: ?=\u{fffd}\r\ncontent-type");
-        let behind = "HTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\nsecond";
+        let response = response.replace("content-type", "x-load: ?=\u{fffd}\r\ncontent-type");
+        let surplus = "HTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\nsecond";
         let prefill = FakeServer::start(8, Behaviour::Prefill).await;
         let ScriptedServer {
             entry: decode,
             request_count,
-        } = start_scripted_server("writer", vec![format!("{answer}{behind}")]).await;
+        } = start_scripted_server("writer", vec![format!("{response}{surplus}")]).await;
         let router =
             TestRouter::start(vec![endpoint_entry(&prefill, "reader", "up"), decode]).await;
         let mut client = Client::connect(router.platform).await;
@@ -162,11 +170,12 @@
     });
 }
 
-/// Idle connections whose servers have died are noticed, and nothing is sent twice.
+/// Idle connections that endpoints have closed are detected and not reused, and nothing is sent
+/// twice.
 #[test]
 fn connections_lost_while_idle_are_not_reused() {
     run(async {
-        let (prefill, decode, router) = start_pair(Behaviour::Answer).await;
+        let (prefill, decode, router) = start_router_with_lane(Behaviour::Answer).await;
         let mut client = Client::connect(router.platform).await;
         for round in 0..3 {
             let (status, _, _) = client.send_chat(&format!("e{round}"), "order", 5_000).await;
@@ -176,38 +185,44 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         assert_eq!(
-            (prefill.count_started(CHAT), decode.count_started(CHAT)),
+            (
+                prefill.count_started(CHAT_PATH),
+                decode.count_started(CHAT_PATH)
+            ),
             (3, 3)
         );
     });
 }
 
-/// A non-idempotent request uses a new connection, as its server may have closed an idle one
-/// unnoticed. A prefill uses an idle one and is retried at once: its server is not ejected for
-/// that.
+/// A non-idempotent request is sent on a new connection, because the endpoint may have closed an
+/// idle one without the router having detected it. A prefill reuses an idle connection; if the
+/// endpoint has closed it, the prefill is retried at once and the endpoint is not ejected.
 #[test]
-fn idle_connections_closed_by_the_server_fail_no_request() {
+fn idle_connections_closed_by_the_endpoint_fail_no_request() {
     run(async {
-        let (prefill, decode, router) = start_pair(Behaviour::Answer).await;
+        let (prefill, decode, router) = start_router_with_lane(Behaviour::Answer).await;
         prefill.drops_reused_connections.set(true);
         decode.drops_reused_connections.set(true);
         let mut client = Client::connect(router.platform).await;
         for round in 0..4 {
             let (status, ..) = client.send_chat(&format!("r{round}"), "order", 400).await;
             assert_eq!(status, 200, "round {round}");
-            // A connection is idle for 30 ms before it is reused.
+            // The router reuses a connection only after it has been idle for 30 ms.
             tokio::time::sleep(Duration::from_millis(40)).await;
         }
         assert_eq!(
-            (prefill.count_started(CHAT), decode.count_started(CHAT)),
+            (
+                prefill.count_started(CHAT_PATH),
+                decode.count_started(CHAT_PATH)
+            ),
             (4, 4)
         );
     });
 }
 
-/// If a server refuses connections, the release is sent to another one.
+/// If an endpoint refuses connections, the release of KV state is sent to another endpoint.
 #[test]
-fn kv_state_is_released_though_a_server_is_down() {
+fn kv_state_is_released_though_an_endpoint_is_down() {
     run(async {
         let prefill = FakeServer::start(8, Behaviour::Hang).await;
         let mut down = endpoint_entry(&prefill, "writer", "up");
@@ -224,7 +239,7 @@
             prefill
                 .wait_until(|seen| {
                     seen.contains(&Observation::RequestStarted {
-                        path: CHAT.to_owned(),
+                        path: CHAT_PATH.to_owned(),
                         id: id.clone(),
                     })
                 })
@@ -242,17 +257,18 @@
     });
 }
 
-/// After its connection broke, the list is watched again: a draining server is known soon after.
+/// When the connection to discovery breaks, the router watches the list again, and soon knows that
+/// an endpoint has become draining.
 #[test]
 fn the_endpoint_list_is_watched_again_after_a_broken_connection() {
     run(async {
-        let (prefill, decode, router) = start_pair(Behaviour::Answer).await;
-        let other = FakeServer::start(8, Behaviour::Answer).await;
+        let (prefill, decode, router) = start_router_with_lane(Behaviour::Answer).await;
+        let other_endpoint = FakeServer::start(8, Behaviour::Answer).await;
         router.discovery.close_connections();
         router.discovery.publish(vec![
             endpoint_entry(&prefill, "reader", "up"),
             endpoint_entry(&decode, "writer", "draining"),
-            endpoint_entry(&other, "writer", "up"),
+            endpoint_entry(&other_endpoint, "writer", "up"),
         ]);
         tokio::time::sleep(Duration::from_millis(250)).await;
         let mut client = Client::connect(router.platform).await;
@@ -263,19 +279,22 @@
             );
         }
         assert_eq!(
-            (decode.count_started(CHAT), other.count_started(CHAT)),
+            (
+                decode.count_started(CHAT_PATH),
+                other_endpoint.count_started(CHAT_PATH)
+            ),
             (0, 3)
         );
     });
 }
 
-/// The new address is watched although the watch of the old one hangs, and although the versions
-/// there do not continue the old ones.
+/// When the address of discovery changes, the router watches the list at the new address, even if
+/// its watch at the old address hangs, and even if the new list has a lower version than the old.
 #[test]
 fn the_endpoint_list_is_watched_at_a_new_address() {
     run(async {
-        let (prefill, decode, router) = start_pair(Behaviour::Answer).await;
-        let other = FakeServer::start(8, Behaviour::Answer).await;
+        let (prefill, decode, router) = start_router_with_lane(Behaviour::Answer).await;
+        let other_endpoint = FakeServer::start(8, Behaviour::Answer).await;
         for _ in 0..5 {
             router.discovery.publish(vec![
                 endpoint_entry(&prefill, "reader", "up"),
@@ -283,63 +302,68 @@
             ]);
         }
         router.discovery.silent.set(true);
-        let lines = |status| {
+        let entries = |status| {
             vec![
                 endpoint_entry(&prefill, "reader", "up"),
-                endpoint_entry(&other, "writer", status),
+                endpoint_entry(&other_endpoint, "writer", status),
             ]
         };
-        let new = FakeDiscovery::start(lines("draining")).await;
+        let new = FakeDiscovery::start(entries("draining")).await;
         router.discovery_address.send_replace(new.address);
         let mut client = Client::connect(router.platform).await;
-        // The list is a snapshot: none of its decode servers is active, and the old ones are
-        // removed.
+        // The new list is a snapshot: the old decode endpoint is removed, and the new one is
+        // draining, so that no request is served until its status is `up`.
         while client.send_chat("j0", "chat", 200).await.0 == 200 {}
-        let before = decode.count_started(CHAT);
-        new.publish(lines("up"));
+        let started_before = decode.count_started(CHAT_PATH);
+        new.publish(entries("up"));
         let (status, ..) = client.send_chat("j1", "order", 5_000).await;
         assert_eq!(
             (
                 status,
-                decode.count_started(CHAT) - before,
-                other.count_started(CHAT)
+                decode.count_started(CHAT_PATH) - started_before,
+                other_endpoint.count_started(CHAT_PATH)
             ),
             (200, 0, 1)
         );
     });
 }
 
-/// With two requests under one id, the state of one would be released for the other.
+/// A request with the id of an open request is rejected by both APIs: endpoints identify KV state
+/// by request id, so that the end of one request would release the state of the other.
 #[test]
 fn the_id_of_an_open_request_cannot_be_reused() {
     run(async {
-        let (prefill, decode, router) = start_pair(Behaviour::Answer).await;
+        let (prefill, decode, router) = start_router_with_lane(Behaviour::Answer).await;
         decode.behaviour.set(Behaviour::Hang);
         let mut client = Client::connect(router.platform).await;
         let pending = spawn_local(async move { client.send_chat("m1", "order", 9_000).await.0 });
         decode
             .wait_until(|seen| {
                 seen.iter()
-                    .any(|s| matches!(s, Observation::RequestStarted { .. }))
+                    .any(|observation| matches!(observation, Observation::RequestStarted { .. }))
             })
             .await;
-        let mut other = Client::connect(router.platform).await;
-        assert_eq!(other.send_chat("m1", "chat", 9_000).await.0, 409);
+        let mut other_client = Client::connect(router.platform).await;
+        assert_eq!(other_client.send_chat("m1", "chat", 9_000).await.0, 409);
         let body =
             serde_json::json!({"model": "m", "messages": [{"role": "user", "content": "x"}]});
-        let again = http::Request::post(CHAT)
+        let duplicate = http::Request::post(CHAT_PATH)
             .header("host", "app")
             .header("x-request-id", "m1");
-        let again = again.body(body.to_string().into()).unwrap();
+        let duplicate = duplicate.body(body.to_string().into()).unwrap();
         assert_eq!(
-            Client::connect(router.inference).await.send(again).await.0,
+            Client::connect(router.inference)
+                .await
+                .send(duplicate)
+                .await
+                .0,
             409
         );
         assert!(!pending.is_finished());
         assert_eq!(
             (
-                prefill.count_started(CHAT),
-                decode.count_started(CHAT),
+                prefill.count_started(CHAT_PATH),
+                decode.count_started(CHAT_PATH),
                 count_slot_calls(&decode, "DELETE", "m1")
             ),
             (1, 1, 0)
@@ -348,14 +372,14 @@
 }
 
 #[test]
-fn invalid_requests_get_a_clear_error() {
+fn invalid_requests_get_an_error_that_names_the_problem() {
     run(async {
-        let (_prefill, _decode, router) = start_pair(Behaviour::Answer).await;
+        let (_prefill, _decode, router) = start_router_with_lane(Behaviour::Answer).await;
         let mut client = Client::connect(router.platform).await;
         assert_eq!(client.get("/nowhere").await.0, 404);
-        assert_eq!(client.get(CHAT).await.0, 405);
+        assert_eq!(client.get(CHAT_PATH).await.0, 405);
         let (status, _, body) = client.send_chat("g1", "unheard-of", 5_000).await;
-        let long = http::Request::post(CHAT)
+        let long = http::Request::post(CHAT_PATH)
             .header("host", "app")
             .body("x".repeat(300_000).into())
             .unwrap();
--- a/crates/router/tests/platform_support/mod.rs
+++ b/crates/router/tests/platform_support/mod.rs
@@ -1,13 +1,15 @@
-//! Helpers of the tests of the platform API.
+//! Helpers for the tests of the platform API.
 #![allow(dead_code)]
 
 use std::rc::Rc;
 
 use crate::common::{endpoint_entry, Behaviour, FakeServer, Observation, TestRouter};
 
-pub(crate) const CHAT: &str = "/v1/chat/completions";
+/// The path of the chat completions.
+pub(crate) const CHAT_PATH: &str = "/v1/chat/completions";
 
-pub(crate) async fn start_pair(
+/// Starts a prefill endpoint, a decode endpoint with `decode_behaviour`, and a router for them.
+pub(crate) async fn start_router_with_lane(
     decode_behaviour: Behaviour,
 ) -> (Rc<FakeServer>, Rc<FakeServer>, TestRouter) {
     let prefill = FakeServer::start(8, Behaviour::Prefill).await;
@@ -20,16 +22,18 @@
     (prefill, decode, router)
 }
 
-pub(crate) fn count_slot_calls(server: &FakeServer, method: &str, id: &str) -> usize {
-    server
+/// Counts the slot reservation (`POST`) or release (`DELETE`) calls for the request `id`.
+pub(crate) fn count_slot_calls(endpoint: &FakeServer, method: &str, id: &str) -> usize {
+    endpoint
         .observations
         .borrow()
         .iter()
-        .filter(|s| {
-            **s == Observation::SlotCall {
-                method: method.to_owned(),
-                id: id.to_owned(),
-            }
+        .filter(|observation| {
+            **observation
+                == Observation::SlotCall {
+                    method: method.to_owned(),
+                    id: id.to_owned(),
+                }
         })
         .count()
 }
