--- a/crates/router/src/frontend/connection_state.rs
+++ b/crates/router/src/frontend/connection_state.rs
@@ -31,7 +31,7 @@
 /// Minimum idle time before a connection may be evicted, because its request may be in transit.
 const EVICTION_GRACE: Duration = Duration::from_millis(50);
 /// Time that is added to the idle time of a connection without a complete request, so that it is
-/// evicted before connections whose requests have all been answered.
+/// evicted rather than one that has been idle for a little longer since its last response.
 const NO_REQUEST_IDLE_BIAS: Duration = Duration::from_secs(5);
 
 /// Limits that a frontend sets for its clients.
--- a/crates/router/src/frontend/connections.rs
+++ b/crates/router/src/frontend/connections.rs
@@ -124,8 +124,8 @@
 }
 
 impl ClientConnection {
-    /// Wraps the connection's stream. The HTTP library uses the [`TrackedStream`]; the [`ReadAhead`]
-    /// detects a client's disconnect while the library does not read.
+    /// Wraps the connection's stream. The HTTP library uses the [`TrackedStream`], and the
+    /// [`ReadAhead`] detects a client's disconnect while the library does not read.
     pub(crate) fn track(&self, stream: Rc<RefCell<Socket>>) -> (TrackedStream, ReadAhead) {
         let read_ahead = ReadAhead::new(stream.clone(), self.state.clone());
         (TrackedStream::new(stream, self.state.clone()), read_ahead)
--- a/crates/router/src/frontend/headers.rs
+++ b/crates/router/src/frontend/headers.rs
@@ -6,8 +6,8 @@
 };
 use http::HeaderMap;
 
-/// Headers that apply to a single connection (RFC 9110, 7.6.1), and those that frame the body, which
-/// each attempt writes itself.
+/// Headers that apply to a single connection (RFC 9110, 7.6.1), and those that frame the body,
+/// which each attempt writes itself.
 const HOP_BY_HOP: [HeaderName; 10] = [
     CONNECTION,
     CONTENT_LENGTH,
--- a/crates/router/src/frontend/mod.rs
+++ b/crates/router/src/frontend/mod.rs
@@ -1,9 +1,9 @@
 //! The server side of the router: listeners, client connections, and the two APIs that are served
 //! on them.
 //!
-//! A [`Frontend`] implements one API. It decodes each request once, submits it to the core, waits for
-//! the final response, and encodes that once. [`serve`] runs a frontend on the connections of one
-//! listener.
+//! A [`Frontend`] implements one API. It decodes each request once, submits it to the core, waits
+//! for the final response, and encodes that once. [`serve`] runs a frontend on the connections of
+//! one listener.
 
 mod body;
 mod byte_budget;
--- a/crates/router/src/frontend/server.rs
+++ b/crates/router/src/frontend/server.rs
@@ -31,8 +31,8 @@
 
 /// Interval between two checks for connections that have exceeded a timeout.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Delay before the next attempt to accept a connection after a failure, such as a temporary lack of
-/// file descriptors.
+/// Delay before the next attempt to accept a connection after a failure, such as a temporary lack
+/// of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Accepts connections until `phase` is [`Phase::Finishing`], and returns when all requests that
@@ -104,7 +104,7 @@
                 tracing::debug!(%error, "client connection closed before it was accepted");
             }
             Err(error) => {
-                tracing::warn!(%error, "could not accept a client connection, retrying after a delay");
+                tracing::warn!(%error, "could not accept a client connection, will retry");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -158,7 +158,8 @@
     tracing::debug!("client disconnected before its response was complete");
 }
 
-/// Serves HTTP on a connection until it ends. A graceful shutdown ends it after the current request.
+/// Serves HTTP on a connection until it ends. A graceful shutdown ends it after the current
+/// request.
 async fn serve_http<F: Frontend>(
     stream: TrackedStream,
     connection: &ClientConnection,
