--- a/crates/router/src/frontend/server.rs
+++ b/crates/router/src/frontend/server.rs
@@ -153,6 +153,7 @@
     }
 }
 
+/// Waits until the client disconnects while one of its requests is being answered, and logs that.
 async fn wait_for_disconnect(read_ahead: &ReadAhead) {
     read_ahead.client_disconnected().await;
     tracing::debug!("client disconnected before its response was complete");
