--- a/crates/router/src/backoff.rs
+++ b/crates/router/src/backoff.rs
@@ -1,18 +1,19 @@
-//! Exponential backoff with jitter. Free of I/O and time.
+//! Exponential backoff with jitter. It performs no I/O and reads no clock.
 //!
-//! Many routers call one service, and what fails for one fails for all at the same moment. So each
-//! draws a delay of its own, and the delays grow with each failure in a row.
+//! Many routers call one service, and when it fails, it fails for all of them at the same moment.
+//! So that they do not retry together, each router draws random delays. Their bound grows with each
+//! consecutive failure.
 
 use std::time::Duration;
 
 use rand_core::RngCore;
 use rand_pcg::Pcg32;
 
-/// The bound doubles no more often than this.
-const DOUBLINGS_MAX: u32 = 20;
+/// Maximum number of times that the bound doubles. It keeps the factor within a `u32`.
+const MAX_DOUBLINGS: u32 = 20;
 
-/// Delays before retries, drawn evenly between nothing and a bound that doubles with each failure
-/// in a row.
+/// Computes the delays before retries. A delay is drawn uniformly between zero and a bound that
+/// doubles with each consecutive failure.
 #[derive(Debug, Clone)]
 pub(crate) struct Backoff {
     first_bound: Duration,
@@ -22,8 +23,8 @@
 }
 
 impl Backoff {
-    /// Delays of up to `first_bound` after the first failure, and up to `max_bound` after many. The
-    /// routers' seeds must differ.
+    /// Creates a backoff whose delays are at most `first_bound` after the first failure, and at most
+    /// `max_bound` after many. The routers' seeds must differ.
     pub(crate) fn new(first_bound: Duration, max_bound: Duration, seed: u64) -> Backoff {
         Backoff {
             first_bound,
@@ -33,15 +34,15 @@
         }
     }
 
-    /// Notes a failure: the delay before the retry.
+    /// Records a failure and returns the delay before the retry.
     pub(crate) fn record_failure(&mut self) -> Duration {
-        let factor = 1 << self.failures.min(DOUBLINGS_MAX);
+        let factor = 1 << self.failures.min(MAX_DOUBLINGS);
         let bound = self.first_bound.saturating_mul(factor).min(self.max_bound);
         self.failures = self.failures.saturating_add(1);
         bound.mul_f64((f64::from(self.rng.next_u32()) + 0.5) / 2_f64.powi(32))
     }
 
-    /// Notes a success: the next failure is a first one.
+    /// Records a success: the next failure counts as the first one again.
     pub(crate) fn record_success(&mut self) {
         self.failures = 0;
     }
--- a/crates/router/src/closing.rs
+++ b/crates/router/src/closing.rs
@@ -1,5 +1,5 @@
-//! Closes connections in order: what still arrives is read first, as data that is unread at the
-//! close would reset the connection.
+//! Closes connections without a reset: closing a connection with unread data would reset it, so
+//! the data is read and discarded first.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -11,13 +11,13 @@
 
 use crate::socket::Socket;
 
-/// How much is discarded with one read.
+/// Maximum number of bytes that are discarded with one read.
 const DISCARD_BUFFER_BYTES: usize = 2 * 1024;
 
-/// Closes this side of a connection and discards what still arrives, until the other side closes or
-/// fails.
+/// Shuts down the sending side of a connection and discards the data that still arrives, until the
+/// other side closes the connection or reading fails.
 pub(crate) async fn shut_down_and_drain(stream: &RefCell<Socket>) {
-    // Fails if the other side has reset the connection: then there is nothing to read either.
+    // This fails if the other side has reset the connection. Then there is nothing to read either.
     let _ = poll_fn(|cx| Pin::new(&mut *stream.borrow_mut()).poll_shutdown(cx)).await;
     loop {
         match poll_fn(|cx| poll_discard(stream, cx)).await {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Discards what has been received, without waiting for more.
+/// Discards the data that has been received, without waiting for more.
 pub(crate) async fn discard_received(stream: &RefCell<Socket>) {
     poll_fn(|cx| {
         while matches!(poll_discard(stream, cx), Poll::Ready(Ok(length)) if length > 0) {}
@@ -36,7 +36,7 @@
     .await;
 }
 
-/// Discards what one read returns: its length, 0 at the end.
+/// Reads once, discards the data and returns its length, which is 0 at the end of the stream.
 fn poll_discard(stream: &RefCell<Socket>, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
     let mut buffer = [0; DISCARD_BUFFER_BYTES];
     let mut read = ReadBuf::new(&mut buffer);
--- a/crates/router/src/framing.rs
+++ b/crates/router/src/framing.rs
@@ -1,20 +1,22 @@
-//! Finds where HTTP/1 messages begin and end among the bytes that arrive on a connection. The HTTP
-//! library decodes the messages; this detects what it accepts and this router must not: a request
-//! with both a length and a transfer encoding, which two servers may end at different bytes
-//! (request smuggling), and a response with a chunk larger than any can be.
-
-/// How much of a line is stored: everything of interest is shorter.
+//! Finds where HTTP/1 messages begin and end among the bytes that arrive on a connection.
+//!
+//! The HTTP library decodes the messages. This module detects two kinds of message that the library
+//! accepts but the router must not: a request with both a content length and a transfer encoding,
+//! whose end two servers may see at different bytes (request smuggling), and a response with an
+//! impossibly large chunk.
+
+/// Maximum number of bytes of a line that are stored. Every line that matters here is shorter.
 const LINE_BYTES_LIMIT: usize = 128;
-/// The most bytes of one chunk of a response.
+/// Maximum size of a chunk of a response, in bytes.
 const CHUNK_BYTES_LIMIT: u64 = 4 * 1024 * 1024;
-/// The length of the line end after a chunk.
+/// Length of the line end after a chunk, in bytes.
 const CHUNK_END_BYTES: u64 = 2;
 
-/// Follows the heads and bodies of the messages of one direction of a connection.
+/// Tracks the heads and bodies of the messages in one direction of a connection.
 pub(crate) struct Framing {
     kind: MessageKind,
     position: Position,
-    /// The line that is arriving.
+    /// The part of the current line that has arrived.
     line: Vec<u8>,
     head: Head,
     ambiguous: bool,
@@ -26,7 +28,7 @@
     Response,
 }
 
-/// Where in a message the next byte belongs.
+/// The part of a message to which the next byte belongs.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Position {
     Head,
@@ -40,30 +42,30 @@
         bytes_left: u64,
     },
     Trailer,
-    /// A message that ends with the connection, or whose end is not followed.
+    /// A message that ends when the connection is closed, or whose end is not tracked.
     LastMessage,
-    /// What arrived is no valid message.
+    /// The bytes that have arrived are not a valid message.
     Invalid,
 }
 
-/// What is known of the head that is arriving.
+/// The fields that matter here of a message head, as far as it has arrived.
 #[derive(Default)]
 struct Head {
-    /// The status of a response, 0 for a request or an unreadable one; absent before the first
-    /// line.
+    /// The status code of a response, or 0 for a request and for a status that cannot be parsed. It
+    /// is absent until the first line has arrived.
     status: Option<u16>,
     content_length: Option<u64>,
     has_transfer_encoding: bool,
 }
 
 impl Framing {
-    /// Follows requests. A body with a transfer encoding is not followed: its request counts as the
-    /// connection's last.
+    /// Creates a tracker of requests. It does not track a body with a transfer encoding: the request
+    /// counts as the last one on the connection.
     pub(crate) fn of_requests() -> Framing {
         Framing::new(MessageKind::Request)
     }
 
-    /// Follows responses.
+    /// Creates a tracker of responses.
     pub(crate) fn of_responses() -> Framing {
         Framing::new(MessageKind::Response)
     }
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Follows the bytes that have arrived.
+    /// Processes bytes that have arrived.
     pub(crate) fn push(&mut self, bytes: &[u8]) {
         let mut rest = bytes;
         while !rest.is_empty() {
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Skips what belongs to a body; the rest follows it.
+    /// Skips the bytes that belong to the body, and returns the bytes after it.
     fn push_body<'a>(&mut self, bytes_left: u64, bytes: &'a [u8]) -> &'a [u8] {
         let (bytes_left, rest) = skip(bytes_left, bytes);
         self.position = if bytes_left == 0 {
@@ -102,7 +104,7 @@
         rest
     }
 
-    /// Skips what belongs to a chunk; the rest follows it.
+    /// Skips the bytes that belong to the chunk, and returns the bytes after it.
     fn push_chunk<'a>(&mut self, bytes_left: u64, bytes: &'a [u8]) -> &'a [u8] {
         let (bytes_left, rest) = skip(bytes_left, bytes);
         self.position = if bytes_left == 0 {
@@ -113,12 +115,13 @@
         rest
     }
 
-    /// Takes bytes of a line, and follows it once it is complete; the rest follows the line.
+    /// Adds bytes to the current line, and processes the line once it is complete. Returns the bytes
+    /// after the line.
     fn push_line<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         let line_end = bytes.iter().position(|byte| *byte == b'\n');
-        let part = &bytes[..line_end.unwrap_or(bytes.len())];
+        let line_part = &bytes[..line_end.unwrap_or(bytes.len())];
         let room = LINE_BYTES_LIMIT - self.line.len();
-        self.line.extend(part.iter().take(room));
+        self.line.extend(line_part.iter().take(room));
         let Some(line_end) = line_end else {
             return &[];
         };
@@ -126,16 +129,16 @@
         let line = line.trim_ascii();
         let text = std::str::from_utf8(line).unwrap_or("");
         match self.position {
-            Position::ChunkSize => self.end_chunk_size(text),
+            Position::ChunkSize => self.parse_chunk_size(text),
             Position::Trailer if line.is_empty() => self.position = Position::Head,
-            Position::Head if line.is_empty() => self.end_head(),
-            Position::Head => self.head.push_line(text),
+            Position::Head if line.is_empty() => self.finish_head(),
+            Position::Head => self.head.parse_line(text),
             _ => {}
         }
         &bytes[line_end + 1..]
     }
 
-    fn end_chunk_size(&mut self, line: &str) {
+    fn parse_chunk_size(&mut self, line: &str) {
         let size = line.split(';').next().unwrap_or("");
         self.position = match u64::from_str_radix(size.trim(), 16) {
             Ok(0) => Position::Trailer,
@@ -146,30 +149,31 @@
         };
     }
 
-    /// Follows the blank line after a head; one before a head means nothing.
-    fn end_head(&mut self) {
+    /// Processes the blank line that ends a head. A blank line before a head is ignored.
+    fn finish_head(&mut self) {
         let Some(status) = self.head.status else {
             return;
         };
         let head = std::mem::take(&mut self.head);
         self.ambiguous |= head.has_transfer_encoding && head.content_length.is_some();
         self.position = match self.kind {
-            MessageKind::Request => head.position_after_request(),
-            MessageKind::Response => head.position_after_response(status),
+            MessageKind::Request => head.position_after_request_head(),
+            MessageKind::Response => head.position_after_response_head(status),
         };
     }
 
-    /// Whether no part of a message has arrived since the last one ended.
+    /// Returns whether no part of a message has arrived since the previous message ended.
     pub(crate) fn is_between(&self) -> bool {
         self.position == Position::Head && self.head.status.is_none() && self.line.is_empty()
     }
 
-    /// Whether a part of a head has arrived.
+    /// Returns whether a part of a head, but not all of it, has arrived.
     pub(crate) fn is_in_head(&self) -> bool {
         self.position == Position::Head && !self.is_between()
     }
 
-    /// Whether a chunk of a response, or its size, has begun and not ended.
+    /// Returns whether a part of a response's chunk, or of the line with its size, has arrived, but
+    /// not all of it.
     pub(crate) fn is_in_chunk(&self) -> bool {
         match self.position {
             Position::Chunk { .. } => true,
@@ -178,24 +182,26 @@
         }
     }
 
-    /// Whether a message has arrived whose end is ambiguous.
+    /// Returns whether a message has arrived whose end is ambiguous: it has both a content length and
+    /// a transfer encoding.
     pub(crate) fn is_ambiguous(&self) -> bool {
         self.ambiguous
     }
 
-    /// Whether the end of this message is that of the connection, or is not followed.
+    /// Returns whether the current message ends when the connection is closed, or its end is not
+    /// tracked.
     pub(crate) fn is_last(&self) -> bool {
         self.position == Position::LastMessage
     }
 
-    /// Whether something has arrived that no valid message contains.
+    /// Returns whether bytes have arrived that are not part of a valid message.
     pub(crate) fn is_invalid(&self) -> bool {
         self.position == Position::Invalid
     }
 }
 
 impl Head {
-    fn push_line(&mut self, line: &str) {
+    fn parse_line(&mut self, line: &str) {
         if self.status.is_none() {
             let status = line
                 .split(' ')
@@ -206,14 +212,14 @@
         }
         let (name, value) = line.split_once(':').unwrap_or_default();
         if name.trim().eq_ignore_ascii_case("content-length") {
-            // The HTTP library rejects a length that is no number.
+            // The HTTP library rejects a message whose length is not a number.
             self.content_length = Some(value.trim().parse().unwrap_or(0));
         } else if name.trim().eq_ignore_ascii_case("transfer-encoding") {
             self.has_transfer_encoding = true;
         }
     }
 
-    fn position_after_request(&self) -> Position {
+    fn position_after_request_head(&self) -> Position {
         match self.content_length {
             _ if self.has_transfer_encoding => Position::LastMessage,
             None | Some(0) => Position::Head,
@@ -221,7 +227,7 @@
         }
     }
 
-    fn position_after_response(&self, status: u16) -> Position {
+    fn position_after_response_head(&self, status: u16) -> Position {
         let has_no_body = status < 200 || status == 204 || status == 304;
         match self.content_length {
             _ if has_no_body => Position::Head,
@@ -233,7 +239,8 @@
     }
 }
 
-/// Skips up to `bytes_left` bytes: how many are left then, and what follows the skipped ones.
+/// Skips up to `bytes_left` bytes. Returns how many are left to skip, and the bytes after the
+/// skipped ones.
 fn skip(bytes_left: u64, bytes: &[u8]) -> (u64, &[u8]) {
     let skipped = usize::try_from(bytes_left)
         .unwrap_or(usize::MAX)
--- a/crates/router/src/framing/tests.rs
+++ b/crates/router/src/framing/tests.rs
@@ -1,15 +1,16 @@
-//! Messages whose bytes arrive in two parts, split at every byte.
+//! Tests with messages that arrive in two parts, split at each of their bytes.
 
 use super::*;
 
-/// What is observed once all of the text has arrived; the same wherever reads split it.
+/// Returns what is observed once all of the text has arrived, and asserts that it is the same
+/// wherever the text is split between two reads.
 fn observe_at_end<T: PartialEq + std::fmt::Debug>(
-    new: fn() -> Framing,
+    new_framing: fn() -> Framing,
     text: &str,
     observe: impl Fn(&Framing) -> T,
 ) -> T {
     let observe_split_at = |split: usize| {
-        let mut framing = new();
+        let mut framing = new_framing();
         framing.push(&text.as_bytes()[..split]);
         framing.push(&text.as_bytes()[split..]);
         observe(&framing)
@@ -19,15 +20,17 @@
         assert_eq!(
             observe_split_at(split),
             unsplit,
-            "{text:?} split at {split}"
+            "{text:?} split at byte {split}"
         );
     }
     unsplit
 }
 
-/// A request must not be smuggled in a body: whichever header comes first, however it is written.
+/// A request with both headers must be detected as ambiguous, whichever header comes first and
+/// however it is written; otherwise a request could be smuggled in its body. Headers within a body
+/// must not count.
 #[test]
-fn content_length_beside_transfer_encoding_is_ambiguous_and_a_body_is_no_head() {
+fn content_length_beside_transfer_encoding_is_ambiguous_and_a_body_is_not_a_head() {
     const BOTH: &str = "content-length: 3\r\ntransfer-encoding: chunked\r\n\r\n";
     for (text, is_between, is_last, is_ambiguous) in [
         (format!("POST /x HTTP/1.1\r\n{BOTH}"), false, true, true),
@@ -84,7 +87,7 @@
 #[test]
 fn chunks_of_a_response_are_followed_to_its_end() {
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
-    let early = "HTTP/1.1 103 Early Hints\r\nlink: </x>\r\n\r\n";
+    let early_hints = "HTTP/1.1 103 Early Hints\r\nlink: </x>\r\n\r\n";
     let observe = |f: &Framing| {
         (
             f.is_between(),
@@ -95,7 +98,7 @@
     };
     for (text, expected) in [
         (
-            format!("{early}{head}3;x=y\r\nabc\r\n0\r\nt: u\r\n\r\n"),
+            format!("{early_hints}{head}3;x=y\r\nabc\r\n0\r\nt: u\r\n\r\n"),
             (true, false, false, false),
         ),
         (format!("{head}3\r\nabc\r\n"), (false, false, false, false)),
--- a/crates/router/src/socket.rs
+++ b/crates/router/src/socket.rs
@@ -10,11 +10,12 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A TCP stream that repeats a call until the system says that it would block.
+/// A TCP stream that waits for a readiness event only after the system has reported that a call
+/// would block.
 ///
-/// The runtime's own stream takes a short read or write as the sign that the system's buffer is
-/// empty or full, and waits for a readiness event. A call that was short for another reason
-/// produces no such event, so that the connection would hang.
+/// The runtime's own stream takes a short read or write as a sign that the system's buffer is empty
+/// or full, and waits for a readiness event. If the call was short for another reason, no such event
+/// follows, and the connection would hang.
 #[derive(Debug)]
 pub(crate) struct Socket(TcpStream);
 
@@ -25,7 +26,7 @@
 }
 
 impl Socket {
-    /// Whether the system has received data that has not been read yet.
+    /// Returns whether the system has received data that has not been read yet.
     pub(crate) fn has_received(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         SockRef::from(self)
@@ -40,7 +41,7 @@
     }
 }
 
-/// Whether a call has to be repeated once the socket is ready.
+/// Returns whether a failed call must be repeated once the socket is ready.
 fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
--- a/crates/router/src/tasks.rs
+++ b/crates/router/src/tasks.rs
@@ -6,7 +6,7 @@
 
 use tokio::task::JoinSet;
 
-/// Owns tasks of the router's thread. Dropping the group aborts those that still run.
+/// Owns tasks of the router's thread. Dropping the group aborts the tasks that still run.
 #[derive(Default)]
 pub struct TaskGroup {
     tasks: Rc<RefCell<JoinSet<()>>>,
@@ -19,7 +19,7 @@
 }
 
 impl TaskGroup {
-    /// A spawner for this group.
+    /// Returns a spawner for this group.
     pub fn spawner(&self) -> TaskSpawner {
         TaskSpawner {
             tasks: Rc::downgrade(&self.tasks),
@@ -29,7 +29,7 @@
     /// Spawns a task. Must be called within a `LocalSet`.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         let mut tasks = self.tasks.borrow_mut();
-        // Results of tasks that have ended would pile up otherwise.
+        // The results of tasks that have ended would accumulate otherwise.
         while tasks.try_join_next().is_some() {}
         tasks.spawn_local(task);
     }
--- a/crates/router/src/tasks/tests.rs
+++ b/crates/router/src/tasks/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use cranetack_testkit::run;
 
-/// Counts down when its task ends, however it ends.
+/// Counts a task as running until the task drops the guard, which it does however it ends.
 struct RunningGuard(Rc<Cell<u32>>);
 
 impl RunningGuard {
