--- a/crates/router/src/backoff.rs
+++ b/crates/router/src/backoff.rs
@@ -23,8 +23,8 @@
 }
 
 impl Backoff {
-    /// Creates a backoff whose delays are at most `first_bound` after the first failure, and at most
-    /// `max_bound` after many. The routers' seeds must differ.
+    /// Creates a backoff whose delays are at most `first_bound` after the first failure, and at
+    /// most `max_bound` after many. The routers' seeds must differ.
     pub(crate) fn new(first_bound: Duration, max_bound: Duration, seed: u64) -> Backoff {
         Backoff {
             first_bound,
--- a/crates/router/src/closing.rs
+++ b/crates/router/src/closing.rs
@@ -1,5 +1,5 @@
-//! Closes connections without a reset: closing a connection with unread data would reset it, so
-//! the data is read and discarded first.
+//! Closes connections without a reset: closing a connection with unread data would reset it, so the
+//! data is read and discarded first.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -12,30 +12,31 @@
 
 use crate::discovery::EndpointList;
 
-/// The delay before a file that cannot be used is read again.
-const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// How often it is read again before it counts as invalid.
-const RELOAD_RETRIES: u32 = 20;
-/// The fewest file descriptors with which a router can run.
-const SOCKETS_MIN: usize = 64;
-/// The number of file descriptors where the configuration names none.
+/// Delay before a file that cannot be used is read again.
+const LOAD_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Number of times that a file is read again before the attempt to load it fails.
+const LOAD_RETRIES: u32 = 20;
+/// Smallest number of file descriptors with which a router can run.
+const MIN_SOCKETS: usize = 64;
+/// Maximum number of file descriptors if the configuration does not set one.
 const DEFAULT_SOCKETS: usize = 1_024;
 
-/// Why a file cannot be used: one line that names the file and the key.
+/// The reason why a file cannot be used. Its text is one line that names the file, and the key if a
+/// key is at fault.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file cannot be read.
     #[error("{path}: {source}")]
     Unreadable {
-        /// Its path.
+        /// The path of the file.
         path: String,
-        /// Why.
+        /// The system's error.
         source: std::io::Error,
     },
     /// A key is missing, of the wrong type or out of range.
     #[error("{path}: {message}")]
     Invalid {
-        /// The file's path.
+        /// The path of the file.
         path: String,
         /// The key and what is wrong with it.
         message: String,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Whether reading the file may succeed a moment later.
+    /// Returns whether reading the file may succeed a moment later.
     fn is_transient(&self) -> bool {
         const TRANSIENT_ERRORS: [i32; 5] = [
             libc::EIO,
@@ -75,17 +76,17 @@
     }
 }
 
-/// What is wrong with the contents of a configuration: the text begins with the key.
+/// The reason why the contents of a configuration file are invalid. Its text begins with the key.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidConfig {
     /// A key is missing or of the wrong type.
     #[error("{}: {}", .0.path(), .0.inner())]
     Key(serde_path_to_error::Error<serde_json::Error>),
-    /// The seed is no hexadecimal number.
-    #[error("seed: not hexadecimal: {0}")]
+    /// The seed is not a hexadecimal number.
+    #[error("seed: not a hexadecimal number: {0}")]
     Seed(std::num::ParseIntError),
-    /// There are too few file descriptors.
-    #[error("limits.sockets: {0} is too few, at least {SOCKETS_MIN} are needed")]
+    /// The limit of file descriptors is too low.
+    #[error("limits.sockets: {0} is too low, at least {MIN_SOCKETS} are needed")]
     TooFewSockets(usize),
     /// The settings contradict each other or are out of range.
     #[error("settings: {0}")]
@@ -105,7 +106,7 @@
     Ok(file)
 }
 
-/// Decodes an operator's file. The message names the key that is wrong.
+/// Decodes an operator's file. The error message names the invalid key.
 pub fn parse_toml<T: DeserializeOwned>(text: &str) -> Result<T, String> {
     let toml = toml::Deserializer::parse(text)
         .map_err(|error| format!("not TOML: {}", error.message()))?;
@@ -113,10 +114,10 @@
         .map_err(|error| format!("{}: {}", error.path(), error.inner().message()))
 }
 
-/// What one router may use.
+/// The resources that one router may use.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct Limits {
-    /// The most file descriptors.
+    /// The maximum number of file descriptors.
     #[serde(default = "default_sockets")]
     pub sockets: usize,
 }
@@ -133,9 +134,9 @@
     }
 }
 
-/// The file as it is written.
+/// The contents of the configuration file, before they are checked.
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -152,20 +153,20 @@
     settings: SiteSettings,
 }
 
-/// Addresses for gossip between routers.
+/// The addresses for gossip between routers.
 #[derive(Debug, Clone)]
 pub struct GossipConfig {
-    /// The address on which this router receives.
+    /// The address on which this router receives gossip.
     pub listen: SocketAddr,
-    /// The addresses of all routers, by their number.
+    /// The addresses of all routers. The number of a router is its index in this list.
     pub peers: Vec<SocketAddr>,
-    /// The address that reaches all of them.
+    /// The address that reaches all routers at once.
     pub broadcast: Option<SocketAddr>,
 }
 
-/// Reads the file again at each hangup and publishes the address of discovery, for as long as
-/// anybody observes it. Nothing else in the file takes effect before the next start. A file that
-/// cannot be used changes nothing.
+/// Reads the file again at each hangup (SIGHUP) and publishes the address of discovery, until no
+/// receiver of that address is left. Other changes in the file take effect at the next start. A
+/// file that cannot be used changes nothing.
 pub async fn reload_on_hangup(
     path: &Path,
     mut hangup: impl AsyncFnMut() -> Option<()>,
@@ -186,21 +187,21 @@
     }
 }
 
-/// Reads the file once it can be used. It may be written at this moment, or reading it may fail for
-/// a moment, and no further signal follows.
+/// Reads the file, with retries until it can be used. A retry is needed if the file is just being
+/// written or reading it fails temporarily, as no further signal follows.
 async fn load_with_retries(path: &Path) -> Result<Config, ConfigError> {
-    for _ in 0..RELOAD_RETRIES {
+    for _ in 0..LOAD_RETRIES {
         if let Ok(config) = Config::load(path) {
             return Ok(config);
         }
-        tokio::time::sleep(RELOAD_RETRY_DELAY).await;
+        tokio::time::sleep(LOAD_RETRY_DELAY).await;
     }
     Config::load(path)
 }
 
 /// The configuration of a router.
 pub struct Config {
-    /// Its name.
+    /// The name of the router.
     pub name: String,
     /// The address for clients of the platform API.
     pub listen: SocketAddr,
@@ -208,24 +209,25 @@
     pub discovery: SocketAddr,
     /// The seed of random numbers.
     pub seed: u64,
-    /// What it may use.
+    /// The resources that the router may use.
     pub limits: Limits,
-    /// Gossip between routers, if it is enabled.
+    /// The addresses for gossip between routers, if gossip is enabled.
     pub gossip: Option<GossipConfig>,
-    /// The endpoint list as this router last had it.
+    /// The endpoint list that this router last had, if the file contains it.
     pub known_endpoints: Option<EndpointList>,
-    /// The settings as they are named in the file.
+    /// The settings of the site, under their names in the file.
     pub site: SiteSettings,
-    /// The settings in the policy's types.
+    /// The same settings in the types of the routing policy.
     pub settings: Settings,
 }
 
 impl Config {
-    /// Reads the file for a start. Failures that may be over in a moment are retried for a second.
+    /// Reads the file when the program starts. Errors that may be temporary are retried for a
+    /// second.
     pub fn load_for_start(path: &Path) -> Result<Config, ConfigError> {
-        for _ in 0..RELOAD_RETRIES {
+        for _ in 0..LOAD_RETRIES {
             match Config::load(path) {
-                Err(error) if error.is_transient() => std::thread::sleep(RELOAD_RETRY_DELAY),
+                Err(error) if error.is_transient() => std::thread::sleep(LOAD_RETRY_DELAY),
                 loaded => return loaded,
             }
         }
@@ -241,15 +243,17 @@
     /// Decodes the contents of a file and checks them.
     pub fn parse(bytes: &[u8]) -> Result<Config, InvalidConfig> {
         let json = &mut serde_json::Deserializer::from_slice(bytes);
-        let file: File = serde_path_to_error::deserialize(json).map_err(InvalidConfig::Key)?;
+        let file: ConfigFile =
+            serde_path_to_error::deserialize(json).map_err(InvalidConfig::Key)?;
         let seed = u64::from_str_radix(&file.seed, 16).map_err(InvalidConfig::Seed)?;
-        if file.limits.sockets < SOCKETS_MIN {
+        if file.limits.sockets < MIN_SOCKETS {
             return Err(InvalidConfig::TooFewSockets(file.limits.sockets));
         }
         let mut site = file.settings;
         site.resolve_report_columns();
         let settings = Settings {
-            // Discovery is always watched here, so the policy never has to poll the list.
+            // The router always watches discovery, so the policy never has to poll the endpoint
+            // list.
             endpoints_are_polled: false,
             ..site.policy_settings().map_err(InvalidConfig::Settings)?
         };
--- a/crates/router/src/config/tests.rs
+++ b/crates/router/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! Reloads at hangups.
+//! Tests of reloading the configuration file at a hangup.
 
 use serde_json::json;
 use tokio::sync::mpsc;
@@ -6,32 +6,33 @@
 use super::*;
 use cranetack_testkit::{run, settings};
 
-/// A configuration file with this address of discovery.
-fn file(discovery: &str) -> String {
-    let file = json!({
+/// Returns the text of a configuration file with this address of discovery.
+fn file_text(discovery: &str) -> String {
+    let config = json!({
         "name": "r0",
         "listen": "127.0.0.1:0",
         "discovery": discovery,
         "seed": "7",
         "settings": settings(),
     });
-    file.to_string()
+    config.to_string()
 }
 
-/// The file may be read while it is being written, and no further signal follows.
+/// A file that is read while it is being written must take effect without a further signal.
 #[test]
 fn a_file_that_is_incomplete_at_the_hangup_takes_effect_once_it_is_complete() {
     run(async {
         let path = std::env::temp_dir().join(format!("cranetack-half-{}.json", std::process::id()));
-        let text = file("127.0.0.1:4");
+        let text = file_text("127.0.0.1:4");
         std::fs::write(&path, &text[..text.len() / 2]).unwrap();
         let (sender, mut address) = watch::channel(([127, 0, 0, 1], 1).into());
         let (hangup, mut hangups) = mpsc::channel(1);
-        let received = std::cell::Cell::new(0);
-        // Only the first counts: once the channel has room for another, it is being handled.
+        let received_count = std::cell::Cell::new(0);
+        // Only the first hangup starts a reload. The channel has room for one hangup, so that the
+        // second can be sent only once the first has been received.
         let receive = async || {
             let hangup = hangups.recv().await;
-            if received.replace(received.get() + 1) > 0 {
+            if received_count.replace(received_count.get() + 1) > 0 {
                 std::future::pending::<()>().await;
             }
             hangup
@@ -57,7 +58,7 @@
         let path =
             std::env::temp_dir().join(format!("cranetack-config-{}.json", std::process::id()));
         let write = |discovery: &str| {
-            std::fs::write(&path, file(discovery)).unwrap();
+            std::fs::write(&path, file_text(discovery)).unwrap();
         };
         let (sender, mut address) = watch::channel(([127, 0, 0, 1], 1).into());
         let (hangup, mut hangups) = mpsc::channel(1);
@@ -68,7 +69,8 @@
             address.changed().await.unwrap();
             assert_eq!(address.borrow_and_update().port(), 2);
             write("nowhere");
-            // Once the third has been received, the second has been handled.
+            // The channel has room for one hangup. When the third can be sent, the second has been
+            // received, so that the reload at the first has ended.
             for _ in 0..3 {
                 hangup.send(()).await.unwrap();
             }
--- a/crates/router/src/framing.rs
+++ b/crates/router/src/framing.rs
@@ -59,8 +59,8 @@
 }
 
 impl Framing {
-    /// Creates a tracker of requests. It does not track a body with a transfer encoding: the request
-    /// counts as the last one on the connection.
+    /// Creates a tracker of requests. It does not track a body with a transfer encoding: the
+    /// request counts as the last one on the connection.
     pub(crate) fn of_requests() -> Framing {
         Framing::new(MessageKind::Request)
     }
@@ -115,8 +115,8 @@
         rest
     }
 
-    /// Adds bytes to the current line, and processes the line once it is complete. Returns the bytes
-    /// after the line.
+    /// Adds bytes to the current line, and processes the line once it is complete. Returns the
+    /// bytes after the line.
     fn push_line<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         let line_end = bytes.iter().position(|byte| *byte == b'\n');
         let line_part = &bytes[..line_end.unwrap_or(bytes.len())];
@@ -182,8 +182,8 @@
         }
     }
 
-    /// Returns whether a message has arrived whose end is ambiguous: it has both a content length and
-    /// a transfer encoding.
+    /// Returns whether a message has arrived whose end is ambiguous: it has both a content length
+    /// and a transfer encoding.
     pub(crate) fn is_ambiguous(&self) -> bool {
         self.ambiguous
     }
--- a/crates/router/src/framing/tests.rs
+++ b/crates/router/src/framing/tests.rs
@@ -26,9 +26,9 @@
     unsplit
 }
 
-/// A request with both headers must be detected as ambiguous, whichever header comes first and
-/// however it is written; otherwise a request could be smuggled in its body. Headers within a body
-/// must not count.
+/// A request with both a content length and a transfer encoding must be detected as ambiguous,
+/// whichever header comes first and however it is written; otherwise a request could be smuggled in
+/// its body. Headers within a body must not count.
 #[test]
 fn content_length_beside_transfer_encoding_is_ambiguous_and_a_body_is_not_a_head() {
     const BOTH: &str = "content-length: 3\r\ntransfer-encoding: chunked\r\n\r\n";
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn chunks_of_a_response_are_followed_to_its_end() {
+fn chunks_of_a_response_are_tracked_to_its_end() {
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
     let early_hints = "HTTP/1.1 103 Early Hints\r\nlink: </x>\r\n\r\n";
     let observe = |f: &Framing| {
--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -8,9 +8,9 @@
 use crate::config::GossipConfig;
 use crate::core::{CoreEvent, Handle};
 
-/// The most bytes of a message.
+/// Maximum size of a message, in bytes.
 const MESSAGE_BYTES_LIMIT: usize = 256;
-/// The delay after a failure to receive.
+/// Delay before the next receive after a failed one.
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// The socket for gossip with the other routers.
@@ -21,7 +21,7 @@
 }
 
 impl GossipSocket {
-    /// Listens at the configured address.
+    /// Binds the socket to the configured address.
     pub async fn bind(config: GossipConfig) -> std::io::Result<GossipSocket> {
         let socket = Rc::new(UdpSocket::bind(config.listen).await?);
         Ok(GossipSocket {
@@ -30,7 +30,7 @@
         })
     }
 
-    /// Passes messages of other routers on to the core, for as long as the program runs.
+    /// Passes messages from other routers on to the core, for as long as the program runs.
     pub async fn receive(self, handle: Handle) {
         let mut buffer = [0; MESSAGE_BYTES_LIMIT];
         loop {
@@ -45,21 +45,24 @@
                         });
                     }
                 }
-                // The next receive fails after a message to a router that is down: that must
-                // neither end the task nor make it spin.
+                // A message to a router that is down makes the next receive fail. This must neither
+                // end the task nor make it retry without a delay.
                 Err(error) => {
-                    tracing::debug!(%error, "gossip cannot be received");
+                    tracing::debug!(%error, "could not receive gossip");
                     tokio::time::sleep(RECEIVE_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Sends a message to one router, or to all. One that cannot be sent at once is lost, as any
-    /// may be.
+    /// Sends a message to the router `to`, or to all routers if `to` is `None`. A message that
+    /// cannot be sent at once is dropped: any gossip message may be lost.
     pub fn send(&self, to: Option<u32>, payload: &[u8]) {
         if payload.len() > MESSAGE_BYTES_LIMIT {
-            tracing::warn!(length = payload.len(), "gossip not sent: too long");
+            tracing::warn!(
+                length = payload.len(),
+                "gossip message not sent: it exceeds the maximum size"
+            );
             return;
         }
         let address = match to {
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,10 +1,12 @@
-//! A router for a service of language models whose prefill and decode run on different servers.
-//! All decisions are the routing policy's; this library carries them out on sockets.
+//! A router for a service of language models whose prefill and decode run on different model
+//! servers, the endpoints. The routing policy makes all decisions; this library carries them out on
+//! sockets.
 //!
-//! A request arrives at a [`frontend`], which decodes it and waits at an [`exchange`]. The [`core`]
-//! asks the policy and has the [`upstream`] make attempts, whose ends are reported to it.
-//! [`discovery`] and [`gossip`] supply the endpoint list and the messages of other routers.
-//! [`Router`] puts the parts together, and [`run`] runs it.
+//! A request arrives at a [`frontend`], which decodes it and waits for the response at an
+//! [`exchange`]. The [`core`] asks the policy what to do with the request, and the [`upstream`]
+//! makes the attempts at endpoints and reports their outcomes to the core. [`discovery`] supplies
+//! the endpoint list, and [`gossip`] the messages of other routers. [`Router`] puts these parts
+//! together, and [`run`] runs it.
 
 mod backoff;
 mod closing;
@@ -33,7 +35,7 @@
 
 pub use router::{Extras, Router, StartError};
 
-/// A runtime on which a router can run.
+/// Builds a runtime on which a router can run.
 pub fn runtime() -> Result<Runtime, StartError> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -42,7 +44,7 @@
 }
 
 /// Runs a router on this thread until `signal` completes and all accepted requests have their final
-/// response. `extras` is called on the runtime.
+/// response. `extras` is called within the runtime and a `LocalSet`.
 pub fn run(
     runtime: &Runtime,
     config: Config,
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,4 +1,4 @@
-//! The router's command line.
+//! The command line of the router.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,12 +12,12 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
-/// The environment variable that filters the log.
-const LOG_VARIABLE: &str = "CRANETACK_LOG";
-/// The filter where it is not set.
+/// Environment variable with the filter of the log.
+const LOG_FILTER_VARIABLE: &str = "CRANETACK_LOG";
+/// Filter of the log if the environment variable is not set or is invalid.
 const DEFAULT_LOG_FILTER: &str = "info";
-/// After how many conformance cases progress is printed.
-const PROGRESS_INTERVAL: usize = 50;
+/// Number of conformance cases after which progress is printed again.
+const CASES_BETWEEN_PROGRESS: usize = 50;
 
 /// A router for language models whose prefill and decode run on different servers.
 #[derive(Parser)]
@@ -31,7 +31,7 @@
 enum Command {
     /// Serve clients until SIGTERM.
     Serve(ConfigFiles),
-    /// Read the files and say whether they can be used.
+    /// Read the files and report whether they can be used.
     CheckConfig(ConfigFiles),
     /// Run the conformance suite of the inference API against a service, such as this router.
     Conform(ConformArgs),
@@ -41,19 +41,19 @@
 
 #[derive(Args)]
 struct ConformArgs {
-    /// The service's address, such as http://127.0.0.1:8090.
+    /// The address of the service, such as http://127.0.0.1:8090.
     #[arg(long)]
     base: String,
-    /// A file of cases; the suite as shipped without it.
+    /// A file of cases to run in place of the built-in suite.
     #[arg(long)]
     cases: Option<PathBuf>,
-    /// Only cases whose names contain this.
+    /// Run only the cases whose names contain this text.
     #[arg(long)]
     only: Option<String>,
-    /// A tenant's key that is sent with each case.
+    /// A tenant's key to send with each case.
     #[arg(long, env = "CRANETACK_KEY", hide_env_values = true)]
     key: Option<String>,
-    /// One line of JSON for each case, in place of text.
+    /// Print one line of JSON for each case, in place of text.
     #[arg(long)]
     json: bool,
 }
@@ -63,18 +63,19 @@
     /// The configuration file.
     #[arg(long, env = "PROXY_CONFIG")]
     config: PathBuf,
-    /// Operator's file: the inference API, with embeddings, rerank and chat.
+    /// The operator's file that enables the inference API, with embeddings, rerank and chat.
     #[arg(long, env = "CRANETACK_INFERENCE")]
     inference: Option<PathBuf>,
-    /// Operator's file: the tenants whose keys the inference API accepts, from an LDAP directory.
+    /// The operator's file that names the LDAP directory of the tenants whose keys the inference
+    /// API accepts.
     #[arg(long, env = "CRANETACK_TENANTS", requires = "inference")]
     tenants: Option<PathBuf>,
-    /// Operator's file: the control service for other proxies.
+    /// The operator's file that enables the control service for other proxies.
     #[arg(long, env = "CRANETACK_CONTROL")]
     control: Option<PathBuf>,
 }
 
-/// The files, read and checked.
+/// The contents of the files, after they have been checked.
 struct LoadedConfig {
     config: Config,
     inference: Option<inference::Setup>,
@@ -121,7 +122,7 @@
     }
 }
 
-/// Runs a command; whether it found everything in order.
+/// Runs a command. Returns false if conformance cases have failed.
 fn run(command: Command) -> Result<bool, Error> {
     match command {
         Command::Serve(files) => serve(files).map(|()| true),
@@ -143,14 +144,14 @@
         Signals::install()?
     };
     let loaded = files.load()?;
-    let discovery_at_start = loaded.config.discovery;
+    let initial_discovery_address = loaded.config.discovery;
     let extras = || Extras {
         inference: loaded.inference,
         tenants: loaded.tenants.map(tenants::Tenants::start),
         control: loaded.control,
         discovery: Some(watch_discovery_address(
             files.config,
-            discovery_at_start,
+            initial_discovery_address,
             signals.hangup,
         )),
     };
@@ -160,7 +161,7 @@
 }
 
 fn start_log() {
-    let filter = tracing_subscriber::EnvFilter::try_from_env(LOG_VARIABLE)
+    let filter = tracing_subscriber::EnvFilter::try_from_env(LOG_FILTER_VARIABLE)
         .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new(DEFAULT_LOG_FILTER));
     tracing_subscriber::fmt()
         .with_env_filter(filter)
@@ -168,14 +169,14 @@
         .init();
 }
 
-/// The address of discovery, by the configuration as it is read again at each SIGHUP. Must be
-/// called on the runtime.
+/// Returns a receiver of discovery's address, which is read from the configuration file again at
+/// each SIGHUP. Must be called within a `LocalSet`.
 fn watch_discovery_address(
     path: PathBuf,
-    at_start: SocketAddr,
+    initial_address: SocketAddr,
     mut hangup: Signal,
 ) -> watch::Receiver<SocketAddr> {
-    let (sender, receiver) = watch::channel(at_start);
+    let (sender, receiver) = watch::channel(initial_address);
     // The task ends once the router has dropped the receiver.
     tokio::task::spawn_local(async move {
         config::reload_on_hangup(&path, async || hangup.recv().await, sender).await;
@@ -183,7 +184,7 @@
     receiver
 }
 
-/// Reads the files and prints what they would serve.
+/// Reads the files and prints what a router with them would serve.
 fn check_config(files: &ConfigFiles) -> Result<(), Error> {
     let LoadedConfig {
         config,
@@ -207,7 +208,7 @@
     Ok(())
 }
 
-/// Runs the conformance suite; whether all cases passed.
+/// Runs the conformance suite. Returns whether all cases passed.
 fn conform(args: &ConformArgs) -> Result<bool, Error> {
     let cases = load_cases(args)?;
     let base = cranetack_conformance::Base::new(&args.base, args.key.clone())?;
@@ -216,7 +217,7 @@
     let report = |outcome: &cranetack_conformance::Outcome| {
         completed += 1;
         print_outcome(outcome, args.json);
-        if completed % PROGRESS_INTERVAL == 0 {
+        if completed % CASES_BETWEEN_PROGRESS == 0 {
             eprintln!("{completed} of {case_count} cases");
         }
     };
@@ -233,7 +234,7 @@
     Ok(failed == 0)
 }
 
-/// The cases that are asked for.
+/// Returns the cases that the arguments select.
 fn load_cases(args: &ConformArgs) -> Result<Vec<cranetack_conformance::Case>, Error> {
     let text = match &args.cases {
         Some(path) => {
@@ -248,7 +249,7 @@
     Ok(cases)
 }
 
-/// Prints the outcome of a case: as text, only if it failed.
+/// Prints the outcome of a case. The text form is printed only for a failed case.
 fn print_outcome(outcome: &cranetack_conformance::Outcome, json: bool) {
     if json {
         println!("{}", serde_json::to_string(outcome).unwrap_or_default());
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -1,4 +1,4 @@
-//! A router as a whole: it binds its addresses, starts its parts, and ends them in order.
+//! The router as a whole: it binds its addresses, starts its parts, and stops them in order.
 
 mod bind;
 mod parts;
@@ -20,44 +20,45 @@
 use crate::tenants::Tenants;
 use parts::Parts;
 
-/// How long the core has, after the last response, to start the releases of requests that were
-/// given up at the end ...
-const FINAL_EVENTS_SPAN: Duration = Duration::from_millis(50);
-/// ... and how long these releases may take.
+/// Time that the core has, after the last response, to start the releases of KV state of requests
+/// that were abandoned at the end.
+const FINAL_EVENTS_DELAY: Duration = Duration::from_millis(50);
+/// Time that the releases of KV state in progress may take before the router ends without them.
 const FINAL_RELEASES_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Why a router cannot start.
+/// The reason why a router cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// An address cannot be listened on.
-    #[error("{key}: {address} cannot be listened on: {source}")]
+    /// The router cannot listen on an address.
+    #[error("{key}: cannot listen on {address}: {source}")]
     Listen {
-        /// The key in the configuration.
+        /// The key of the address in the configuration.
         key: &'static str,
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The system's error.
         source: std::io::Error,
     },
     /// The runtime cannot be built.
-    #[error("the runtime cannot be started: {0}")]
+    #[error("cannot build the runtime: {0}")]
     Runtime(std::io::Error),
 }
 
-/// What an operator may enable beside the platform API. All of it is off by default.
+/// The services that an operator may enable in addition to the platform API, and the source of
+/// discovery's address. Each is off by default.
 #[derive(Default)]
 pub struct Extras {
     /// The inference API.
     pub inference: Option<inference::Setup>,
-    /// The tenants whose keys the inference API accepts; it is open to anybody without them.
+    /// The tenants whose keys the inference API accepts. Without them it is open to anybody.
     pub tenants: Option<Tenants>,
     /// The control service.
     pub control: Option<control::Setup>,
-    /// The address of discovery, if it may change while the router runs.
+    /// A receiver of discovery's address, if the address may change while the router runs.
     pub discovery: Option<watch::Receiver<SocketAddr>>,
 }
 
-/// A router that listens and does not serve yet.
+/// A router that listens on its addresses and does not serve yet.
 pub struct Router {
     config: Config,
     platform: TcpListener,
@@ -69,18 +70,18 @@
 }
 
 impl Router {
-    /// The address for clients of the platform API.
+    /// Returns the address for clients of the platform API.
     pub fn address(&self) -> std::io::Result<SocketAddr> {
         self.platform.local_addr()
     }
 
-    /// The address for clients of the inference API, if it is enabled.
+    /// Returns the address for clients of the inference API, if the API is enabled.
     pub fn inference_address(&self) -> Option<std::io::Result<SocketAddr>> {
         let (listener, _) = self.inference.as_ref()?;
         Some(listener.local_addr())
     }
 
-    /// The address for other proxies, if the control service is enabled.
+    /// Returns the address for other proxies, if the control service is enabled.
     pub fn control_address(&self) -> Option<std::io::Result<SocketAddr>> {
         let (listener, _) = self.control.as_ref()?;
         Some(listener.local_addr())
@@ -101,7 +102,7 @@
         let (parts, events) = Parts::new(config, gossip.as_ref(), signal);
         let mut releases_in_progress = parts.start_core(events, gossip);
         let list_received = parts.start_discovery(discovery_address);
-        parts.start_shutdown_events();
+        parts.start_shutdown_notification();
         let readiness = Readiness::new(list_received, parts.phase.clone());
         let service = Platform::new(parts.handle.clone(), &parts.config.site, readiness);
         tracing::info!(name = parts.config.name, listen = %parts.config.listen, "serving");
@@ -114,10 +115,10 @@
         // Proxies stay subscribed for as long as they run; no accepted request depends on them.
         drop(control_tasks);
         tracing::info!("all accepted requests answered");
-        tokio::time::sleep(FINAL_EVENTS_SPAN).await;
+        tokio::time::sleep(FINAL_EVENTS_DELAY).await;
         let released = releases_in_progress.wait_for(|count| *count == 0);
         if timeout(FINAL_RELEASES_TIMEOUT, released).await.is_err() {
-            tracing::warn!("router ends before all KV state is released");
+            tracing::warn!("router ends before all KV state has been released");
         }
     }
 }
--- a/crates/router/src/router/bind.rs
+++ b/crates/router/src/router/bind.rs
@@ -1,4 +1,4 @@
-//! Binds the addresses of a router.
+//! Binding of a router's addresses.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -12,13 +12,13 @@
 use crate::config::Config;
 use crate::gossip::GossipSocket;
 
-/// For how long binding an address is retried.
-const BIND_RETRY_SPAN: Duration = Duration::from_secs(3);
-/// The delay between two attempts.
+/// Time for which binding an address is retried.
+const BIND_RETRY_WINDOW: Duration = Duration::from_secs(3);
+/// Delay between two attempts to bind an address.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl Router {
-    /// Binds the addresses of the configuration, and of what else is enabled.
+    /// Binds the addresses in the configuration, and those of the enabled services in `extras`.
     pub async fn bind(config: Config, extras: Extras) -> Result<Router, StartError> {
         let platform = bind_listener("listen", config.listen).await?;
         let inference = match extras.inference {
@@ -54,24 +54,24 @@
     }
 }
 
-/// Listens on the address that the configuration gives under this key.
+/// Listens on an address. `key` is its key in the configuration, for error messages.
 async fn bind_listener(key: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
     bind_with_retries(key, address, || TcpListener::bind(address)).await
 }
 
-/// Binds an address, with retries: descriptors may be short for a moment, or the process before
-/// this one may not have released the address yet.
+/// Binds an address, with retries: file descriptors may be short for a moment, or the previous
+/// process may not have released the address yet.
 async fn bind_with_retries<T, F: Future<Output = std::io::Result<T>>>(
     key: &'static str,
     address: SocketAddr,
     bind: impl Fn() -> F,
 ) -> Result<T, StartError> {
-    let give_up = Instant::now() + BIND_RETRY_SPAN;
+    let deadline = Instant::now() + BIND_RETRY_WINDOW;
     loop {
         match bind().await {
             Ok(bound) => return Ok(bound),
-            Err(error) if Instant::now() < give_up => {
-                tracing::warn!(%error, key, %address, "address cannot be listened on, retrying");
+            Err(error) if Instant::now() < deadline => {
+                tracing::warn!(%error, key, %address, "cannot listen on address, retrying");
                 tokio::time::sleep(BIND_RETRY_DELAY).await;
             }
             Err(source) => {
--- a/crates/router/src/router/parts.rs
+++ b/crates/router/src/router/parts.rs
@@ -1,4 +1,4 @@
-//! The parts of a running router: each is started as tasks of one group.
+//! The parts of a running router, and the start of their tasks.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -18,26 +18,28 @@
 use crate::tasks::TaskGroup;
 use crate::upstream::{self, Upstream};
 
-/// After how long without a response of discovery the router is ready with the list that it has.
-const LIST_WAIT_MAX: Duration = Duration::from_millis(1_500);
-/// File descriptors for all but connections to clients and endpoints: listeners, discovery, logs
-/// and the runtime.
+/// Time without a response from discovery after which the router is ready with the endpoint list
+/// that it has.
+const LIST_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// File descriptors that are reserved for everything except connections to clients and endpoints:
+/// listeners, discovery, logs and the runtime.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// The most connections of clients, however many descriptors there are: each may hold a body of
-/// 256 KiB, and a buffer.
-const CLIENT_CONNECTIONS_MAX: usize = 384;
-/// How long a stream may deliver nothing before it counts as broken, as a machine that has vanished
-/// sends nothing. Clients wait for at most 5 s after the last event. Where they resume streams at
-/// another router, an early end lets them.
+/// Maximum number of client connections, however many file descriptors there are. Each connection
+/// may hold a body of 256 KiB and a buffer.
+const MAX_CLIENT_CONNECTIONS: usize = 384;
+/// Time without data after which a resumable stream counts as broken: a machine that has vanished
+/// sends nothing. Clients wait for at most 5 s after the last event; if the stream ends before
+/// that, they resume it at another router.
 const RESUMABLE_STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// Where they do not, a stream that is ended is lost, so it has as much of the 5 s as is safe.
+/// Time without data after which a stream that cannot be resumed counts as broken. Ending such a
+/// stream loses it, so the router waits for as much of the clients' 5 s as is safe.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(4_500);
-/// How long establishing a connection may take, where the settings name no span.
+/// Time that establishing a connection may take, if the settings do not set one.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// After how long endpoints close idle connections, where the settings name no span.
-const DEFAULT_SERVER_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time after which endpoints close idle connections, if the settings do not set one.
+const DEFAULT_ENDPOINT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What the parts of a running router share. Dropping it ends their tasks.
+/// The state that the parts of a running router share. Dropping it ends their tasks.
 pub(super) struct Parts {
     pub(super) config: Config,
     pub(super) handle: Handle,
@@ -45,11 +47,12 @@
     tasks: TaskGroup,
 }
 
-/// What the core receives.
+/// The receiving end of the core's events.
 type CoreEvents = mpsc::UnboundedReceiver<CoreEvent>;
 
 impl Parts {
-    /// Starts to receive gossip and to watch for the shutdown, whose signal is `signal`.
+    /// Starts to receive gossip, and to wait for `signal`, which starts the shutdown. The second
+    /// returned value is for [`Parts::start_core`].
     pub(super) fn new(
         config: Config,
         gossip: Option<&GossipSocket>,
@@ -70,8 +73,8 @@
         (parts, events)
     }
 
-    /// Starts the core and the upstream, with the endpoint list as this router last had it. Returns
-    /// the number of releases of KV state in progress.
+    /// Starts the core and the upstream, with the endpoint list that this router last had, if any.
+    /// Returns a receiver of the number of releases of KV state in progress.
     pub(super) fn start_core(
         &self,
         events: CoreEvents,
@@ -99,7 +102,9 @@
         upstream::Options {
             connection_limit: self.connection_limit(),
             connect_timeout: allowed.connect_timeout().unwrap_or(DEFAULT_CONNECT_TIMEOUT),
-            server_idle_timeout: allowed.idle_close().unwrap_or(DEFAULT_SERVER_IDLE_TIMEOUT),
+            server_idle_timeout: allowed
+                .idle_close()
+                .unwrap_or(DEFAULT_ENDPOINT_IDLE_TIMEOUT),
             stream_idle_timeout: if self.config.settings.resumable_streams {
                 RESUMABLE_STREAM_IDLE_TIMEOUT
             } else {
@@ -109,14 +114,14 @@
         }
     }
 
-    /// Starts to watch the endpoint list. The result becomes true with the first response, or once
-    /// it has been waited for long enough.
+    /// Starts to watch the endpoint list. The returned receiver becomes true with the first
+    /// response of discovery, or after [`LIST_TIMEOUT`].
     pub(super) fn start_discovery(
         &self,
         address: watch::Receiver<SocketAddr>,
     ) -> watch::Receiver<bool> {
         let (list_received, receiver) = watch::channel(false);
-        let wait_is_over = list_received.clone();
+        let timeout_sender = list_received.clone();
         let settings = &self.config.settings;
         let poll_interval = settings
             .poll_interval
@@ -133,15 +138,16 @@
         self.tasks
             .spawn(discovery::watch_list(address, known_version, list_watch));
         self.tasks.spawn(async move {
-            tokio::time::sleep(LIST_WAIT_MAX).await;
-            wait_is_over.send_replace(true);
+            tokio::time::sleep(LIST_TIMEOUT).await;
+            timeout_sender.send_replace(true);
         });
         receiver
     }
 
-    /// Notifies the core when the shutdown starts. Where streams cannot be resumed elsewhere, those
-    /// in flight are finished, however long that takes.
-    pub(super) fn start_shutdown_events(&self) {
+    /// Starts a task that notifies the core when the shutdown starts. If streams cannot be resumed
+    /// at another router, the core is not notified: streams in flight are finished, however long
+    /// that takes.
+    pub(super) fn start_shutdown_notification(&self) {
         if !self.config.settings.resumable_streams {
             return;
         }
@@ -152,24 +158,24 @@
             .iter()
             .filter_map(ClassSettings::deadline);
         let schedule = ShutdownSchedule::for_longest_deadline(deadlines.max().unwrap_or_default());
-        let draining = shutdown::reached(self.phase.clone(), Phase::Draining);
+        let draining = shutdown::wait_for_phase(self.phase.clone(), Phase::Draining);
         let handle = self.handle.clone();
         self.tasks.spawn(async move {
             draining.await;
             let now = Instant::now();
             handle.send(CoreEvent::ShutdownStarted {
                 migrate_from: now + schedule.migrate_after,
-                answer_by: now + schedule.answer_within,
+                answer_by: now + schedule.respond_within,
             });
         });
     }
 
-    /// Starts the control service, which ends with the tasks that are returned.
+    /// Starts the control service. It ends when the returned task group is dropped.
     pub(super) fn start_control(&self, listener: TcpListener, setup: control::Setup) -> TaskGroup {
-        tracing::info!(listen = %setup.listen, "serving other proxies through xDS");
+        tracing::info!(listen = %setup.listen, "serving the control service over xDS");
         let tasks = TaskGroup::default();
         let (publisher, snapshots) = watch::channel(Default::default());
-        let draining = shutdown::reached(self.phase.clone(), Phase::Draining);
+        let draining = shutdown::wait_for_phase(self.phase.clone(), Phase::Draining);
         tasks.spawn(control::publish_snapshots(
             self.handle.clone(),
             setup,
@@ -185,14 +191,16 @@
         tasks
     }
 
-    /// The most connections to all endpoints together, and as many to clients.
+    /// Returns the maximum number of connections to all endpoints together. The same number is
+    /// available for connections to clients.
     fn connection_limit(&self) -> usize {
         (self.config.limits.sockets - RESERVED_DESCRIPTORS) / 2
     }
 
-    /// The most connections of clients for each frontend: both frontends share them.
+    /// Returns the maximum number of client connections of each frontend. The frontends share the
+    /// router's client connections evenly.
     pub(super) fn client_connection_limit(&self, has_inference: bool) -> usize {
         let frontends = if has_inference { 2 } else { 1 };
-        self.connection_limit().min(CLIENT_CONNECTIONS_MAX) / frontends
+        self.connection_limit().min(MAX_CLIENT_CONNECTIONS) / frontends
     }
 }
--- a/crates/router/src/shutdown.rs
+++ b/crates/router/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: connections are accepted for a span after the signal, then idle ones are
-//! closed, and the router ends once all accepted requests have their final response.
+//! Graceful shutdown: the router accepts connections for a short time after the signal, then closes
+//! idle connections, and ends once all accepted requests have their final response.
 
 use std::future::Future;
 use std::time::Duration;
@@ -8,54 +8,55 @@
 
 use crate::tasks::TaskGroup;
 
-/// For how long connections are accepted after the signal: whoever directs clients to this router
-/// needs to notice that it shuts down.
+/// Time for which connections are accepted after the signal. Whoever directs clients to this router
+/// needs it to notice the shutdown.
 pub const ACCEPT_SPAN: Duration = Duration::from_millis(700);
-/// A request whose response may take longer than this to begin is not waited for by whoever ends
-/// the program.
-const RESPONSE_WAIT_MAX: Duration = Duration::from_millis(3_000);
-/// By how much sooner all requests must have their response.
+/// Longest time to the beginning of a response that the schedule allows for. Whoever ends the
+/// program does not wait for a response that may take longer to begin.
+const MAX_RESPONSE_WAIT: Duration = Duration::from_millis(3_000);
+/// Margin between the time when all requests must have their response and the end of the longest
+/// wait of a request that is accepted last.
 const SAFETY_MARGIN: Duration = Duration::from_millis(400);
-/// For how long before that streams are migrated, a few at a time.
-const MIGRATION_SPAN: Duration = Duration::from_millis(1_000);
+/// Time, before the last response is due, during which streams are migrated, a few at a time.
+const MIGRATION_DURATION: Duration = Duration::from_millis(1_000);
 
-/// How far the shutdown has come.
+/// The phases of a shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// There is no shutdown.
+    /// No shutdown has started.
     Serving,
-    /// The signal has arrived: connections are still accepted, and each response asks its client to
+    /// The signal has arrived. Connections are still accepted, and each response asks the client to
     /// close the connection.
     Draining,
-    /// No connections are accepted; requests that have been accepted are finished.
+    /// No connections are accepted any more, and accepted requests are finished.
     Finishing,
 }
 
-/// When things happen after the signal.
+/// The times of a shutdown's steps, counted from the signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShutdownSchedule {
-    /// After this span streams may be migrated. Most end by themselves before that, which avoids
-    /// processing their prompts again.
+    /// Time after which streams may be migrated. Most streams end by themselves before that, which
+    /// avoids processing their prompts again.
     pub migrate_after: Duration,
-    /// Within this span all requests must have their response.
-    pub answer_within: Duration,
+    /// Time within which all requests must have their response.
+    pub respond_within: Duration,
 }
 
 impl ShutdownSchedule {
-    /// The schedule where a client waits for this long at the most.
+    /// Creates a schedule for clients that wait for at most `longest_deadline`.
     pub fn for_longest_deadline(longest_deadline: Duration) -> ShutdownSchedule {
-        let answer_within = longest_deadline.min(RESPONSE_WAIT_MAX) + ACCEPT_SPAN - SAFETY_MARGIN;
+        let respond_within = longest_deadline.min(MAX_RESPONSE_WAIT) + ACCEPT_SPAN - SAFETY_MARGIN;
         ShutdownSchedule {
-            migrate_after: answer_within
-                .saturating_sub(MIGRATION_SPAN)
+            migrate_after: respond_within
+                .saturating_sub(MIGRATION_DURATION)
                 .max(ACCEPT_SPAN),
-            answer_within,
+            respond_within,
         }
     }
 }
 
-/// Runs through the phases in a task of the group, from when `signal` completes; returns where the
-/// phase can be observed.
+/// Starts a task of the group that goes through the phases once `signal` completes. Returns a
+/// receiver of the current phase.
 pub fn start_phases(
     signal: impl Future<Output = ()> + 'static,
     tasks: &TaskGroup,
@@ -67,13 +68,14 @@
         sender.send_replace(Phase::Draining);
         tokio::time::sleep(ACCEPT_SPAN).await;
         sender.send_replace(Phase::Finishing);
-        // Observers see the last phase for as long as they look.
+        // The sender is kept until the last receiver is dropped, so that the phase stays
+        // observable.
         sender.closed().await;
     });
     receiver
 }
 
-/// Waits until a phase has been reached.
-pub async fn reached(mut phase: watch::Receiver<Phase>, wanted: Phase) {
+/// Waits until the phase `wanted`, or a later one, has been reached.
+pub async fn wait_for_phase(mut phase: watch::Receiver<Phase>, wanted: Phase) {
     let _ = phase.wait_for(|current| *current >= wanted).await;
 }
--- a/crates/router/src/signals.rs
+++ b/crates/router/src/signals.rs
@@ -1,17 +1,18 @@
-//! The signals that the program handles.
+//! Handling of the signals that reload the configuration or end the program.
 
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// Handlers of the signals. They are installed before anything else: until then a signal ends the
-/// program at once, and one that arrives while the configuration is read must not be missed.
+/// The signals that the program handles. Their handlers must be installed before anything else is
+/// done: until then a signal ends the program at once, and a signal that arrives while the
+/// configuration is being read must not be missed.
 pub struct Signals {
-    /// SIGHUP: the configuration is to be read again.
+    /// The stream of SIGHUP, which asks the program to read its configuration again.
     pub hangup: Signal,
-    /// SIGTERM or SIGINT: the program is to end.
+    /// The stream of SIGTERM and SIGINT, which ask the program to end.
     pub termination: Termination,
 }
 
-/// The signals that ask the program to end. After the first one, further ones change nothing.
+/// The signals that ask the program to end. After the first one, further ones have no effect.
 pub struct Termination {
     terminate: Signal,
     interrupt: Signal,
--- a/crates/router/src/socket.rs
+++ b/crates/router/src/socket.rs
@@ -14,8 +14,8 @@
 /// would block.
 ///
 /// The runtime's own stream takes a short read or write as a sign that the system's buffer is empty
-/// or full, and waits for a readiness event. If the call was short for another reason, no such event
-/// follows, and the connection would hang.
+/// or full, and waits for a readiness event. If the call was short for another reason, no such
+/// event follows, and the connection would hang.
 #[derive(Debug)]
 pub(crate) struct Socket(TcpStream);
 
--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program as a process, and its signals.
+//! Tests of the program as a process, and of the signals that it handles.
 
 mod common;
 
@@ -13,11 +13,11 @@
 use serde_json::json;
 use tokio::net::TcpStream;
 
-/// The program, running as a process.
+/// A process that runs the program.
 struct Program(Child);
 
-/// The command that serves.
-fn serve() -> Command {
+/// Returns a command that runs the program with the subcommand `serve`.
+fn serve_command() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cranetack"));
     command.arg("serve").stdout(Stdio::null());
     command
@@ -36,23 +36,23 @@
         assert!(kill.unwrap().success());
     }
 
-    /// Waits for its end, which must be a success.
+    /// Waits for the end of the process and asserts that it is a success.
     async fn assert_succeeds(mut self) {
-        let ended = tokio::task::spawn_blocking(move || self.0.wait().unwrap())
+        let status = tokio::task::spawn_blocking(move || self.0.wait().unwrap())
             .await
             .unwrap();
-        assert!(ended.success());
+        assert!(status.success());
     }
 }
 
-/// An address on which nothing listens.
+/// Returns an address on which nothing listens.
 fn free_address() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
 
-/// Waits until a router is ready at this address.
-async fn until_ready(address: SocketAddr) {
+/// Waits until the router at this address is ready.
+async fn wait_until_ready(address: SocketAddr) {
     while TcpStream::connect(address).await.is_err()
         || Client::connect(address).await.get("/up").await.0 != 200
     {
@@ -60,8 +60,8 @@
     }
 }
 
-/// By default SIGHUP would end the program. It reads its file again and calls discovery at the new
-/// address.
+/// At SIGHUP, which ends a program by default, the router must read its configuration file again
+/// and call discovery at the new address.
 #[test]
 fn a_hangup_changes_the_address_of_discovery() {
     run(async {
@@ -74,12 +74,12 @@
             std::fs::write(&path, file.to_string()).unwrap();
         };
         write(&old);
-        let program = Program::start(serve().env("PROXY_CONFIG", &path));
+        let program = Program::start(serve_command().env("PROXY_CONFIG", &path));
         old.wait_for_snapshot_call().await;
-        for moved in [&new, &old] {
-            write(moved);
+        for current in [&new, &old] {
+            write(current);
             program.signal("-HUP");
-            moved.wait_for_snapshot_call().await;
+            current.wait_for_snapshot_call().await;
         }
         program.signal("-TERM");
         program.assert_succeeds().await;
@@ -87,7 +87,7 @@
     });
 }
 
-/// SIGHUP does not affect it, and SIGTERM lets it finish.
+/// SIGHUP must not affect a batch in progress, and SIGTERM must let it finish.
 #[test]
 fn a_batch_is_served_across_a_hangup_and_finished_after_a_termination() {
     run(async {
@@ -112,11 +112,11 @@
             file.replace("127.0.0.1:8090", &inference_listen.to_string()),
         )
         .unwrap();
-        let mut command = serve();
+        let mut command = serve_command();
         command.arg("--config").arg(&config_path);
         command.arg("--inference").arg(&inference_path);
         let program = Program::start(&mut command);
-        until_ready(listen).await;
+        wait_until_ready(listen).await;
         let documents: Vec<String> = (0..18)
             .map(|n| format!("{n} {}", "x".repeat(500)))
             .collect();
@@ -131,9 +131,9 @@
         program.signal("-HUP");
         server.wait_until(|seen| seen.len() > 6).await;
         program.signal("-TERM");
-        let (status, answer) = call.await.unwrap();
+        let (status, response) = call.await.unwrap();
         assert_eq!(
-            (status, answer["results"].as_array().map(Vec::len)),
+            (status, response["results"].as_array().map(Vec::len)),
             (200, Some(18))
         );
         assert_eq!(server.count_started("/v1/rerank"), 9);
@@ -142,8 +142,8 @@
     });
 }
 
-/// By default it would end the program, and an address of discovery that is written just then would
-/// be missed.
+/// SIGHUP ends a program by default. If the router ignored it during the start, it would miss an
+/// address of discovery that is written just then.
 #[test]
 fn a_hangup_during_the_start_is_handled() {
     run(async {
@@ -151,23 +151,24 @@
         let new = FakeDiscovery::start(vec![]).await;
         let folder = std::env::temp_dir().join(format!("cranetack-start-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        let [path, next] = ["config.json", "next.json"].map(|name| folder.join(name));
+        let [path, new_path] = ["config.json", "next.json"].map(|name| folder.join(name));
         assert!(Command::new("mkfifo")
             .arg(&path)
             .status()
             .unwrap()
             .success());
-        let config =
+        let config_text =
             |discovery: &FakeDiscovery| config_file(discovery.address, settings()).to_string();
-        let program = Program::start(serve().env("PROXY_CONFIG", &path));
-        // Opening the named pipe waits for the program, which reads until the pipe is closed.
+        let program = Program::start(serve_command().env("PROXY_CONFIG", &path));
+        // Opening the named pipe blocks until the program opens it too. The program then reads
+        // until the pipe is closed.
         let pipe_path = path.clone();
         let open = move || std::fs::OpenOptions::new().write(true).open(pipe_path);
         let mut pipe = tokio::task::spawn_blocking(open).await.unwrap().unwrap();
-        std::fs::write(&next, config(&new)).unwrap();
-        std::fs::rename(&next, &path).unwrap();
+        std::fs::write(&new_path, config_text(&new)).unwrap();
+        std::fs::rename(&new_path, &path).unwrap();
         program.signal("-HUP");
-        pipe.write_all(config(&old).as_bytes()).unwrap();
+        pipe.write_all(config_text(&old).as_bytes()).unwrap();
         drop(pipe);
         new.wait_for_snapshot_call().await;
         program.signal("-TERM");
--- a/crates/router/tests/readiness.rs
+++ b/crates/router/tests/readiness.rs
@@ -1,5 +1,5 @@
-//! Readiness after a start, whatever discovery does, whichever endpoint list the router had last,
-//! and however many clients connect meanwhile.
+//! Tests of readiness after a start: without a response from discovery, with several restored
+//! endpoint lists, and with as many idle clients as the limit allows.
 
 mod common;
 
@@ -18,8 +18,8 @@
 /// Half of the time within which nine in ten restarted routers must be ready.
 const READY_WITHIN: Duration = Duration::from_secs(5);
 
-/// A list of this many endpoints that do not exist.
-fn long_list(endpoints: usize) -> Value {
+/// Returns an endpoint list with this many endpoints, none of which exists.
+fn nonexistent_endpoints(endpoint_count: usize) -> Value {
     let entry = |number: usize| {
         let address = format!("127.0.{}.{}:9", number / 250, number % 250 + 1);
         json!({
@@ -33,13 +33,13 @@
             "since_ms": 0,
         })
     };
-    let entries: Vec<_> = (0..endpoints).map(entry).collect();
+    let entries: Vec<_> = (0..endpoint_count).map(entry).collect();
     json!({"index": 9, "snapshot": true, "endpoints": entries})
 }
 
-/// The list that it had last may be absent, empty, long, or have entries that cannot be decoded.
+/// The restored endpoint list may be absent, empty or long, or have entries that cannot be decoded.
 #[test]
-fn a_router_is_ready_soon_without_a_response_of_discovery_whichever_list_it_had() {
+fn a_router_is_ready_soon_without_a_response_from_discovery_whichever_list_it_restores() {
     let entry = |name: &str, address: &str, zone: &str, kind: &str, status: &str| json!({"name": name, "address": address, "zone": zone, "type": kind, "status": status});
     let undecodable = json!({"index": 0, "snapshot": true, "endpoints": [
         7,
@@ -51,11 +51,16 @@
         entry("e", "127.0.0.1:9", "here", "mixed", "removed"),
     ]});
     let empty = json!({"index": 1, "snapshot": true, "endpoints": []});
-    for known in [Value::Null, empty, undecodable, long_list(2_000)] {
+    for restored_list in [
+        Value::Null,
+        empty,
+        undecodable,
+        nonexistent_endpoints(2_000),
+    ] {
         run_paused(async {
             let discovery = ManualServer::start().await;
             let mut config = config_file(discovery.address, settings());
-            config["known"] = known;
+            config["known"] = restored_list;
             let config = Config::parse(config.to_string().as_bytes()).unwrap();
             let router = Router::bind(config, Extras::default()).await.unwrap();
             let address = router.address().unwrap();
@@ -64,13 +69,17 @@
             while Client::connect(address).await.get("/up").await.0 != 200 {
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
-            assert!(started.elapsed() < READY_WITHIN, "{:?}", started.elapsed());
+            assert!(
+                started.elapsed() < READY_WITHIN,
+                "the router was ready only after {:?}",
+                started.elapsed()
+            );
         });
     }
 }
 
-/// Idle clients use up all connections while discovery does not respond. Once it does, the new list
-/// is received and its endpoint is used.
+/// Idle clients take all connections while discovery does not respond. Once it responds, the router
+/// must receive the new endpoint list and use the new endpoint.
 #[test]
 fn idle_clients_up_to_the_limit_block_neither_discovery_nor_requests() {
     run(async {
@@ -78,8 +87,8 @@
         let new = FakeServer::start(4, Behaviour::Answer).await;
         let router = TestRouter::start(vec![endpoint_entry(&old, "mixed", "up")]).await;
         router.discovery.silent.set(true);
-        // 64 descriptors less 32 are shared by endpoints and clients, and those of clients by two
-        // APIs.
+        // Of the 64 file descriptors, 32 are reserved. Connections to endpoints and clients have 16
+        // each, and the clients of the two APIs 8 each.
         let mut idle = Vec::new();
         for _ in 0..24 {
             idle.push(RawClient::connect(router.platform).await);
@@ -114,7 +123,7 @@
         assert_eq!(
             old.count_started("/v1/chat/completions"),
             before,
-            "no new requests to an endpoint that drains"
+            "a draining endpoint has received a new request"
         );
     });
 }
