--- a/crates/router/src/framing.rs
+++ b/crates/router/src/framing.rs
@@ -2,8 +2,8 @@
 //!
 //! The HTTP library decodes the messages. This module detects two kinds of message that the library
 //! accepts but the router must not: a request with both a content length and a transfer encoding,
-//! whose end two servers may see at different bytes (request smuggling), and a response with an
-//! impossibly large chunk.
+//! whose end two servers may see at different bytes (request smuggling), and a response with a
+//! chunk that exceeds [`CHUNK_BYTES_LIMIT`], as no valid chunk does.
 
 /// Maximum number of bytes of a line that are stored. Every line that matters here is shorter.
 const LINE_BYTES_LIMIT: usize = 128;
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -29,7 +29,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve clients until SIGTERM.
+    /// Serve clients until SIGTERM or SIGINT.
     Serve(ConfigFiles),
     /// Read the files and report whether they can be used.
     CheckConfig(ConfigFiles),
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -21,9 +21,10 @@
 use parts::Parts;
 
 /// Time that the core has, after the last response, to start the releases of KV state of requests
-/// that were abandoned at the end.
+/// that were abandoned at the end of the shutdown.
 const FINAL_EVENTS_DELAY: Duration = Duration::from_millis(50);
-/// Time that the releases of KV state in progress may take before the router ends without them.
+/// Time that the releases of KV state in progress may take. After it the router ends without
+/// waiting for the rest of them.
 const FINAL_RELEASES_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The reason why a router cannot start.
--- a/crates/router/src/router/parts.rs
+++ b/crates/router/src/router/parts.rs
@@ -32,7 +32,8 @@
 /// that, they resume it at another router.
 const RESUMABLE_STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// Time without data after which a stream that cannot be resumed counts as broken. Ending such a
-/// stream loses it, so the router waits for as much of the clients' 5 s as is safe.
+/// stream loses it, so this is as much as is safe of the 5 s for which clients wait after the last
+/// event.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(4_500);
 /// Time that establishing a connection may take, if the settings do not set one.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
--- a/crates/router/src/shutdown.rs
+++ b/crates/router/src/shutdown.rs
@@ -9,7 +9,7 @@
 use crate::tasks::TaskGroup;
 
 /// Time for which connections are accepted after the signal. Whoever directs clients to this router
-/// needs it to notice the shutdown.
+/// needs that time to notice the shutdown.
 pub const ACCEPT_SPAN: Duration = Duration::from_millis(700);
 /// Longest time to the beginning of a response that the schedule allows for. Whoever ends the
 /// program does not wait for a response that may take longer to begin.
--- a/crates/router/src/tasks/tests.rs
+++ b/crates/router/src/tasks/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use cranetack_testkit::run;
 
-/// Counts a task as running until the task drops the guard, which it does however it ends.
+/// Counts a task as running until the guard is dropped, which happens however the task ends.
 struct RunningGuard(Rc<Cell<u32>>);
 
 impl RunningGuard {
