--- a/crates/settings/src/bounds.rs
+++ b/crates/settings/src/bounds.rs
@@ -1,54 +1,53 @@
-//! Bounds on the settings' figures: one that cannot be meant is refused, naming its key, before
-//! anything is built on it.
+//! Range checks for the numbers in the settings. A value out of range is an error that names its key.
 
 use crate::error::OutOfRange;
-use crate::site::{Allowed, ClassSettings, Domain, Rules, SiteSettings};
+use crate::site::{ClassSettings, LanguageModelSettings, Permissions, RouterRules, SiteSettings};
 
-/// The longest span that a setting may name, in microseconds: a year. Sums with the clock stay far
-/// from overflow.
-const LONGEST_US: f64 = 365.0 * 24.0 * 3_600.0 * 1e6;
+/// Maximum duration in a setting: one year. Sums of such a duration and a clock reading cannot
+/// overflow.
+const MAX_DURATION_US: f64 = 365.0 * 24.0 * 3_600.0 * 1e6;
 
-/// A bound on a figure.
+/// The range of values that a setting accepts.
 #[derive(Clone, Copy)]
 enum Bound {
-    /// A span in microseconds that may be nothing.
-    Span,
-    /// A span in microseconds of some length.
-    PositiveSpan,
-    /// Any figure of at least nothing.
-    NotNegative,
-    /// Any figure above nothing.
+    /// A duration in microseconds; 0 is accepted.
+    Duration,
+    /// A duration in microseconds; 0 is not accepted.
+    PositiveDuration,
+    /// A finite number of at least 0.
+    NonNegative,
+    /// A finite number above 0.
     Positive,
-    /// A share of at most one.
+    /// A share from 0 to 1.
     Share,
 }
 
 impl Bound {
-    fn allows(self, figure: f64) -> bool {
+    fn allows(self, value: f64) -> bool {
         match self {
-            Bound::Span => (0.0..=LONGEST_US).contains(&figure),
-            Bound::PositiveSpan => figure > 0.0 && figure <= LONGEST_US,
-            Bound::NotNegative => figure.is_finite() && figure >= 0.0,
-            Bound::Positive => figure.is_finite() && figure > 0.0,
-            Bound::Share => (0.0..=1.0).contains(&figure),
+            Bound::Duration => (0.0..=MAX_DURATION_US).contains(&value),
+            Bound::PositiveDuration => value > 0.0 && value <= MAX_DURATION_US,
+            Bound::NonNegative => value.is_finite() && value >= 0.0,
+            Bound::Positive => value.is_finite() && value > 0.0,
+            Bound::Share => (0.0..=1.0).contains(&value),
         }
     }
 
     fn expected(self) -> &'static str {
         match self {
-            Bound::Span => "0 to a year in microseconds",
-            Bound::PositiveSpan => "more than 0 and at most a year in microseconds",
-            Bound::NotNegative => "at least 0",
-            Bound::Positive => "more than 0",
-            Bound::Share => "0 to 1",
+            Bound::Duration => "from 0 to 31536000000000 microseconds (1 year)",
+            Bound::PositiveDuration => "above 0 and at most 31536000000000 microseconds (1 year)",
+            Bound::NonNegative => "at least 0",
+            Bound::Positive => "above 0",
+            Bound::Share => "from 0 to 1",
         }
     }
 
-    fn check(self, key: impl FnOnce() -> String, figure: Option<f64>) -> Result<(), OutOfRange> {
-        match figure {
-            Some(figure) if !self.allows(figure) => Err(OutOfRange {
+    fn check(self, key: impl FnOnce() -> String, value: Option<f64>) -> Result<(), OutOfRange> {
+        match value {
+            Some(value) if !self.allows(value) => Err(OutOfRange {
                 key: key(),
-                figure,
+                value,
                 expected: self.expected(),
             }),
             _ => Ok(()),
@@ -56,9 +55,9 @@
     }
 }
 
-/// Checks all figures of the settings.
+/// Checks the range of each number in the settings.
 pub(crate) fn check(site: &SiteSettings) -> Result<(), OutOfRange> {
-    Bound::PositiveSpan.check(|| "period_us".to_owned(), site.event_interval_us)?;
+    Bound::PositiveDuration.check(|| "period_us".to_owned(), site.event_interval_us)?;
     for (index, class) in site.classes.iter().enumerate() {
         check_class(index, class)?;
     }
@@ -69,52 +68,52 @@
 
 fn check_class(index: usize, class: &ClassSettings) -> Result<(), OutOfRange> {
     let key = |name: &str| format!("classes[{index}].{name}");
-    Bound::PositiveSpan.check(|| key("deadline_us"), class.deadline_us)?;
-    Bound::Span.check(|| key("goal_time_us"), class.latency_objective_us)?;
-    Bound::Span.check(|| key("dedup_window_us"), class.dedup_window_us)?;
-    Bound::NotNegative.check(|| key("points"), class.priority_weight)
+    Bound::PositiveDuration.check(|| key("deadline_us"), class.deadline_us)?;
+    Bound::Duration.check(|| key("goal_time_us"), class.latency_objective_us)?;
+    Bound::Duration.check(|| key("dedup_window_us"), class.dedup_window_us)?;
+    Bound::NonNegative.check(|| key("points"), class.priority_weight)
 }
 
-fn check_allowed(allowed: &Allowed) -> Result<(), OutOfRange> {
+fn check_allowed(allowed: &Permissions) -> Result<(), OutOfRange> {
     let key = |name: &str| format!("allowed.{name}");
-    Bound::PositiveSpan.check(|| key("connect_timeout_us"), allowed.connect_timeout_us)?;
-    Bound::Span.check(|| key("idle_close_us"), allowed.idle_close_us)?;
+    Bound::PositiveDuration.check(|| key("connect_timeout_us"), allowed.connect_timeout_us)?;
+    Bound::Duration.check(|| key("idle_close_us"), allowed.idle_close_us)?;
     Bound::Positive.check(|| key("max_attempts"), allowed.max_attempts.map(f64::from))?;
-    Bound::Span.check(|| key("max_retry_after_us"), allowed.max_retry_after_us)
+    Bound::Duration.check(|| key("max_retry_after_us"), allowed.max_retry_after_us)
 }
 
-fn check_domain(domain: &Domain) -> Result<(), OutOfRange> {
-    Bound::PositiveSpan.check(
+fn check_domain(domain: &LanguageModelSettings) -> Result<(), OutOfRange> {
+    Bound::PositiveDuration.check(
         || "domain.pin_limit_us".to_owned(),
         domain.kv_lease_timeout_us,
     )?;
     let lists = [
         (
             "aim_us_per_1000_prompt_tokens",
-            Bound::Span,
+            Bound::Duration,
             &domain.latency_objective_us_per_1000_tokens,
         ),
         (
             "token_aim_us",
-            Bound::Span,
+            Bound::Duration,
             &domain.token_interval_objective_us,
         ),
-        ("kv_tokens", Bound::NotNegative, &domain.memory_tokens),
+        ("kv_tokens", Bound::NonNegative, &domain.memory_tokens),
     ];
-    for (name, bound, figures) in lists {
-        for (index, figure) in figures.iter().flatten().enumerate() {
-            bound.check(|| format!("domain.{name}[{index}]"), Some(*figure))?;
+    for (name, bound, values) in lists {
+        for (index, value) in values.iter().flatten().enumerate() {
+            bound.check(|| format!("domain.{name}[{index}]"), Some(*value))?;
         }
     }
     Ok(())
 }
 
-fn check_rules(rules: &Rules) -> Result<(), OutOfRange> {
+fn check_rules(rules: &RouterRules) -> Result<(), OutOfRange> {
     let key = |name: &str| format!("rules.{name}");
-    Bound::Span.check(|| key("answer_slack_us"), rules.response_slack_us)?;
-    Bound::Span.check(|| key("ask_within_us"), rules.poll_interval_us)?;
+    Bound::Duration.check(|| key("answer_slack_us"), rules.response_slack_us)?;
+    Bound::Duration.check(|| key("ask_within_us"), rules.poll_interval_us)?;
     Bound::Positive.check(|| key("fall_multiple"), rules.overload_multiple)?;
-    Bound::Span.check(|| key("fall_us"), rules.overload_window_us)?;
+    Bound::Duration.check(|| key("fall_us"), rules.overload_window_us)?;
     Bound::Share.check(|| key("start_capacity"), rules.cold_capacity)?;
-    Bound::Span.check(|| key("warm_up_us"), rules.warm_up_us)
+    Bound::Duration.check(|| key("warm_up_us"), rules.warm_up_us)
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,9 @@
-//! The settings of a site: the same object on the simulator's wire and in a router's configuration
-//! file.
+//! The settings of a site, a JSON object that has the same form in a simulator's messages and in a
+//! router's configuration file.
 //!
-//! [`SiteSettings`] decodes the object; [`SiteSettings::policy_settings`] checks it and gives it in
-//! the policy's own types. Keys keep the spelling that the protocol gives them, fields have the
-//! field's terms.
+//! [`SiteSettings`] decodes the object; [`SiteSettings::policy_settings`] checks it and converts it
+//! to the policy's types. The JSON keys are fixed by the simulator's protocol; Rust fields have the
+//! usual technical names.
 
 mod bounds;
 mod error;
@@ -11,4 +11,4 @@
 mod site;
 
 pub use error::{OutOfRange, SettingsError};
-pub use site::{Allowed, ClassSettings, Named, Report, SiteSettings};
+pub use site::{ClassSettings, Permissions, Report, SiteSettings, TenantSettings};
--- a/crates/settings/src/policy_settings.rs
+++ b/crates/settings/src/policy_settings.rs
@@ -1,4 +1,4 @@
-//! The settings in the policy's own types.
+//! Conversion of the settings to the policy's types.
 
 use cranetack_routing_policy::{
     Class, Idempotency, KeyScope, Kind, LoadReporting, Role, Settings, ZoneId,
@@ -9,7 +9,7 @@
 use crate::site::{micros, ClassSettings, SiteSettings};
 
 impl SiteSettings {
-    /// The settings in the policy's own types; an error names the key that cannot be used.
+    /// Checks the settings and converts them to the policy's types. An error names the key at fault.
     pub fn policy_settings(&self) -> Result<Settings, SettingsError> {
         bounds::check(self)?;
         let (allowed, domain, rules) = (&self.allowed, &self.domain, &self.rules);
@@ -135,7 +135,7 @@
     }
 }
 
-/// The element of a class or kind in a list that may be missing or too short.
+/// The list element of a class or kind; `None` if the list is missing or too short.
 fn element(list: &Option<Vec<f64>>, index: usize) -> Option<f64> {
     list.as_ref()?.get(index).copied()
 }
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -1,4 +1,4 @@
-//! The settings object as it is written.
+//! The settings object as it is decoded from JSON.
 
 use std::time::Duration;
 
@@ -24,30 +24,30 @@
     pub zones: Vec<String>,
     /// The tenants; a site may have none.
     #[serde(default)]
-    pub tenants: Vec<Named>,
-    /// What the site permits.
+    pub tenants: Vec<TenantSettings>,
+    /// The optional features and limits of the site.
     #[serde(default)]
-    pub allowed: Allowed,
+    pub allowed: Permissions,
     #[serde(default)]
-    pub(crate) domain: Domain,
+    pub(crate) domain: LanguageModelSettings,
     #[serde(default)]
-    pub(crate) rules: Rules,
-    /// The load reports.
+    pub(crate) rules: RouterRules,
+    /// The load reports of endpoints.
     #[serde(default)]
     pub report: Report,
 }
 
-/// Something of which only the name is used here.
+/// A tenant, of which only the name is used.
 #[derive(Deserialize, Clone)]
-pub struct Named {
-    /// Its name.
+pub struct TenantSettings {
+    /// The tenant's name.
     pub name: String,
 }
 
 /// A request class.
 #[derive(Deserialize, Clone)]
 pub struct ClassSettings {
-    /// Its name.
+    /// The class's name.
     pub name: String,
     pub(crate) deadline_us: Option<f64>,
     #[serde(rename = "goal_time_us")]
@@ -59,9 +59,9 @@
     pub(crate) priority_weight: Option<f64>,
 }
 
-/// What the site permits, and its limits on connections.
+/// Optional features that the site permits, and its limits on attempts and connections.
 #[derive(Deserialize, Default, Clone)]
-pub struct Allowed {
+pub struct Permissions {
     #[serde(default, rename = "cancelling")]
     pub(crate) cancellation: bool,
     #[serde(default, rename = "probing")]
@@ -78,9 +78,9 @@
     pub(crate) idle_close_us: Option<f64>,
 }
 
-/// What is particular to language-model services. Lists have an element for each class or kind.
+/// Settings that only language-model services have. Each list has an element per class or per kind.
 #[derive(Deserialize, Default, Clone)]
-pub(crate) struct Domain {
+pub(crate) struct LanguageModelSettings {
     #[serde(default, rename = "ahead")]
     pub(crate) slot_reservations: bool,
     #[serde(default, rename = "self_prefill")]
@@ -97,17 +97,17 @@
     pub(crate) memory_tokens: Option<Vec<f64>>,
     #[serde(rename = "stage_of_kind")]
     pub(crate) role_of_kind: Option<Vec<String>>,
-    /// What the load reports' column `x0` means.
+    /// The meaning of column `x0` in load reports, in words.
     #[serde(rename = "report_x0")]
     pub(crate) meaning_of_x0: Option<String>,
-    /// What the load reports' column `x1` means.
+    /// The meaning of column `x1` in load reports, in words.
     #[serde(rename = "report_x1")]
     pub(crate) meaning_of_x1: Option<String>,
 }
 
-/// The rules that bind routers.
+/// Rules that routers must follow: time limits, and the load limits of slow start.
 #[derive(Deserialize, Default, Clone)]
-pub(crate) struct Rules {
+pub(crate) struct RouterRules {
     #[serde(rename = "answer_slack_us")]
     pub(crate) response_slack_us: Option<f64>,
     #[serde(rename = "ask_within_us")]
@@ -124,44 +124,45 @@
 /// How endpoints report their load.
 #[derive(Deserialize, Default, Clone)]
 pub struct Report {
-    /// `piggyback`, `pull` or `silent`.
+    /// The reporting mode: `piggyback` (with the outcomes of attempts and health checks), `pull`
+    /// (with the outcomes of health checks alone) or `silent` (no load reports).
     pub how: Option<String>,
-    /// The column that contains the share of memory in use.
+    /// The name of the column that contains the share of memory in use.
     #[serde(skip)]
     pub memory_column: Option<String>,
-    /// The column that contains the thousands of prompt tokens that wait.
+    /// The name of the column that contains the number of waiting prompt tokens, in thousands.
     #[serde(skip)]
     pub pending_column: Option<String>,
 }
 
 impl ClassSettings {
-    /// How long its client waits, over all attempts.
+    /// The maximum time that a client waits for the response, over all attempts.
     pub fn deadline(&self) -> Option<Duration> {
         duration(self.deadline_us)
     }
 }
 
-impl Allowed {
-    /// How long a connection may take to come up.
+impl Permissions {
+    /// The maximum time for connecting to an endpoint.
     pub fn connect_timeout(&self) -> Option<Duration> {
         duration(self.connect_timeout_us)
     }
 
-    /// After how long an endpoint closes an idle connection.
+    /// The idle time after which an endpoint closes a connection.
     pub fn idle_close(&self) -> Option<Duration> {
         duration(self.idle_close_us)
     }
 }
 
 impl SiteSettings {
-    /// Notes which columns of load reports contain memory and waiting tokens, by the meaning that
-    /// the settings give.
+    /// Finds the columns of load reports whose meaning in the settings contains "memory" or
+    /// "tokens waiting", and stores their names in `memory_column` and `pending_column`.
     pub fn resolve_report_columns(&mut self) {
-        self.report.memory_column = self.column_that_means("memory");
-        self.report.pending_column = self.column_that_means("tokens waiting");
+        self.report.memory_column = self.column_by_meaning("memory");
+        self.report.pending_column = self.column_by_meaning("tokens waiting");
     }
 
-    fn column_that_means(&self, words: &str) -> Option<String> {
+    fn column_by_meaning(&self, words: &str) -> Option<String> {
         let columns = [
             ("x0", &self.domain.meaning_of_x0),
             ("x1", &self.domain.meaning_of_x1),
@@ -178,13 +179,13 @@
     }
 }
 
-/// Whole microseconds of a figure; `None` if it is no number.
-pub(crate) fn micros(figure: Option<f64>) -> Option<i64> {
-    let figure = figure.filter(|figure| figure.is_finite())?;
-    Some(figure as i64)
+/// Truncates a value to whole microseconds; `None` if it is absent or not finite.
+pub(crate) fn micros(value: Option<f64>) -> Option<i64> {
+    let value = value.filter(|value| value.is_finite())?;
+    Some(value as i64)
 }
 
-fn duration(figure: Option<f64>) -> Option<Duration> {
-    let micros = u64::try_from(micros(figure)?).ok()?;
+fn duration(value: Option<f64>) -> Option<Duration> {
+    let micros = u64::try_from(micros(value)?).ok()?;
     Some(Duration::from_micros(micros))
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that cannot be meant are refused, naming the key; those that are missing have defaults.
+//! Values out of range give an error that names the key; missing keys have defaults.
 
 use cranetack_settings::SiteSettings;
 use serde_json::{json, Value};
@@ -16,98 +16,104 @@
     })
 }
 
-/// What the settings are refused with, if they are.
-fn refused(settings: Value) -> Option<String> {
+/// The error of `policy_settings`; `None` if the settings are valid.
+fn settings_error(settings: Value) -> Option<String> {
     let site: SiteSettings = serde_json::from_value(settings).unwrap();
     site.policy_settings().err().map(|error| error.to_string())
 }
 
-/// Where a figure stands, its key in errors, and values that it may not have.
-struct BadFigures {
+/// The JSON pointer of a number, its key in error messages, and values out of its range.
+struct OutOfRangeCase {
     pointer: &'static str,
     key: &'static str,
     values: &'static [f64],
 }
 
-const fn bad(pointer: &'static str, key: &'static str, values: &'static [f64]) -> BadFigures {
-    BadFigures {
+const fn out_of_range(
+    pointer: &'static str,
+    key: &'static str,
+    values: &'static [f64],
+) -> OutOfRangeCase {
+    OutOfRangeCase {
         pointer,
         key,
         values,
     }
 }
 
-const BAD_FIGURES: [BadFigures; 17] = [
-    bad("/period_us", "period_us", &[0.0, -1.0, 1e30]),
-    bad(
+const OUT_OF_RANGE_CASES: [OutOfRangeCase; 17] = [
+    out_of_range("/period_us", "period_us", &[0.0, -1.0, 1e30]),
+    out_of_range(
         "/classes/0/deadline_us",
         "classes[0].deadline_us",
         &[0.0, -5.0, 1e18],
     ),
-    bad(
+    out_of_range(
         "/classes/0/goal_time_us",
         "classes[0].goal_time_us",
         &[-1.0],
     ),
-    bad(
+    out_of_range(
         "/classes/0/dedup_window_us",
         "classes[0].dedup_window_us",
         &[-1.0, 1e19],
     ),
-    bad("/classes/0/points", "classes[0].points", &[-2.0]),
-    bad(
+    out_of_range("/classes/0/points", "classes[0].points", &[-2.0]),
+    out_of_range(
         "/allowed/connect_timeout_us",
         "allowed.connect_timeout_us",
         &[0.0, -250.0],
     ),
-    bad("/allowed/idle_close_us", "allowed.idle_close_us", &[-1.0]),
-    bad(
+    out_of_range("/allowed/idle_close_us", "allowed.idle_close_us", &[-1.0]),
+    out_of_range(
         "/allowed/max_retry_after_us",
         "allowed.max_retry_after_us",
         &[-1.0],
     ),
-    bad(
+    out_of_range(
         "/domain/pin_limit_us",
         "domain.pin_limit_us",
         &[0.0, -300.0],
     ),
-    bad("/domain/token_aim_us/0", "domain.token_aim_us[0]", &[-1.0]),
-    bad("/domain/kv_tokens/1", "domain.kv_tokens[1]", &[-1.0]),
-    bad("/rules/answer_slack_us", "rules.answer_slack_us", &[-1.0]),
-    bad("/rules/ask_within_us", "rules.ask_within_us", &[-1.0]),
-    bad("/rules/fall_multiple", "rules.fall_multiple", &[0.0, -4.0]),
-    bad("/rules/fall_us", "rules.fall_us", &[-1.0, 1e17]),
-    bad(
+    out_of_range("/domain/token_aim_us/0", "domain.token_aim_us[0]", &[-1.0]),
+    out_of_range("/domain/kv_tokens/1", "domain.kv_tokens[1]", &[-1.0]),
+    out_of_range("/rules/answer_slack_us", "rules.answer_slack_us", &[-1.0]),
+    out_of_range("/rules/ask_within_us", "rules.ask_within_us", &[-1.0]),
+    out_of_range("/rules/fall_multiple", "rules.fall_multiple", &[0.0, -4.0]),
+    out_of_range("/rules/fall_us", "rules.fall_us", &[-1.0, 1e17]),
+    out_of_range(
         "/rules/start_capacity",
         "rules.start_capacity",
         &[-0.1, 1.5],
     ),
-    bad("/rules/warm_up_us", "rules.warm_up_us", &[-1.0]),
+    out_of_range("/rules/warm_up_us", "rules.warm_up_us", &[-1.0]),
 ];
 
 #[test]
-fn each_figure_out_of_range_is_refused_naming_its_key() {
-    assert_eq!(refused(settings()), None);
-    for BadFigures {
+fn each_value_out_of_range_gives_an_error_that_names_its_key() {
+    assert_eq!(settings_error(settings()), None);
+    for OutOfRangeCase {
         pointer,
         key,
         values,
-    } in BAD_FIGURES
+    } in OUT_OF_RANGE_CASES
     {
-        for figure in values {
+        for value in values {
             let mut settings = settings();
-            *settings.pointer_mut(pointer).unwrap() = json!(figure);
-            let message = refused(settings).unwrap_or_else(|| panic!("{key}: {figure} is taken"));
+            *settings.pointer_mut(pointer).unwrap() = json!(value);
+            let message =
+                settings_error(settings).unwrap_or_else(|| panic!("{key}: {value} was accepted"));
             assert!(message.starts_with(&format!("{key}: ")), "{message}");
         }
     }
     let mut settings = settings();
     settings["allowed"]["max_attempts"] = json!(0);
-    assert!(refused(settings).is_some_and(|message| message.starts_with("allowed.max_attempts: ")));
+    assert!(settings_error(settings)
+        .is_some_and(|message| message.starts_with("allowed.max_attempts: ")));
 }
 
 #[test]
-fn keys_that_are_missing_have_defaults() {
+fn missing_keys_have_defaults() {
     for section in [
         "period_us",
         "balancers",
@@ -119,10 +125,10 @@
     ] {
         let mut settings = settings();
         settings.as_object_mut().unwrap().remove(section);
-        assert_eq!(refused(settings), None, "without {section}");
+        assert_eq!(settings_error(settings), None, "without {section}");
     }
     assert_eq!(
-        refused(json!({"zones": [], "kinds": [], "classes": [{"name": "c"}]})),
+        settings_error(json!({"zones": [], "kinds": [], "classes": [{"name": "c"}]})),
         None
     );
 }
