--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -1,4 +1,4 @@
-//! Wire values as the policy's events.
+//! Decodes wire messages into the policy's events.
 
 use std::collections::BTreeMap;
 
@@ -11,13 +11,13 @@
 
 use crate::error::WireError;
 use crate::fields::Fields;
-use crate::instance::Instance;
+use crate::instance::RouterPolicy;
 use crate::names::stable_hash;
 
-/// The names of catalogs and their entries.
+/// The entries of each endpoint catalog, by the number of the catalog.
 pub(crate) type Catalogs = BTreeMap<u64, Vec<CatalogEntry>>;
 
-/// An entry of a catalog. Its names are resolved by each instance with its own settings.
+/// An endpoint in a catalog. Each router resolves the names of kind and zone by its own settings.
 #[derive(Clone)]
 pub(crate) struct CatalogEntry {
     endpoint: String,
@@ -29,43 +29,46 @@
     zone: String,
 }
 
-/// Decodes the entries of a catalog.
+/// Decodes the entries of a "catalog" message.
 pub(crate) fn decode_catalog(fields: &Fields) -> Result<Vec<CatalogEntry>, WireError> {
     let entries = fields
-        .opt(1)
+        .optional(1)
         .and_then(Value::as_array)
-        .ok_or_else(|| fields.wrong(1, "a list of entries"))?;
+        .ok_or_else(|| fields.unexpected_value(1, "a list of entries"))?;
     entries.iter().map(decode_entry).collect()
 }
 
 fn decode_entry(entry: &Value) -> Result<CatalogEntry, WireError> {
     const DEFAULT_WEIGHT: f64 = 1.0;
-    let values = entry.as_array().ok_or(WireError::EntryForm)?;
+    let values = entry.as_array().ok_or(WireError::EntryNotAnArray)?;
     let fields = Fields {
         name: "catalog entry",
         values,
     };
-    let weight = match fields.opt(5) {
+    let weight = match fields.optional(5) {
         None => DEFAULT_WEIGHT,
-        Some(value) => value.as_f64().ok_or_else(|| fields.wrong(5, "a number"))?,
+        Some(value) => value
+            .as_f64()
+            .ok_or_else(|| fields.unexpected_value(5, "a number"))?,
     };
     Ok(CatalogEntry {
         endpoint: fields.text(0)?.to_owned(),
-        started_at: fields.opt_int(1)?.filter(|at| *at != 0),
+        started_at: fields.optional_int(1)?.filter(|at| *at != 0),
         kind: fields.text(2)?.to_owned(),
         state: match fields.text(3)? {
             "U" => EndpointState::Active,
             "L" => EndpointState::Draining,
             "D" => EndpointState::Removed,
-            _ => return Err(fields.wrong(3, "U, L or D")),
+            _ => return Err(fields.unexpected_value(3, "U, L or D")),
         },
-        cell: fields.opt_int(4)?.unwrap_or(0),
+        cell: fields.optional_int(4)?.unwrap_or(0),
         weight,
         zone: fields.text(6)?.to_owned(),
     })
 }
 
-/// Decodes an outcome; `detail` is the number beside it, whose meaning depends on the outcome.
+/// Decodes an outcome. `detail` is the number that comes with it; its meaning depends on the
+/// outcome.
 fn decode_outcome(fields: &Fields, index: usize, detail: u64) -> Result<Outcome, WireError> {
     Ok(match (fields.text(index)?, detail) {
         ("GOOD", _) => Outcome::Completed,
@@ -80,12 +83,12 @@
         ("CXL", _) => Outcome::Cancelled,
         ("NOP", _) => Outcome::NotSent,
         ("half_done", cached_tokens) => Outcome::Prefilled { cached_tokens },
-        _ => return Err(fields.wrong(index, "an outcome")),
+        _ => return Err(fields.unexpected_value(index, "an outcome")),
     })
 }
 
-impl Instance {
-    /// Decodes a message; `None` for a timer that this policy never set.
+impl RouterPolicy {
+    /// Decodes a message; `None` for a timer whose number is no [`TimerKey`].
     pub(crate) fn decode_event(
         &mut self,
         fields: &Fields,
@@ -100,13 +103,13 @@
             "answer_ahead" => self.decode_slot_reservation(fields)?,
             "result" => self.decode_attempt_ended(fields)?,
             "timed_out_client" => Event::ClientDisconnected(self.decode_request_id(fields, 0)?),
-            "reminder" => match TimerKey::decode(fields.count(0)?) {
+            "reminder" => match TimerKey::decode(fields.unsigned(0)?) {
                 Some(key) => Event::TimerFired(key),
                 None => return Ok(None),
             },
             "health_result" => self.decode_health_checked(fields)?,
             "peer_data" => Event::GossipReceived {
-                from: fields.small(0)?,
+                from: fields.unsigned_32(0)?,
                 payload: fields.bytes(1)?,
             },
             other => return Err(WireError::UnknownMessage(other.to_owned())),
@@ -131,9 +134,9 @@
     fn decode_stream_started(&mut self, fields: &Fields) -> Result<Event, WireError> {
         Ok(Event::StreamStarted {
             id: self.decode_request_id(fields, 0)?,
-            attempt: fields.small(1)?,
+            attempt: fields.unsigned_32(1)?,
             endpoint: self.decode_endpoint_id(fields, 2)?,
-            elapsed: fields.opt_int(3)?.unwrap_or(0),
+            elapsed: fields.optional_int(3)?.unwrap_or(0),
         })
     }
 
@@ -143,7 +146,7 @@
             granted: match fields.int(1)? {
                 1 => true,
                 2 => false,
-                _ => return Err(fields.wrong(1, "1 or 2")),
+                _ => return Err(fields.unexpected_value(1, "1 or 2")),
             },
             endpoint: self.decode_endpoint_id(fields, 4)?,
         })
@@ -151,14 +154,14 @@
 
     fn decode_attempt_ended(&mut self, fields: &Fields) -> Result<Event, WireError> {
         let id = self.decode_request_id(fields, 0)?;
-        let detail = fields.count(1)?;
+        let detail = fields.unsigned(1)?;
         Ok(Event::AttemptEnded {
             id,
             endpoint: self.decode_endpoint_id(fields, 2)?,
-            attempt: fields.small(3)?,
+            attempt: fields.unsigned_32(3)?,
             outcome: decode_outcome(fields, 4, detail)?,
             client_done: fields.flag(5)?,
-            elapsed: fields.opt_int(6)?.unwrap_or(0),
+            elapsed: fields.optional_int(6)?.unwrap_or(0),
             load: self.decode_load(fields, 7)?,
         })
     }
@@ -166,7 +169,7 @@
     fn decode_health_checked(&mut self, fields: &Fields) -> Result<Event, WireError> {
         const NO_DETAIL: u64 = 0;
         Ok(Event::HealthChecked {
-            elapsed: fields.opt_int(0)?.unwrap_or(0),
+            elapsed: fields.optional_int(0)?.unwrap_or(0),
             outcome: decode_outcome(fields, 1, NO_DETAIL)?,
             endpoint: self.decode_endpoint_id(fields, 2)?,
             load: self.decode_load(fields, 3)?,
@@ -180,23 +183,27 @@
             .classes
             .iter()
             .position(|known| known.name == class);
-        let class = class.ok_or_else(|| fields.wrong(1, "a class of the settings"))?;
-        if let Some(tenant) = fields.opt_text(2)? {
+        let class = class.ok_or_else(|| fields.unexpected_value(1, "a class of the settings"))?;
+        if let Some(tenant) = fields.optional_text(2)? {
             let is_known = self.site.tenants.iter().any(|known| known.name == tenant);
             if !is_known {
-                return Err(fields.wrong(2, "a tenant of the settings"));
+                return Err(fields.unexpected_value(2, "a tenant of the settings"));
             }
         }
         Ok(RequestSpec {
             id: self.decode_request_id(fields, 0)?,
             class: ClassId(class),
-            session: fields.opt_text(3)?.map(|name| SessionId(stable_hash(name))),
+            session: fields
+                .optional_text(3)?
+                .map(|name| SessionId(stable_hash(name))),
             deadline: fields.int(4)?,
-            expected_duration: fields.opt_int(5)?,
-            shared_prefix: fields.opt_text(6)?.map(|name| PrefixId(stable_hash(name))),
-            prompt_tokens: fields.count(7)?,
-            shared_prefix_tokens: fields.count(8)?,
-            max_tokens: fields.count(9)?,
+            expected_duration: fields.optional_int(5)?,
+            shared_prefix: fields
+                .optional_text(6)?
+                .map(|name| PrefixId(stable_hash(name))),
+            prompt_tokens: fields.unsigned(7)?,
+            shared_prefix_tokens: fields.unsigned(8)?,
+            max_tokens: fields.unsigned(9)?,
             is_retry: fields.flag(10)?,
             is_resumed: fields.flag(11)?,
             allowed_kinds: None,
@@ -213,11 +220,11 @@
             "whole" => EndpointUpdate::Snapshot,
             "stale_copy" => EndpointUpdate::Restored,
             "broken" => return Ok(EndpointUpdate::PollFailed),
-            _ => return Err(fields.wrong(0, "patch, whole, stale_copy or broken")),
+            _ => return Err(fields.unexpected_value(0, "patch, whole, stale_copy or broken")),
         };
         let entries = catalogs
-            .get(&fields.count(2)?)
-            .ok_or_else(|| fields.wrong(2, "the number of a catalog"))?;
+            .get(&fields.unsigned(2)?)
+            .ok_or_else(|| fields.unexpected_value(2, "the number of a catalog"))?;
         let mut specs = Vec::with_capacity(entries.len());
         for entry in entries {
             specs.push(self.resolve_entry(entry)?);
@@ -238,42 +245,42 @@
     }
 
     fn decode_load(&self, fields: &Fields, index: usize) -> Result<Option<LoadReport>, WireError> {
-        const WANTED: &str = "an object of names and numbers";
-        let Some(value) = fields.opt(index) else {
+        const EXPECTED: &str = "an object whose values are numbers or null";
+        let Some(value) = fields.optional(index) else {
             return Ok(None);
         };
-        let figures = value
+        let columns = value
             .as_object()
-            .ok_or_else(|| fields.wrong(index, WANTED))?;
-        let figure = |name: &str| match figures.get(name) {
+            .ok_or_else(|| fields.unexpected_value(index, EXPECTED))?;
+        let number = |name: &str| match columns.get(name) {
             None | Some(Value::Null) => Ok(None),
             Some(value) => match value.as_f64() {
-                Some(figure) => Ok(Some(figure)),
-                None => Err(fields.wrong(index, WANTED)),
+                Some(number) => Ok(Some(number)),
+                None => Err(fields.unexpected_value(index, EXPECTED)),
             },
         };
-        let column = |name: &Option<String>| name.as_deref().map_or(Ok(None), figure);
+        let number_in = |name: &Option<String>| name.as_deref().map_or(Ok(None), number);
         Ok(Some(LoadReport {
-            in_flight: figure("inflight")?,
-            queued: figure("queue")?,
-            slot_utilization: figure("util")?,
-            memory_utilization: column(&self.site.report.memory_column)?,
-            pending_kilotokens: column(&self.site.report.pending_column)?,
+            in_flight: number("inflight")?,
+            queued: number("queue")?,
+            slot_utilization: number("util")?,
+            memory_utilization: number_in(&self.site.report.memory_column)?,
+            pending_kilotokens: number_in(&self.site.report.pending_column)?,
         }))
     }
 }
 
-/// The position of a name in the settings.
+/// The position of a name in a list of the settings.
 fn position(
     names: &[String],
     name: &str,
-    what: &'static str,
+    category: &'static str,
     entry: &CatalogEntry,
 ) -> Result<usize, WireError> {
     let position = names.iter().position(|known| known == name);
     position.ok_or_else(|| WireError::UnknownName {
         entry: entry.endpoint.clone(),
-        what,
+        category,
         name: name.to_owned(),
     })
 }
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -1,14 +1,14 @@
-//! The policy's actions as wire values.
+//! Encodes the policy's actions as wire values.
 
 use cranetack_routing_policy::{Action, EndpointId, RequestId};
 use serde_json::{json, Value};
 
-use crate::instance::Instance;
+use crate::instance::RouterPolicy;
 
-/// Stands for all other routers.
-const TO_ALL: i64 = -1;
+/// The recipient number for gossip to all other routers.
+const ALL_ROUTERS: i64 = -1;
 
-impl Instance {
+impl RouterPolicy {
     pub(crate) fn encode_action(&self, action: &Action) -> Value {
         match action {
             Action::Send {
@@ -42,9 +42,9 @@
             Action::HealthCheck(endpoint) => json!(["touch", self.endpoint_name(*endpoint)]),
             Action::Gossip { to, payload } => {
                 let hex: String = payload.iter().map(|byte| format!("{byte:02x}")).collect();
-                json!(["publish", to.map_or(TO_ALL, i64::from), hex])
+                json!(["publish", to.map_or(ALL_ROUTERS, i64::from), hex])
             }
-            Action::SubscribeEndpoints(wanted) => json!(["stream_changes", wanted]),
+            Action::SubscribeEndpoints(is_subscribed) => json!(["stream_changes", is_subscribed]),
         }
     }
 
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,48 +1,52 @@
-//! The values of a message, read by their positions.
+//! Typed access to the values of a message by position.
 
 use serde_json::Value;
 
 use crate::error::WireError;
 
-/// The most characters of a wrong value that an error shows.
-const SHOWN_LENGTH: usize = 60;
-/// Floats below this are exact as whole numbers.
-const EXACT_BELOW: f64 = 9e15;
+/// Maximum number of characters of an unexpected value in an error message.
+const MAX_SHOWN_CHARACTERS: usize = 60;
+/// Whole numbers below this bound have an exact representation as `f64`.
+const EXACT_INTEGER_BOUND: f64 = 9e15;
 
-/// The values of one message behind its name.
+/// The name of a message and the values that follow it.
 pub(crate) struct Fields<'a> {
-    /// The message's name.
+    /// The name of the message.
     pub name: &'a str,
-    /// Its values.
+    /// The values that follow the name.
     pub values: &'a [Value],
 }
 
 impl<'a> Fields<'a> {
-    /// The error for a value that is not what it should be.
-    pub(crate) fn wrong(&self, index: usize, wanted: &'static str) -> WireError {
-        let got = self.values.get(index).unwrap_or(&Value::Null);
+    /// Returns the error for a value of the wrong type or out of range; `expected` says what is valid.
+    pub(crate) fn unexpected_value(&self, index: usize, expected: &'static str) -> WireError {
+        let actual = self.values.get(index).unwrap_or(&Value::Null);
         WireError::UnexpectedValue {
             message: self.name.to_owned(),
             number: index + 1,
-            wanted,
-            got: got.to_string().chars().take(SHOWN_LENGTH).collect(),
+            expected,
+            actual: actual
+                .to_string()
+                .chars()
+                .take(MAX_SHOWN_CHARACTERS)
+                .collect(),
         }
     }
 
-    /// A value that may be absent.
-    pub(crate) fn opt(&self, index: usize) -> Option<&'a Value> {
+    /// A value that may be absent; null counts as absent.
+    pub(crate) fn optional(&self, index: usize) -> Option<&'a Value> {
         self.values.get(index).filter(|value| !value.is_null())
     }
 
     pub(crate) fn text(&self, index: usize) -> Result<&'a str, WireError> {
-        self.opt(index)
+        self.optional(index)
             .and_then(Value::as_str)
-            .ok_or_else(|| self.wrong(index, "text"))
+            .ok_or_else(|| self.unexpected_value(index, "text"))
     }
 
-    /// Text that may be absent; 0 stands for none too.
-    pub(crate) fn opt_text(&self, index: usize) -> Result<Option<&'a str>, WireError> {
-        let Some(value) = self.opt(index) else {
+    /// Text that may be absent; 0 counts as absent.
+    pub(crate) fn optional_text(&self, index: usize) -> Result<Option<&'a str>, WireError> {
+        let Some(value) = self.optional(index) else {
             return Ok(None);
         };
         if value.as_u64() == Some(0) {
@@ -50,53 +54,55 @@
         }
         match value.as_str() {
             Some(text) => Ok(Some(text)),
-            None => Err(self.wrong(index, "text or nothing")),
+            None => Err(self.unexpected_value(index, "text, 0 or null")),
         }
     }
 
     pub(crate) fn int(&self, index: usize) -> Result<i64, WireError> {
-        self.opt_int(index)?
-            .ok_or_else(|| self.wrong(index, "a whole number"))
+        self.optional_int(index)?
+            .ok_or_else(|| self.unexpected_value(index, "a whole number"))
     }
 
-    pub(crate) fn opt_int(&self, index: usize) -> Result<Option<i64>, WireError> {
-        let Some(value) = self.opt(index) else {
+    pub(crate) fn optional_int(&self, index: usize) -> Result<Option<i64>, WireError> {
+        let Some(value) = self.optional(index) else {
             return Ok(None);
         };
         match whole_number(value) {
             Some(number) => Ok(Some(number)),
-            None => Err(self.wrong(index, "a whole number")),
+            None => Err(self.unexpected_value(index, "a whole number")),
         }
     }
 
-    /// A whole number of 0 or more; absent for 0.
-    pub(crate) fn count(&self, index: usize) -> Result<u64, WireError> {
-        let value = self.opt_int(index)?.unwrap_or(0);
-        u64::try_from(value).map_err(|_| self.wrong(index, "a number of 0 or more"))
+    /// A whole number of at least 0; an absent value counts as 0.
+    pub(crate) fn unsigned(&self, index: usize) -> Result<u64, WireError> {
+        let value = self.optional_int(index)?.unwrap_or(0);
+        u64::try_from(value)
+            .map_err(|_| self.unexpected_value(index, "a number of at least 0"))
     }
 
-    pub(crate) fn small(&self, index: usize) -> Result<u32, WireError> {
-        u32::try_from(self.int(index)?).map_err(|_| self.wrong(index, "a small number"))
+    pub(crate) fn unsigned_32(&self, index: usize) -> Result<u32, WireError> {
+        u32::try_from(self.int(index)?)
+            .map_err(|_| self.unexpected_value(index, "a number from 0 to 4294967295"))
     }
 
-    /// True or false; absent for false.
+    /// A boolean; an absent value counts as false.
     pub(crate) fn flag(&self, index: usize) -> Result<bool, WireError> {
-        let Some(value) = self.opt(index) else {
+        let Some(value) = self.optional(index) else {
             return Ok(false);
         };
         value
             .as_bool()
-            .ok_or_else(|| self.wrong(index, "true or false"))
+            .ok_or_else(|| self.unexpected_value(index, "true or false"))
     }
 
-    /// Bytes as hex digits.
+    /// Bytes that are written as pairs of hexadecimal digits.
     pub(crate) fn bytes(&self, index: usize) -> Result<Vec<u8>, WireError> {
         let text = self.text(index)?;
         let mut bytes = Vec::with_capacity(text.len() / 2);
         for at in (0..text.len()).step_by(2) {
             let digits = text.get(at..at + 2);
             let byte = digits.and_then(|digits| u8::from_str_radix(digits, 16).ok());
-            bytes.push(byte.ok_or_else(|| self.wrong(index, "hex digits"))?);
+            bytes.push(byte.ok_or_else(|| self.unexpected_value(index, "pairs of hex digits"))?);
         }
         Ok(bytes)
     }
@@ -107,6 +113,6 @@
         return Some(number);
     }
     let number = value.as_f64()?;
-    let is_whole = number.fract() == 0.0 && number.abs() < EXACT_BELOW;
+    let is_whole = number.fract() == 0.0 && number.abs() < EXACT_INTEGER_BOUND;
     is_whole.then_some(number as i64)
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,7 +1,7 @@
-//! The policy on the line-based JSON wire of a simulator.
+//! Connects the routing policy to a simulator by JSON lines on standard input and output.
 //!
-//! Reads batches of events from standard input, one JSON value a line, and answers each with one
-//! line of actions. No decision is made here: wire values become the policy's types and back.
+//! Reads one batch of events per line and writes one line with the policy's actions for each. The
+//! adapter makes no decisions: it only converts between wire values and the policy's types.
 
 mod decode;
 mod encode;
@@ -14,10 +14,10 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use process::Process;
+use process::Adapter;
 
 fn main() -> ExitCode {
-    // A panic of the policy is reported on the wire.
+    // A panic of the policy is reported in the reply, so nothing is printed to standard error.
     std::panic::set_hook(Box::new(|_| {}));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
@@ -29,13 +29,13 @@
 }
 
 fn run() -> Result<(), String> {
-    let mut process = Process::default();
+    let mut adapter = Adapter::default();
     let mut output = io::stdout().lock();
     for (index, line) in io::stdin().lock().split(b'\n').enumerate() {
         let number = index + 1;
         let line = line.map_err(|error| format!("line {number}: cannot be read: {error}"))?;
-        let reply = process
-            .batch(&line)
+        let reply = adapter
+            .handle_batch(&line)
             .map_err(|error| format!("line {number}: {error}"))?;
         output
             .write_all(reply.as_bytes())
--- a/crates/simulator-adapter/src/names.rs
+++ b/crates/simulator-adapter/src/names.rs
@@ -1,16 +1,16 @@
-//! Names of the wire, and the numbers that the policy knows them by.
+//! Maps names on the wire to the numeric ids of the policy.
 
 use std::collections::HashMap;
 
 /// Request names, numbered in the order of their first use.
 #[derive(Default)]
-pub(crate) struct Names {
+pub(crate) struct RequestNames {
     ids: HashMap<String, u32>,
     names: Vec<String>,
 }
 
-impl Names {
-    /// The number of a name.
+impl RequestNames {
+    /// Returns the id of a name, assigning the next free id to a new name.
     pub(crate) fn id(&mut self, name: &str) -> u32 {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -21,13 +21,13 @@
         id
     }
 
-    /// The name with a number.
+    /// Returns the name with this id; empty if there is none.
     pub(crate) fn name(&self, id: u32) -> &str {
         self.names.get(id as usize).map_or("", String::as_str)
     }
 }
 
-/// A number for a name that is the same in every process: FNV-1a.
+/// Hashes a name with FNV-1a, so that the id is the same in every process.
 pub(crate) fn stable_hash(name: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
--- a/crates/simulator-adapter/src/process.rs
+++ b/crates/simulator-adapter/src/process.rs
@@ -1,4 +1,4 @@
-//! The instances of this process, and the batches of messages for them.
+//! Handles batches of messages for the routers that are simulated in this process.
 
 use std::collections::BTreeMap;
 
@@ -9,15 +9,17 @@
 use crate::decode::{decode_catalog, CatalogEntry};
 use crate::error::WireError;
 use crate::fields::Fields;
-use crate::instance::Instance;
+use crate::instance::RouterPolicy;
 
+/// One line of input.
 #[derive(Deserialize)]
 struct Batch {
     #[serde(rename = "at_time_us")]
-    at: Micros,
+    now: Micros,
     parts: Vec<Part>,
 }
 
+/// The messages for one router.
 #[derive(Deserialize)]
 struct Part {
     #[serde(rename = "dispatcher_id")]
@@ -25,23 +27,23 @@
     inbox: Vec<Vec<Value>>,
 }
 
-/// Everything that lives in this process.
+/// State of the adapter: the policies by router number, and the endpoint catalogs by number.
 #[derive(Default)]
-pub(crate) struct Process {
-    instances: BTreeMap<u64, Instance>,
+pub(crate) struct Adapter {
+    policies: BTreeMap<u64, RouterPolicy>,
     catalogs: BTreeMap<u64, Vec<CatalogEntry>>,
 }
 
-impl Process {
-    /// Answers one line with one line.
-    pub(crate) fn batch(&mut self, line: &[u8]) -> Result<String, WireError> {
+impl Adapter {
+    /// Handles one line of input and returns the line to reply with.
+    pub(crate) fn handle_batch(&mut self, line: &[u8]) -> Result<String, WireError> {
         let batch: Batch = serde_json::from_slice(line).map_err(WireError::NotABatch)?;
         let mut replies = Vec::new();
         for part in batch.parts {
             let router = part.router;
             let mut decisions = Vec::new();
             for (index, message) in part.inbox.iter().enumerate() {
-                self.message(batch.at, router, message, &mut decisions)
+                self.handle_message(batch.now, router, message, &mut decisions)
                     .map_err(|error| WireError::InMessage {
                         router,
                         number: index + 1,
@@ -55,7 +57,7 @@
         Ok(format!("{}\n", json!({ "parts": replies })))
     }
 
-    fn message(
+    fn handle_message(
         &mut self,
         now: Micros,
         router: u64,
@@ -63,30 +65,30 @@
         decisions: &mut Vec<Value>,
     ) -> Result<(), WireError> {
         let name = message.first().and_then(Value::as_str);
-        let name = name.ok_or(WireError::Unnamed)?;
+        let name = name.ok_or(WireError::MissingMessageName)?;
         let fields = Fields {
             name,
             values: &message[1..],
         };
         match name {
             "attach" => {
-                let instance = Instance::attach(now, &fields)?;
-                self.instances.insert(router, instance);
+                let policy = RouterPolicy::attach(now, &fields)?;
+                self.policies.insert(router, policy);
             }
             "killed" => {
-                self.instances.remove(&router);
+                self.policies.remove(&router);
             }
             "catalog" => {
-                let number = fields.count(0)?;
+                let number = fields.unsigned(0)?;
                 self.catalogs.insert(number, decode_catalog(&fields)?);
             }
             _ => {
-                let instance = self
-                    .instances
+                let policy = self
+                    .policies
                     .get_mut(&router)
                     .ok_or_else(|| WireError::NotAttached(name.to_owned()))?;
-                if let Some(event) = instance.decode_event(&fields, &self.catalogs)? {
-                    instance.decide(now, event, decisions);
+                if let Some(event) = policy.decode_event(&fields, &self.catalogs)? {
+                    policy.handle_event(now, event, decisions);
                 }
             }
         }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,40 +1,42 @@
-//! Wire lines through the real binary.
+//! Runs the adapter binary with lines of input and checks its replies and errors.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
 use serde_json::{json, Value};
 
-fn run(lines: &[String]) -> Output {
+fn run_adapter(lines: &[String]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_cranetack-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    let mut input = child.stdin.take().expect("a pipe");
+        .expect("the adapter cannot be started");
+    let mut input = child.stdin.take().expect("standard input is not a pipe");
     for line in lines {
-        // The adapter may have stopped at an earlier line already.
+        // Writing fails if the adapter has already stopped at an earlier line.
         let _ = writeln!(input, "{line}");
     }
     drop(input);
-    child.wait_with_output().expect("the adapter ends")
+    child
+        .wait_with_output()
+        .expect("waiting for the adapter failed")
 }
 
 fn replies(lines: &[String]) -> Vec<Value> {
-    let output = run(lines);
+    let output = run_adapter(lines);
     assert!(
         output.status.success(),
         "{}",
         String::from_utf8_lossy(&output.stderr)
     );
-    let text = String::from_utf8(output.stdout).expect("UTF-8");
+    let text = String::from_utf8(output.stdout).expect("a reply is not UTF-8");
     text.lines()
-        .map(|l| serde_json::from_str(l).expect("JSON"))
+        .map(|l| serde_json::from_str(l).expect("a reply is not JSON"))
         .collect()
 }
 
-fn site() -> Value {
+fn settings() -> Value {
     json!({
         "az": "east", "balancers": 2, "me": 0, "period_us": 2000, "membership_mode": "push", "newer_key": [1],
         "classes": [{"name": "chat", "goal_time_us": 1500000, "deadline_us": 6000000, "idempotency": "safe",
@@ -52,61 +54,76 @@
     json!({"at_time_us": at, "parts": parts}).to_string()
 }
 
-fn part(id: u64, inbox: Vec<Value>) -> Value {
+fn inbox_part(id: u64, inbox: Vec<Value>) -> Value {
     json!({"dispatcher_id": id, "inbox": inbox})
 }
 
-fn catalog(page: u64, reader: &str) -> Value {
+fn catalog(catalog_number: u64, prefill_endpoint: &str) -> Value {
     json!([
         "catalog",
-        page,
+        catalog_number,
         [
-            [reader, null, "r", "U", 0, 1, "east"],
+            [prefill_endpoint, null, "r", "U", 0, 1, "east"],
             ["w:1", null, "w", "U", 0, 1, "east"]
         ]
     ])
 }
 
-fn start(page: u64, reader: &str) -> Vec<Value> {
+fn start_messages(catalog_number: u64, prefill_endpoint: &str) -> Vec<Value> {
     vec![
-        json!(["attach", 7, site()]),
-        catalog(page, reader),
-        json!(["directory_update", "stale_copy", 1, page]),
+        json!(["attach", 7, settings()]),
+        catalog(catalog_number, prefill_endpoint),
+        json!(["directory_update", "stale_copy", 1, catalog_number]),
     ]
 }
 
-fn ask(id: &str, until: i64) -> Value {
-    json!(["ask", id, "chat", null, "s1", until, null, "tpl/a", 900, 300, 200, false, false])
+fn request_message(id: &str, deadline: i64) -> Value {
+    json!(["ask", id, "chat", null, "s1", deadline, null, "tpl/a", 900, 300, 200, false, false])
 }
 
-fn routes(reply: &Value, dispatcher: u64) -> Vec<(String, String)> {
-    let parts = reply["parts"].as_array().expect("parts");
-    let mine = parts.iter().filter(|p| p["dispatcher_id"] == dispatcher);
-    let decisions = mine.flat_map(|p| p["decisions"].as_array().cloned().unwrap_or_default());
-    let word = |v: &Value| v.as_str().unwrap_or_default().to_owned();
+fn routes(reply: &Value, router: u64) -> Vec<(String, String)> {
+    let parts = reply["parts"].as_array().expect("a reply has no parts");
+    let parts_of_router = parts.iter().filter(|p| p["dispatcher_id"] == router);
+    let decisions =
+        parts_of_router.flat_map(|p| p["decisions"].as_array().cloned().unwrap_or_default());
+    let text = |v: &Value| v.as_str().unwrap_or_default().to_owned();
     decisions
         .filter(|d| d[0] == "route")
-        .map(|d| (word(&d[1]), word(&d[2])))
+        .map(|d| (text(&d[1]), text(&d[2])))
         .collect()
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_ends_well() {
+fn an_empty_batch_gets_an_empty_reply_and_end_of_input_is_a_success() {
     assert_eq!(replies(&[batch(5, json!([]))]), vec![json!({"parts": []})]);
     assert!(replies(&[]).is_empty());
 }
 
 #[test]
-fn a_request_is_read_and_then_answered_with_instances_kept_apart() {
+fn a_request_is_sent_to_prefill_then_to_decode_and_routers_share_no_state() {
     let first = batch(
         1_000_000,
         json!([
-            part(0, [start(0, "r:1"), vec![ask("t/a", 7_000_000)]].concat()),
-            part(3, [start(1, "r:2"), vec![ask("t/b", 7_000_000)]].concat())
+            inbox_part(
+                0,
+                [
+                    start_messages(0, "r:1"),
+                    vec![request_message("t/a", 7_000_000)]
+                ]
+                .concat()
+            ),
+            inbox_part(
+                3,
+                [
+                    start_messages(1, "r:2"),
+                    vec![request_message("t/b", 7_000_000)]
+                ]
+                .concat()
+            )
         ]),
     );
-    let read = json!(["result", "t/a", 300, "r:1", 0, "half_done", false, 9000, {"x0": 0.25, "other": null}]);
-    let second = batch(1_010_000, json!([part(0, vec![read])]));
+    let prefilled = json!(["result", "t/a", 300, "r:1", 0, "half_done", false, 9000, {"x0": 0.25, "other": null}]);
+    let second = batch(1_010_000, json!([inbox_part(0, vec![prefilled])]));
     let replies = replies(&[first, second]);
     assert_eq!(routes(&replies[0], 0), vec![("t/a".into(), "r:1".into())]);
     assert_eq!(routes(&replies[0], 3), vec![("t/b".into(), "r:2".into())]);
@@ -114,30 +131,37 @@
 }
 
 #[test]
-fn a_restart_within_one_batch_forgets_everything() {
+fn a_router_that_restarts_within_a_batch_has_no_state_from_before() {
     let first = batch(
         1_000_000,
-        json!([part(
+        json!([inbox_part(
             0,
-            [start(0, "r:1"), vec![ask("t/a", 7_000_000)]].concat()
+            [
+                start_messages(0, "r:1"),
+                vec![request_message("t/a", 7_000_000)]
+            ]
+            .concat()
         )]),
     );
     let inbox = [
         vec![json!(["killed"])],
-        start(0, "r:9"),
-        vec![ask("t/c", 8_000_000)],
+        start_messages(0, "r:9"),
+        vec![request_message("t/c", 8_000_000)],
     ]
     .concat();
-    let late = json!(["result", "t/a", 0, "r:1", 0, "half_done", false, 9000, null]);
-    let second = batch(1_010_000, json!([part(0, [inbox, vec![late]].concat())]));
+    let late_result = json!(["result", "t/a", 0, "r:1", 0, "half_done", false, 9000, null]);
+    let second = batch(
+        1_010_000,
+        json!([inbox_part(0, [inbox, vec![late_result]].concat())]),
+    );
     let replies = replies(&[first, second]);
     assert_eq!(routes(&replies[1], 0), vec![("t/c".into(), "r:9".into())]);
 }
 
 #[test]
-fn a_reused_catalog_number_counts_from_where_it_stands() {
+fn a_reused_catalog_number_refers_to_the_latest_catalog_before_the_message() {
     let inbox = [
-        start(4, "r:1"),
+        start_messages(4, "r:1"),
         vec![
             catalog(4, "r:2"),
             json!(["directory_update", "whole", 2, 4]),
@@ -146,7 +170,10 @@
     .concat();
     let first = batch(
         1_000_000,
-        json!([part(0, [inbox, vec![ask("t/a", 7_000_000)]].concat())]),
+        json!([inbox_part(
+            0,
+            [inbox, vec![request_message("t/a", 7_000_000)]].concat()
+        )]),
     );
     assert_eq!(
         routes(&replies(&[first])[0], 0),
@@ -155,30 +182,30 @@
 }
 
 #[test]
-fn the_same_events_give_the_same_bytes() {
+fn the_same_events_give_the_same_output_bytes() {
     let lines: Vec<String> = (0..40)
         .map(|i| {
             let inbox = if i == 0 {
-                start(0, "r:1")
+                start_messages(0, "r:1")
             } else {
-                vec![ask(&format!("t/{i}"), 9_000_000 + i)]
+                vec![request_message(&format!("t/{i}"), 9_000_000 + i)]
             };
-            batch(1_000_000 + i * 5_000, json!([part(0, inbox)]))
+            batch(1_000_000 + i * 5_000, json!([inbox_part(0, inbox)]))
         })
         .collect();
-    assert_eq!(run(&lines).stdout, run(&lines).stdout);
+    assert_eq!(run_adapter(&lines).stdout, run_adapter(&lines).stdout);
 }
 
-/// Malformed lines, and what the error about each says.
+/// Malformed lines, each with a text that its error message contains.
 fn malformed_lines() -> Vec<(String, &'static str)> {
-    let bad = |message: Value| batch(1_010_000, json!([part(0, vec![message])]));
+    let batch_with = |message: Value| batch(1_010_000, json!([inbox_part(0, vec![message])]));
     vec![
         ("{\"at_time_us\":".to_owned(), "not a batch"),
         ("[]".to_owned(), "not a batch"),
-        (bad(json!([])), "begin with its name"),
-        (bad(json!(["surprise", 1])), "unknown message"),
+        (batch_with(json!([])), "begin with its name"),
+        (batch_with(json!(["surprise", 1])), "unknown message"),
         (
-            bad(json!([
+            batch_with(json!([
                 "ask",
                 "t/a",
                 "no-such-class",
@@ -196,44 +223,47 @@
             "class",
         ),
         (
-            bad(json!([
+            batch_with(json!([
                 "ask", "t/a", "chat", null, "s", "soon", null, null, 1, 1, 1, false, false
             ])),
             "whole number",
         ),
         (
-            bad(json!([
+            batch_with(json!([
                 "result", "t/a", 0, "r:1", 0, "MAYBE", false, 1, null
             ])),
             "outcome",
         ),
         (
-            bad(json!(["result", "t/a", 0, "r:1", 0, "GOOD", false, 1, 7])),
+            batch_with(json!(["result", "t/a", 0, "r:1", 0, "GOOD", false, 1, 7])),
             "object",
         ),
-        (bad(json!(["directory_update", "whole", 1, 9])), "catalog"),
         (
-            bad(json!([
+            batch_with(json!(["directory_update", "whole", 1, 9])),
+            "catalog",
+        ),
+        (
+            batch_with(json!([
                 "catalog",
                 0,
                 [["r:1", null, "r", "X", 0, 1, "east"]]
             ])),
             "U, L or D",
         ),
-        (bad(json!(["peer_data", 1, "abc"])), "hex"),
-        (bad(json!(["peer_data", 1, "ä!"])), "hex"),
+        (batch_with(json!(["peer_data", 1, "abc"])), "hex"),
+        (batch_with(json!(["peer_data", 1, "ä!"])), "hex"),
     ]
 }
 
 #[test]
-fn malformed_input_is_reported_by_line_and_ends_the_program() {
-    let good = batch(1_000_000, json!([part(0, start(0, "r:1"))]));
-    for (line, wanted) in malformed_lines() {
-        let output = run(&[good.clone(), line.clone()]);
+fn malformed_input_is_reported_with_its_line_number_and_exit_status_1() {
+    let good = batch(1_000_000, json!([inbox_part(0, start_messages(0, "r:1"))]));
+    for (line, expected) in malformed_lines() {
+        let output = run_adapter(&[good.clone(), line.clone()]);
         let error = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(1), "{line}");
         assert!(
-            error.contains("line 2") && error.contains(wanted),
+            error.contains("line 2") && error.contains(expected),
             "{line}: {error}"
         );
         assert_eq!(
@@ -245,8 +275,11 @@
 }
 
 #[test]
-fn events_for_an_instance_that_never_started_are_malformed() {
-    let output = run(&[batch(1, json!([part(0, vec![json!(["reminder", 0])])]))]);
+fn an_event_for_a_router_that_was_not_attached_is_an_error() {
+    let output = run_adapter(&[batch(
+        1,
+        json!([inbox_part(0, vec![json!(["reminder", 0])])]),
+    )]);
     assert_eq!(output.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&output.stderr).contains("before any"));
 }
