--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -1,6 +1,6 @@
 //! The control service: publishes the policy's view of each endpoint to other proxies through xDS.
-//! It is off unless an operator's file enables it. It decides nothing: it asks the core, and passes
-//! the answer on.
+//! It is off unless an operator's file enables it. It makes no decisions: it polls the core for
+//! endpoint reports and converts them to snapshots.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,23 +14,23 @@
 
 use crate::core::{EndpointReport, Handle};
 
-/// The interval between snapshots where the file names none.
+/// Default interval between snapshots.
 const DEFAULT_PERIOD_MS: u32 = 500;
-/// The number of weight steps where the file names none.
+/// Default number of weight steps.
 const DEFAULT_WEIGHT_STEPS: u32 = 20;
-/// xDS has no weight of 0.
-const WEIGHT_MIN: u32 = 1;
+/// Minimum weight of an endpoint: xDS does not accept 0.
+const MIN_WEIGHT: u32 = 1;
 
-/// The operator's file.
+/// The settings of the control service, as the operator's file has them.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Setup {
-    /// The address for other proxies.
+    /// The address at which other proxies connect.
     pub listen: SocketAddr,
-    /// The interval between snapshots.
+    /// The interval between snapshots, in milliseconds.
     #[serde(default = "default_period")]
     pub period_ms: u32,
-    /// The number of steps in which weights are given: fewer steps mean fewer updates.
+    /// The number of steps to which weights are rounded. Fewer steps cause fewer updates.
     #[serde(default = "default_weight_steps")]
     pub weight_steps: u32,
 }
@@ -44,7 +44,7 @@
 }
 
 impl Setup {
-    /// What is wrong with the values, in one line that names the key.
+    /// Checks the values. The error is one line that begins with the key at fault.
     pub fn check(&self) -> Result<(), String> {
         if self.period_ms == 0 {
             return Err("period_ms: must be above 0".to_owned());
@@ -56,8 +56,8 @@
     }
 }
 
-/// Asks the core at each interval and publishes what has changed, for as long as anybody observes
-/// it and the core runs.
+/// Asks the core for endpoint reports at each interval and publishes the snapshot if it has
+/// changed. Ends when all receivers of the snapshots have been dropped or the core has stopped.
 pub async fn publish_snapshots(
     handle: Handle,
     setup: Setup,
@@ -83,7 +83,7 @@
     }
 }
 
-/// A cluster for each kind of endpoint, under the kind's name in the settings.
+/// Builds a snapshot with one cluster per kind of endpoint, named as the settings name the kind.
 fn snapshot(reports: &[EndpointReport], site: &SiteSettings, weight_steps: u32) -> Snapshot {
     let mut snapshot = Snapshot::new();
     for kind in &site.kinds {
@@ -108,7 +108,7 @@
     snapshot
 }
 
-/// The health of an endpoint; `None` for one that has been removed.
+/// The health of an endpoint; `None` if the endpoint has been removed.
 fn health(report: &EndpointReport) -> Option<Health> {
     match report.spec.state {
         EndpointState::Removed => None,
@@ -120,12 +120,12 @@
 
 fn weight(score: f64, weight_steps: u32) -> u32 {
     let steps = (score.clamp(0.0, 1.0) * f64::from(weight_steps)).round();
-    (steps as u32).max(WEIGHT_MIN)
+    (steps as u32).max(MIN_WEIGHT)
 }
 
-/// The name with this number, empty where the settings have none.
-fn name_at(names: &[String], number: usize) -> String {
-    names.get(number).cloned().unwrap_or_default()
+/// The name at an index; empty if the index is out of range.
+fn name_at(names: &[String], index: usize) -> String {
+    names.get(index).cloned().unwrap_or_default()
 }
 
 #[cfg(test)]
--- a/crates/router/src/control/tests.rs
+++ b/crates/router/src/control/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// A report on an endpoint of the second kind.
+/// Returns a report on an endpoint of kind 1, which is "decode" in the test's settings.
 fn report(port: u16, state: EndpointState, accepts_work: bool, score: f64) -> EndpointReport {
     let id = EndpointId(port.into());
     EndpointReport {
--- a/crates/router/src/tenants/directory.rs
+++ b/crates/router/src/tenants/directory.rs
@@ -7,29 +7,29 @@
 
 use super::{KeyDigest, Setup, TenantTable};
 
-/// How long connecting to the directory, and closing the connection, may take.
+/// Timeout for connecting to the directory, and for closing the connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long binding and searching may take.
+/// Timeout for binding and searching together.
 const SEARCH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why the directory was not read.
+/// Reason why the directory could not be read.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReadError {
     #[error("{0}")]
     Ldap(#[from] LdapError),
-    #[error("the password's file: {0}")]
+    #[error("cannot read the password file: {0}")]
     Password(#[from] std::io::Error),
-    #[error("it took too long")]
+    #[error("timed out while binding and searching")]
     TimedOut(#[from] tokio::time::error::Elapsed),
 }
 
-/// Reads all tenants over a connection of its own.
+/// Reads all tenants over a new connection, which is closed afterwards.
 pub(super) async fn read(setup: &Setup) -> Result<TenantTable, ReadError> {
     let settings = LdapConnSettings::new().set_conn_timeout(CONNECT_TIMEOUT);
     let (connection, mut ldap) = LdapConnAsync::with_settings(settings, &setup.url).await?;
     let driver = tokio::task::spawn_local(async move { drop(connection.drive().await) });
     let table = timeout(SEARCH_TIMEOUT, search(&mut ldap, setup)).await;
-    // The connection ends here, whatever the result.
+    // The connection is closed whether the search succeeded or not.
     let _ = timeout(CONNECT_TIMEOUT, ldap.unbind()).await;
     driver.abort();
     table?
@@ -53,10 +53,13 @@
     Ok(table)
 }
 
-/// Adds the keys of a tenant to the table.
+/// Adds the key digests in a tenant's entry to the table.
 fn add_keys(table: &mut TenantTable, entry: &SearchEntry, setup: &Setup) {
     let Some(name) = values(entry, &setup.name_attribute).next() else {
-        tracing::warn!(dn = entry.dn, "tenant ignored: no name");
+        tracing::warn!(
+            dn = entry.dn,
+            "tenant ignored: its directory entry has no name attribute"
+        );
         return;
     };
     for key in values(entry, &setup.key_attribute) {
@@ -64,12 +67,15 @@
             Some(digest) => {
                 table.insert(digest, name.as_str().into());
             }
-            None => tracing::warn!(dn = entry.dn, "key ignored: not a SHA-256 digest"),
+            None => tracing::warn!(
+                dn = entry.dn,
+                "key ignored: not a SHA-256 digest of 64 hexadecimal digits"
+            ),
         }
     }
 }
 
-/// The values of an attribute, whose name the directory may write in upper or lower case.
+/// The values of an attribute. Attribute names are compared without case, as LDAP requires.
 fn values<'a>(entry: &'a SearchEntry, name: &'a str) -> impl Iterator<Item = &'a String> {
     entry
         .attrs
@@ -78,7 +84,7 @@
         .flat_map(|(_, values)| values)
 }
 
-/// A digest from 64 hexadecimal digits.
+/// Parses a digest of 64 hexadecimal digits; white space around it is ignored.
 fn parse_digest(text: &str) -> Option<KeyDigest> {
     let text = text.trim().as_bytes();
     let mut digest = KeyDigest::default();
--- a/crates/router/tests/control.rs
+++ b/crates/router/tests/control.rs
@@ -1,4 +1,4 @@
-//! The control service on loopback, with a fake proxy that subscribes to it.
+//! Tests the control service on loopback with a fake proxy that subscribes to it.
 
 mod common;
 
@@ -17,7 +17,7 @@
 use tokio_stream::wrappers::UnboundedReceiverStream;
 use tonic::Streaming;
 
-/// A proxy that acknowledges whatever it is sent.
+/// An xDS subscriber that acknowledges each response.
 struct Proxy {
     requests: mpsc::UnboundedSender<DiscoveryRequest>,
     responses: Streaming<DiscoveryResponse>,
@@ -32,7 +32,7 @@
                 .unwrap();
         // The first request is sent with the call.
         requests
-            .send(request(cranetack_xds_server::CLUSTER, &[]))
+            .send(request(cranetack_xds_server::CLUSTER_TYPE_URL, &[]))
             .unwrap();
         let responses = client
             .stream_aggregated_resources(UnboundedReceiverStream::new(request_stream))
@@ -44,18 +44,22 @@
         }
     }
 
-    async fn next(&mut self) -> DiscoveryResponse {
+    async fn next_response(&mut self) -> DiscoveryResponse {
         self.responses
             .message()
             .await
             .unwrap()
-            .expect("the stream goes on")
+            .expect("the discovery stream ended early")
     }
 
-    /// Waits until the health of a cluster's endpoints, by port, is as expected.
-    async fn until(&mut self, name: &str, is_expected: impl Fn(&BTreeMap<u32, i32>) -> bool) {
+    /// Receives responses until the health of a cluster's endpoints, by port, is as expected.
+    async fn wait_for_health(
+        &mut self,
+        name: &str,
+        is_expected: impl Fn(&BTreeMap<u32, i32>) -> bool,
+    ) {
         loop {
-            let response = self.next().await;
+            let response = self.next_response().await;
             let mut acknowledgement = request(&response.type_url, &[name]);
             acknowledgement.version_info = response.version_info;
             acknowledgement.response_nonce = response.nonce;
@@ -70,7 +74,7 @@
             let health_by_port = endpoints.map(|lb_endpoint| {
                 assert!(lb_endpoint.load_balancing_weight.unwrap().value >= 1);
                 let Some(HostIdentifier::Endpoint(endpoint)) = lb_endpoint.host_identifier else {
-                    panic!("an endpoint has an address")
+                    panic!("an endpoint in a response has no address")
                 };
                 (port(&endpoint), lb_endpoint.health_status)
             });
@@ -88,9 +92,9 @@
     match endpoint.address.as_ref().and_then(|a| a.address.as_ref()) {
         Some(Address::SocketAddress(socket)) => match socket.port_specifier {
             Some(PortSpecifier::PortValue(port)) => port,
-            _ => panic!("a port is given as a number"),
+            _ => panic!("the port of an endpoint is not a number"),
         },
-        _ => panic!("an endpoint is a socket"),
+        _ => panic!("the address of an endpoint is not a socket address"),
     }
 }
 
@@ -114,18 +118,21 @@
         .await;
         let [a_port, b_port] = [&a, &b].map(|server| u32::from(server.address.port()));
         let mut proxy = Proxy::connect(&router).await;
-        let clusters = proxy.next().await;
+        let clusters = proxy.next_response().await;
         assert_eq!(
             (clusters.type_url.as_str(), clusters.resources.len()),
-            (cranetack_xds_server::CLUSTER, 3)
+            (cranetack_xds_server::CLUSTER_TYPE_URL, 3)
         );
         proxy
             .requests
-            .send(request(cranetack_xds_server::ENDPOINTS, &["mixed"]))
+            .send(request(
+                cranetack_xds_server::ENDPOINTS_TYPE_URL,
+                &["mixed"],
+            ))
             .unwrap();
         let healthy = i32::from(HealthStatus::Healthy);
         proxy
-            .until("mixed", |health| {
+            .wait_for_health("mixed", |health| {
                 *health == BTreeMap::from([(a_port, healthy), (b_port, healthy)])
             })
             .await;
@@ -135,7 +142,7 @@
         ]);
         let draining = i32::from(HealthStatus::Draining);
         proxy
-            .until("mixed", |health| {
+            .wait_for_health("mixed", |health| {
                 *health == BTreeMap::from([(a_port, draining), (b_port, healthy)])
             })
             .await;
@@ -143,7 +150,7 @@
             .discovery
             .publish(vec![endpoint_entry(&b, "mixed", "up")]);
         proxy
-            .until("mixed", |health| {
+            .wait_for_health("mixed", |health| {
                 *health == BTreeMap::from([(b_port, healthy)])
             })
             .await;
--- a/crates/router/tests/tenants.rs
+++ b/crates/router/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants from a fake LDAP directory on loopback.
+//! Tests access by tenants' keys with a fake LDAP directory on loopback.
 
 mod common;
 
@@ -19,19 +19,19 @@
 use tokio::task::spawn_local;
 use tokio_util::codec::Framed;
 
-/// A directory with one tenant, which may be taken down.
-struct Directory {
+/// A fake LDAP directory with one tenant. While `is_down` is set, it closes each new connection.
+struct FakeDirectory {
     url: String,
     keys: RefCell<Vec<String>>,
     is_down: Cell<bool>,
     searches: Cell<usize>,
 }
 
-impl Directory {
-    async fn start(keys: &[&str]) -> Rc<Directory> {
+impl FakeDirectory {
+    async fn start(keys: &[&str]) -> Rc<FakeDirectory> {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let url = format!("ldap://{}", listener.local_addr().unwrap());
-        let directory = Rc::new(Directory {
+        let directory = Rc::new(FakeDirectory {
             url,
             keys: RefCell::new(keys.iter().map(|key| (*key).to_owned()).collect()),
             is_down: Cell::new(false),
@@ -124,7 +124,7 @@
 #[test]
 fn only_keys_of_tenants_are_served_also_while_the_directory_is_down() {
     run(async {
-        let directory = Directory::start(&["k1"]).await;
+        let directory = FakeDirectory::start(&["k1"]).await;
         let server = FakeServer::start(1, Behaviour::Answer).await;
         let tenants = Tenants::start(directory.setup("secret"));
         let router = TestRouter::start_with_tenants(
@@ -136,14 +136,14 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         for key in [None, Some("k2")] {
-            let (status, answer) = embed(&router, key).await;
+            let (status, error_body) = embed(&router, key).await;
             assert_eq!(
-                (status, &answer["error"]["code"]),
+                (status, &error_body["error"]["code"]),
                 (401, &json!("invalid_api_key"))
             );
         }
         assert_eq!(server.count_started("/v1/embeddings"), 1);
-        // A new key is known after the next reading.
+        // A new key is accepted after the next read of the directory.
         directory.keys.borrow_mut().push("k2".to_owned());
         while embed(&router, Some("k2")).await.0 != 200 {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -158,11 +158,11 @@
     });
 }
 
-/// The directory rejects the router's own password.
+/// The directory rejects the router's password, so it is never read.
 #[test]
 fn nobody_is_served_before_the_directory_has_been_read() {
     run(async {
-        let directory = Directory::start(&["k1"]).await;
+        let directory = FakeDirectory::start(&["k1"]).await;
         let server = FakeServer::start(1, Behaviour::Answer).await;
         let tenants = Tenants::start(directory.setup("wrong"));
         let router = TestRouter::start_with_tenants(
@@ -171,9 +171,9 @@
         )
         .await;
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let (status, answer) = embed(&router, Some("k1")).await;
+        let (status, error_body) = embed(&router, Some("k1")).await;
         assert_eq!(
-            (status, &answer["error"]["code"]),
+            (status, &error_body["error"]["code"]),
             (503, &json!("tenants_unknown"))
         );
         assert_eq!(
--- a/crates/settings/src/bounds.rs
+++ b/crates/settings/src/bounds.rs
@@ -1,4 +1,5 @@
-//! Range checks for the numbers in the settings. A value out of range is an error that names its key.
+//! Range checks for the numbers in the settings. A value out of range is an error that names its
+//! key.
 
 use crate::error::OutOfRange;
 use crate::site::{ClassSettings, LanguageModelSettings, Permissions, RouterRules, SiteSettings};
--- a/crates/settings/src/policy_settings.rs
+++ b/crates/settings/src/policy_settings.rs
@@ -9,7 +9,8 @@
 use crate::site::{micros, ClassSettings, SiteSettings};
 
 impl SiteSettings {
-    /// Checks the settings and converts them to the policy's types. An error names the key at fault.
+    /// Checks the settings and converts them to the policy's types. An error names the key at
+    /// fault.
     pub fn policy_settings(&self) -> Result<Settings, SettingsError> {
         bounds::check(self)?;
         let (allowed, domain, rules) = (&self.allowed, &self.domain, &self.rules);
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -18,7 +18,8 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Returns the error for a value of the wrong type or out of range; `expected` says what is valid.
+    /// Returns the error for a value of the wrong type or out of range. `expected` describes the
+    /// valid values.
     pub(crate) fn unexpected_value(&self, index: usize, expected: &'static str) -> WireError {
         let actual = self.values.get(index).unwrap_or(&Value::Null);
         WireError::UnexpectedValue {
@@ -76,8 +77,7 @@
     /// A whole number of at least 0; an absent value counts as 0.
     pub(crate) fn unsigned(&self, index: usize) -> Result<u64, WireError> {
         let value = self.optional_int(index)?.unwrap_or(0);
-        u64::try_from(value)
-            .map_err(|_| self.unexpected_value(index, "a number of at least 0"))
+        u64::try_from(value).map_err(|_| self.unexpected_value(index, "a number of at least 0"))
     }
 
     pub(crate) fn unsigned_32(&self, index: usize) -> Result<u32, WireError> {
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -37,8 +37,8 @@
         })
     }
 
-    /// Passes an event to the policy and appends its actions to `decisions`. A panic of the policy is
-    /// appended as a "die" decision with the panic message.
+    /// Passes an event to the policy and appends its actions to `decisions`. A panic of the policy
+    /// is appended as a "die" decision with the panic message.
     pub(crate) fn handle_event(&mut self, now: Micros, event: Event, decisions: &mut Vec<Value>) {
         let mut actions = Vec::new();
         let handled = catch_unwind(AssertUnwindSafe(|| {
--- a/crates/xds-server/src/lib.rs
+++ b/crates/xds-server/src/lib.rs
@@ -1,5 +1,6 @@
-//! A control plane for other proxies: clusters and weighted endpoints over the aggregated discovery
-//! service of xDS (state-of-the-world variant). It knows nothing of how weights are computed.
+//! An xDS control plane for other proxies. Serves clusters and weighted endpoints over the
+//! aggregated discovery service (ADS) in its state-of-the-world variant. The caller computes health
+//! and weights.
 
 mod resources;
 mod stream;
@@ -21,38 +22,38 @@
 use tonic::transport::server::TcpIncoming;
 use tonic::{Request, Response, Status, Streaming};
 
-pub use resources::{CLUSTER, ENDPOINTS};
+pub use resources::{CLUSTER_TYPE_URL, ENDPOINTS_TYPE_URL};
 
-/// Whether an endpoint should be sent work.
+/// The health of an endpoint, which tells a proxy whether to send it requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// It accepts work.
+    /// The endpoint accepts new requests.
     Healthy,
-    /// It finishes the work that it has.
+    /// The endpoint finishes the requests that it has and accepts no new ones.
     Draining,
-    /// It is ejected.
+    /// The endpoint should receive no new requests for now, for example because it is ejected.
     Unhealthy,
 }
 
 /// An endpoint of a cluster.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClusterEndpoint {
-    /// The address at which it listens.
+    /// The address at which the endpoint listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone of the endpoint.
     pub zone: String,
-    /// Its cell within the zone.
+    /// The cell of the endpoint within the zone.
     pub cell: String,
-    /// Whether it should be sent work.
+    /// The health of the endpoint.
     pub health: Health,
-    /// Its share of the work relative to the others; at least 1.
+    /// The weight of the endpoint relative to the other endpoints; at least 1.
     pub weight: u32,
 }
 
 /// The endpoints of each cluster, by the cluster's name.
 pub type Snapshot = BTreeMap<String, Vec<ClusterEndpoint>>;
 
-/// Serves the snapshots to subscribers until `shutdown` completes.
+/// Serves the latest snapshot and each change of it to subscribers until `shutdown` completes.
 pub async fn serve(
     listener: TcpListener,
     snapshots: watch::Receiver<Snapshot>,
--- a/crates/xds-server/src/resources.rs
+++ b/crates/xds-server/src/resources.rs
@@ -25,23 +25,25 @@
 use crate::{ClusterEndpoint, Health, Snapshot};
 
 /// The type URL of cluster resources.
-pub const CLUSTER: &str = "type.googleapis.com/envoy.config.cluster.v3.Cluster";
-/// The type URL of the resources that list a cluster's endpoints.
-pub const ENDPOINTS: &str = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
+pub const CLUSTER_TYPE_URL: &str = "type.googleapis.com/envoy.config.cluster.v3.Cluster";
+/// The type URL of the resources that list the endpoints of a cluster.
+pub const ENDPOINTS_TYPE_URL: &str =
+    "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
 
-/// How long another proxy should wait for a connection to an endpoint.
+/// The connect timeout that proxies should apply to endpoints.
 const CONNECT_TIMEOUT: Duration = Duration {
     seconds: 0,
     nanos: 250_000_000,
 };
 
-/// The resources of a type with these names; no names, or `*`, mean all clusters. `None` for a type
-/// that is not served here.
+/// Encodes the resources of a type that have one of the names. For clusters, an empty list or a
+/// name `*` selects all. Returns `None` for a type that this server does not serve.
 pub(crate) fn encode(snapshot: &Snapshot, type_url: &str, names: &[String]) -> Option<Vec<Any>> {
-    let is_wildcard = type_url == CLUSTER && (names.is_empty() || names.iter().any(|n| n == "*"));
+    let is_wildcard =
+        type_url == CLUSTER_TYPE_URL && (names.is_empty() || names.iter().any(|n| n == "*"));
     let encode: fn(&str, &[ClusterEndpoint]) -> Vec<u8> = match type_url {
-        CLUSTER => |name, _| cluster(name).encode_to_vec(),
-        ENDPOINTS => |name, endpoints| assignment(name, endpoints).encode_to_vec(),
+        CLUSTER_TYPE_URL => |name, _| cluster(name).encode_to_vec(),
+        ENDPOINTS_TYPE_URL => |name, endpoints| assignment(name, endpoints).encode_to_vec(),
         _ => return None,
     };
     let mut resources = Vec::new();
@@ -57,23 +59,23 @@
 }
 
 fn cluster(name: &str) -> Cluster {
-    let ads = ConfigSource {
+    let ads_source = ConfigSource {
         resource_api_version: ApiVersion::V3.into(),
         config_source_specifier: Some(ConfigSourceSpecifier::Ads(AggregatedConfigSource {})),
         ..ConfigSource::default()
     };
-    let weighted =
+    let weighted_localities =
         LocalityConfigSpecifier::LocalityWeightedLbConfig(LocalityWeightedLbConfig::default());
     Cluster {
         name: name.to_owned(),
         cluster_discovery_type: Some(ClusterDiscoveryType::Type(DiscoveryType::Eds.into())),
         eds_cluster_config: Some(EdsClusterConfig {
-            eds_config: Some(ads),
+            eds_config: Some(ads_source),
             ..EdsClusterConfig::default()
         }),
         connect_timeout: Some(CONNECT_TIMEOUT),
         common_lb_config: Some(CommonLbConfig {
-            locality_config_specifier: Some(weighted),
+            locality_config_specifier: Some(weighted_localities),
             ..CommonLbConfig::default()
         }),
         ..Cluster::default()
@@ -98,7 +100,8 @@
     }
 }
 
-/// The endpoints of one cell, whose weight is the sum of theirs.
+/// Encodes the endpoints of one cell. The weight of the locality is the sum of the endpoints'
+/// weights.
 fn locality(zone: &str, cell: &str, endpoints: &[&ClusterEndpoint]) -> LocalityLbEndpoints {
     let total_weight = endpoints
         .iter()
@@ -144,7 +147,7 @@
     }
 }
 
-/// A weight; xDS has none of 0.
+/// Encodes a weight. A weight of 0 becomes 1, because xDS requires weights of at least 1.
 fn weight(value: u32) -> Option<UInt32Value> {
     Some(UInt32Value {
         value: value.max(1),
--- a/crates/xds-server/src/stream.rs
+++ b/crates/xds-server/src/stream.rs
@@ -1,4 +1,5 @@
-//! One subscriber's stream: its subscriptions, what it was sent, and what it acknowledged.
+//! The stream of one subscriber: its subscriptions, and the version, nonce and resources that were
+//! sent last for each.
 
 use std::collections::BTreeMap;
 
@@ -11,11 +12,11 @@
 use crate::resources;
 use crate::Snapshot;
 
-/// A subscription to one type of resource.
+/// A subscription to the resources of one type.
 #[derive(Default)]
 struct Subscription {
     names: Vec<String>,
-    /// The resources that were sent last, since the names last changed.
+    /// The resources in the last response; `None` if none was sent since the names changed.
     sent: Option<Vec<Any>>,
     version: u64,
     nonce: u64,
@@ -26,19 +27,19 @@
 struct Subscriptions(BTreeMap<String, Subscription>);
 
 impl Subscriptions {
-    /// Handles a request: a new subscription, or the acknowledgement of a response. `None` if
-    /// nothing is to be sent.
+    /// Handles a request, which starts a subscription, or acknowledges or rejects a response.
+    /// Returns the response to send, if any.
     fn on_request(
         &mut self,
         request: &DiscoveryRequest,
         snapshot: &Snapshot,
     ) -> Option<DiscoveryResponse> {
-        // Types that are not served here are ignored.
+        // A request for a type that this server does not serve is ignored.
         resources::encode(snapshot, &request.type_url, &[])?;
         let subscription = self.0.entry(request.type_url.clone()).or_default();
         let is_new = request.response_nonce.is_empty();
-        // It acknowledges an older response and crossed a newer one, which will be acknowledged
-        // too.
+        // The request acknowledges an older response and was sent before the subscriber received
+        // the latest one. The subscriber will acknowledge that one too.
         if !is_new && request.response_nonce != subscription.nonce.to_string() {
             return None;
         }
@@ -46,7 +47,7 @@
             tracing::warn!(
                 type_url = request.type_url,
                 message = error.message,
-                "subscriber rejected resources"
+                "subscriber rejected the resources of an xDS response"
             );
         }
         if is_new || subscription.names != request.resource_names {
@@ -56,7 +57,8 @@
         self.update(&request.type_url, snapshot)
     }
 
-    /// The response for a type if its resources differ from those sent before, rejected or not.
+    /// Returns a response for a type if its resources differ from those sent last. Resources that
+    /// the subscriber rejected count as sent.
     fn update(&mut self, type_url: &str, snapshot: &Snapshot) -> Option<DiscoveryResponse> {
         let subscription = self.0.get_mut(type_url)?;
         let resources = resources::encode(snapshot, type_url, &subscription.names)?;
@@ -75,8 +77,8 @@
         })
     }
 
-    /// The responses for all types once the snapshot has changed. Clusters come first, as their
-    /// type URL sorts first.
+    /// Returns the responses for all types whose resources have changed. The response with clusters
+    /// comes first, because their type URL sorts first.
     fn update_all(&mut self, snapshot: &Snapshot) -> Vec<DiscoveryResponse> {
         let type_urls: Vec<String> = self.0.keys().cloned().collect();
         type_urls
@@ -86,7 +88,7 @@
     }
 }
 
-/// Responds to a subscriber until it disconnects or the snapshots end.
+/// Responds to a subscriber until it disconnects or the publisher of snapshots is dropped.
 pub(crate) fn respond(
     mut requests: Streaming<DiscoveryRequest>,
     mut snapshots: watch::Receiver<Snapshot>,
