--- a/crates/syscall-fault-shim/src/faults.rs
+++ b/crates/syscall-fault-shim/src/faults.rs
@@ -1,4 +1,4 @@
-//! When calls fail, and how.
+//! Decides which calls fail, and with which error.
 
 use libc::{c_int, size_t, timespec};
 
@@ -6,14 +6,14 @@
 use crate::plan::fault_plan;
 use crate::random::draw;
 
-/// The time from the beginning of a burst of failures to that of the next.
+/// Time from the start of a burst of failures to the start of the next one.
 const BURST_INTERVAL_MS: u64 = 1_500;
-/// How long a burst lasts.
-const BURST_LENGTH_MS: u64 = 120;
-/// Of 100 calls in a burst, how many fail.
+/// Duration of a burst.
+const BURST_DURATION_MS: u64 = 120;
+/// Percentage of the calls within a burst that fail.
 const FAILURE_PERCENT: u64 = 60;
-/// Of 100 reads and writes at any time, how many are short.
-const SHORT_PERCENT: u64 = 10;
+/// Percentage of reads and writes that are short, within a burst or not.
+const SHORT_TRANSFER_PERCENT: u64 = 10;
 
 pub(crate) type ClockGettime = unsafe extern "C" fn(c_int, *mut timespec) -> c_int;
 
@@ -28,22 +28,23 @@
     now.tv_sec as u64 * 1_000 + now.tv_nsec as u64 / 1_000_000
 }
 
-/// Whether a call fails now.
+/// Decides at random whether a call fails. Calls fail only within a burst.
 pub(crate) fn should_fail() -> bool {
-    monotonic_ms() % BURST_INTERVAL_MS < BURST_LENGTH_MS && draw(100) < FAILURE_PERCENT
+    monotonic_ms() % BURST_INTERVAL_MS < BURST_DURATION_MS && draw(100) < FAILURE_PERCENT
 }
 
-/// Sets one of these error numbers for the calling thread, and returns the result of a failed call.
+/// Sets `errno` of the calling thread to one of `errors`, drawn at random, and returns -1, the result
+/// of a failed call.
 pub(crate) fn fail_with(errors: &[c_int]) -> c_int {
     let error = errors[draw(errors.len() as u64) as usize];
-    // SAFETY: the address of this thread's error number is always valid.
+    // SAFETY: `__errno_location` always returns a valid pointer to the `errno` of this thread.
     unsafe { *libc::__errno_location() = error };
     -1
 }
 
-/// The length to read or write: now and then less than was asked for.
+/// Returns the length to read or write, which is at random shorter than the requested `length`.
 pub(crate) fn shorten(length: size_t) -> size_t {
-    if fault_plan().short && length > 1 && draw(100) < SHORT_PERCENT {
+    if fault_plan().short && length > 1 && draw(100) < SHORT_TRANSFER_PERCENT {
         1 + draw(length as u64 - 1) as size_t
     } else {
         length
--- a/crates/syscall-fault-shim/src/interposed.rs
+++ b/crates/syscall-fault-shim/src/interposed.rs
@@ -16,13 +16,13 @@
 type Send = unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t;
 type Open = unsafe extern "C" fn(*const c_char, c_int, mode_t) -> c_int;
 
-/// The files that can fail to open: the configuration.
+/// Suffix of the paths that can fail to open. The router's configuration file has it.
 const FAILING_FILE_SUFFIX: &[u8] = b".json";
 
 /// Interposes `clock_gettime(2)`.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The caller must meet the requirements of the C library function.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: c_int, time: *mut timespec) -> c_int {
     let result = next_function!(c"clock_gettime", ClockGettime)(clock, time);
@@ -36,7 +36,7 @@
 /// Interposes `accept4(2)`.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The caller must meet the requirements of the C library function.
 #[no_mangle]
 pub unsafe extern "C" fn accept4(
     socket: c_int,
@@ -58,7 +58,7 @@
 /// Interposes `connect(2)`.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The caller must meet the requirements of the C library function.
 #[no_mangle]
 pub unsafe extern "C" fn connect(
     socket: c_int,
@@ -79,7 +79,7 @@
 /// Interposes `socket(2)`.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The caller must meet the requirements of the C library function.
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     if fault_plan().socket && should_fail() {
@@ -91,7 +91,7 @@
 /// Interposes `epoll_wait(2)`.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The caller must meet the requirements of the C library function.
 #[no_mangle]
 pub unsafe extern "C" fn epoll_wait(
     epoll: c_int,
@@ -108,7 +108,7 @@
 /// Interposes `recv(2)`.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The caller must meet the requirements of the C library function.
 #[no_mangle]
 pub unsafe extern "C" fn recv(
     socket: c_int,
@@ -122,7 +122,7 @@
 /// Interposes `send(2)`.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The caller must meet the requirements of the C library function.
 #[no_mangle]
 pub unsafe extern "C" fn send(
     socket: c_int,
@@ -133,10 +133,10 @@
     next_function!(c"send", Send)(socket, buffer, shorten(length), flags)
 }
 
-/// Interposes `open(2)`; only the configuration fails to open.
+/// Interposes `open(2)`. Only the configuration file can fail to open.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The caller must meet the requirements of the C library function.
 #[no_mangle]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
     let path_text = CStr::from_ptr(path).to_bytes();
--- a/crates/syscall-fault-shim/src/lib.rs
+++ b/crates/syscall-fault-shim/src/lib.rs
@@ -1,16 +1,22 @@
-//! A library that is preloaded (`LD_PRELOAD`) into a router under soak. It interposes functions of
-//! the C library and lets them fail as Linux documents, in short bursts, or shifts the wall clock.
-//! The environment says what it does:
+//! A library that is preloaded (`LD_PRELOAD`) into a router during a soak. It interposes functions
+//! of the C library to make them fail in short bursts, with errors that Linux documents for them,
+//! to make reads and writes short, and to shift the wall clock. Environment variables configure it:
 //!
 //! | variable | meaning |
 //! | --- | --- |
-//! | `SOAK_CLOCK_STEP_S` | seconds by which the wall clock is ahead; the monotonic clock is not |
-//! | `SOAK_FAULTS_SEED` | seed of the faults; without it no call fails |
-//! | `SOAK_FAULTS` | names of the calls that fail, separated by commas |
+//! | `SOAK_CLOCK_STEP_S` | seconds added to the wall clock (may be negative); the monotonic clock is not shifted |
+//! | `SOAK_FAULTS_SEED` | seed of the random faults; without it no call fails |
+//! | `SOAK_FAULTS` | names of the faults to inject, separated by commas |
 //!
-//! The names are `accept`, `connect`, `socket`, `wait`, `short` (reads and writes) and `file`.
+//! The faults are:
 //!
-//! The one crate of the workspace with `unsafe` code: it replaces functions of the C library.
+//! - `accept`, `connect`, `socket`: these calls fail.
+//! - `wait`: `epoll_wait` is interrupted.
+//! - `short`: reads and writes transfer fewer bytes than requested.
+//! - `file`: the configuration file fails to open.
+//!
+//! This is the only crate of the workspace with `unsafe` code, which it needs to replace functions
+//! of the C library.
 
 mod faults;
 pub mod interposed;
--- a/crates/syscall-fault-shim/src/plan.rs
+++ b/crates/syscall-fault-shim/src/plan.rs
@@ -1,30 +1,30 @@
-//! What the environment asks for.
+//! The faults to inject, as configured by environment variables.
 
 use std::env;
 use std::sync::OnceLock;
 
 use crate::random;
 
-/// Which faults are injected.
+/// The faults to inject into this process.
 pub(crate) struct FaultPlan {
-    /// Seconds by which the wall clock is ahead.
+    /// Seconds added to the wall clock; may be negative.
     pub(crate) clock_step_s: i64,
-    /// Whether `accept4` fails.
+    /// Whether `accept4` can fail.
     pub(crate) accept: bool,
-    /// Whether `connect` fails.
+    /// Whether `connect` can fail.
     pub(crate) connect: bool,
-    /// Whether `socket` fails.
+    /// Whether `socket` can fail.
     pub(crate) socket: bool,
-    /// Whether `epoll_wait` fails.
+    /// Whether `epoll_wait` can fail.
     pub(crate) wait: bool,
-    /// Whether `recv` and `send` are short.
+    /// Whether `recv` and `send` can transfer fewer bytes than requested.
     pub(crate) short: bool,
-    /// Whether reads of the configuration fail.
+    /// Whether opening the configuration file can fail.
     pub(crate) file: bool,
 }
 
-/// The plan of this process, read from the environment once. Reading it also seeds the random
-/// numbers.
+/// Returns the fault plan of this process. The first call reads it from the environment and seeds
+/// the random number generator.
 pub(crate) fn fault_plan() -> &'static FaultPlan {
     static PLAN: OnceLock<FaultPlan> = OnceLock::new();
     PLAN.get_or_init(read_environment)
--- a/crates/syscall-fault-shim/src/random.rs
+++ b/crates/syscall-fault-shim/src/random.rs
@@ -1,16 +1,16 @@
-//! Random numbers that need neither allocation nor locks.
+//! A random number generator that uses neither allocation nor locks.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 static STATE: AtomicU64 = AtomicU64::new(1);
 
-/// Starts the sequence anew.
+/// Restarts the sequence of random numbers from this seed.
 pub(crate) fn seed(seed: u64) {
-    // Xorshift never leaves zero.
+    // The state of a xorshift generator must not be zero, as it would stay zero.
     STATE.store(seed | 1, Ordering::Relaxed);
 }
 
-/// The next number below `bound`, by xorshift.
+/// Returns the next random number below `bound`, from a xorshift generator.
 pub(crate) fn draw(bound: u64) -> u64 {
     let mut state = STATE.load(Ordering::Relaxed);
     state ^= state << 13;
--- a/crates/syscall-fault-shim/tests/program.rs
+++ b/crates/syscall-fault-shim/tests/program.rs
@@ -1,5 +1,5 @@
-//! The router's program while system calls fail as Linux documents. The library under test is
-//! preloaded into it.
+//! Runs the router program with the library under test preloaded, so that system calls fail as
+//! Linux documents.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -13,14 +13,14 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// A router must be ready within this after its start.
+/// Maximum time from the start of a router until it is ready.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(8);
-/// A request must be answered within this.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
-/// The deadline that a request states.
+/// Maximum time until a request has its response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(6);
+/// Deadline that each request states, in milliseconds.
 const DEADLINE_MS: u32 = 5_000;
 
-/// A router's process. Dropping it ends the process.
+/// A router process, which is killed when this value is dropped.
 struct RouterProcess(Child);
 
 impl Drop for RouterProcess {
@@ -30,15 +30,15 @@
     }
 }
 
-/// What cargo has built.
+/// The files under test that cargo has built.
 struct BuiltFiles {
     program: PathBuf,
     library: PathBuf,
 }
 
 impl BuiltFiles {
-    /// Finds them beside the test itself, which is among the libraries, one folder below the
-    /// programs.
+    /// Finds the files by the path of the test binary: the library is in the same folder, and the
+    /// router program one folder above.
     fn find() -> BuiltFiles {
         let test = std::env::current_exe().unwrap();
         let folder = test.parent().unwrap();
@@ -48,7 +48,7 @@
         };
         assert!(
             built.program.exists() && built.library.exists(),
-            "{:?} and {:?} are needed",
+            "{:?} and {:?} must be built before this test runs",
             built.program,
             built.library
         );
@@ -77,9 +77,9 @@
     }
 }
 
-/// Starts a router with these calls failing, between a prefill and a decode server, and sends it
-/// so many requests: all must be served.
-async fn assert_all_served(faults: &str, requests: usize) {
+/// Starts a router with these faults, a prefill endpoint and a decode endpoint, sends it
+/// `request_count` requests, and asserts that each is served.
+async fn assert_all_served(faults: &str, request_count: usize) {
     let prefill = FakeServer::start(4, Behaviour::Prefill).await;
     let decode = FakeServer::start(4, Behaviour::Answer).await;
     let discovery = FakeDiscovery::start(vec![
@@ -104,19 +104,19 @@
     let _router = start_router(&config_path, faults);
     timeout(STARTUP_TIMEOUT, wait_until_ready(address))
         .await
-        .expect("ready");
+        .expect("the router must be ready within the startup timeout");
     let mut client = Client::connect(address).await;
-    for index in 0..requests {
+    for index in 0..request_count {
         let id = format!("a{index}");
-        let answer = timeout(ANSWER_TIMEOUT, client.send_chat(&id, "chat", DEADLINE_MS)).await;
-        let (status, _, body) = answer.unwrap_or_else(|_| panic!("request {index} hangs"));
+        let response = timeout(RESPONSE_TIMEOUT, client.send_chat(&id, "chat", DEADLINE_MS)).await;
+        let (status, _, body) = response.unwrap_or_else(|_| panic!("request {index} timed out"));
         assert_eq!((status, body.is_some()), (200, true), "request {index}");
     }
     std::fs::remove_file(&config_path).unwrap();
 }
 
-/// After a short read or write more bytes can be ready at once: the connection must not wait for a
-/// readiness event that does not come.
+/// After a short read or write the socket can still be ready. The router must read or write on at
+/// once: if it waited for a readiness event, none would come, and the request would hang.
 #[test]
 fn short_reads_and_writes_fail_no_request() {
     run(assert_all_served("short", 60));
