--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -9,7 +9,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::injected_violation::InjectedViolation;
-use crate::oracle::{Answer, Idempotency};
+use crate::oracle::{Idempotency, Outcome};
 use crate::router_process::RouterProcess;
 use crate::router_settings::{class_deadline, class_name};
 use crate::run_state::RunState;
@@ -194,7 +194,7 @@
         let report_answer = |answer| {
             if !state.injects(InjectedViolation::MissingAnswer) {
                 let mut oracle = state.oracle.borrow_mut();
-                oracle.request_answered(&request.id, answer, state.now());
+                oracle.request_finished(&request.id, answer, state.now());
             }
         };
         let exchange = send_and_receive(stream, &request.bytes, report_answer);
@@ -215,7 +215,7 @@
 async fn send_and_receive(
     mut stream: TcpStream,
     request: &[u8],
-    report_answer: impl Fn(Answer),
+    report_answer: impl Fn(Outcome),
 ) -> Exchange {
     if stream.write_all(request).await.is_err() {
         return Exchange::ConnectionClosed;
@@ -274,10 +274,10 @@
     }
 }
 
-fn answer_of(received: &[u8]) -> Answer {
+fn answer_of(received: &[u8]) -> Outcome {
     match received.get(9..12) {
-        Some(b"200") => Answer::Served,
-        Some(b"503" | b"429") => Answer::Rejected,
-        _ => Answer::Failed,
+        Some(b"200") => Outcome::Served,
+        Some(b"503" | b"429") => Outcome::Rejected,
+        _ => Outcome::Failed,
     }
 }
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -158,7 +158,7 @@
         .unwrap_or_default();
     if process.role == Role::Prefill {
         let mut oracle = state.oracle.borrow_mut();
-        oracle.server_started(server, state.now());
+        oracle.endpoint_started(server, state.now());
     }
     environment.endpoints.restarted(server, started_at);
 }
--- a/crates/soak/src/model_server.rs
+++ b/crates/soak/src/model_server.rs
@@ -187,7 +187,7 @@
         let received = ReceivedAttempt {
             request_id: &id,
             number: state.next_number(),
-            server: self.index,
+            endpoint: self.index,
             role: self.role,
             stated_time_left: Duration::from_millis(stated_time_left),
         };
--- a/crates/soak/src/oracle/after_disconnect.rs
+++ b/crates/soak/src/oracle/after_disconnect.rs
@@ -6,11 +6,11 @@
 use super::request::{ReceivedAttempt, RequestRecord};
 use super::violation::{Rule, Violation};
 
-/// A router may start an attempt for this long after the client has closed its connection, as the
-/// close takes time to reach it.
+/// Duration after a client has closed its connection in which a router may still start an attempt,
+/// as the close takes time to reach the router.
 const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
 
-/// The client must still have been connected when the attempt started.
+/// Returns a violation if the attempt arrives too long after its client has disconnected.
 pub(super) fn check(
     attempt: &ReceivedAttempt<'_>,
     request: &RequestRecord,
@@ -25,7 +25,7 @@
         rule: Rule::AfterDisconnect,
         at,
         detail: format!(
-            "{} was forwarded {late_ms} ms after its client disconnected",
+            "request {} was forwarded {late_ms} ms after its client disconnected",
             attempt.request_id
         ),
     })
--- a/crates/soak/src/oracle/concurrent_attempts.rs
+++ b/crates/soak/src/oracle/concurrent_attempts.rs
@@ -5,7 +5,7 @@
 use super::request::{ReceivedAttempt, RequestRecord};
 use super::violation::{Rule, Violation};
 
-/// No other attempt may be in flight when one arrives.
+/// Returns a violation if other attempts of the request are in flight when this one arrives.
 pub(super) fn check(
     attempt: &ReceivedAttempt<'_>,
     request: &RequestRecord,
@@ -19,8 +19,8 @@
         rule: Rule::ConcurrentAttempts,
         at,
         detail: format!(
-            "{} was forwarded to server {} with {others} attempts in flight",
-            attempt.request_id, attempt.server
+            "request {} was forwarded to endpoint {} with {others} other attempts in flight",
+            attempt.request_id, attempt.endpoint
         ),
     })
 }
--- a/crates/soak/src/oracle/deadline.rs
+++ b/crates/soak/src/oracle/deadline.rs
@@ -1,4 +1,4 @@
-//! The rule that the time left that a server is given is no longer than the client will wait.
+//! The rule that an attempt does not state more time until the deadline than is left for its client.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 use super::request::{ReceivedAttempt, RequestRecord};
 use super::violation::{Rule, Violation};
 
-/// A router may be held up for this long between reading its clock and writing the deadline.
+/// Tolerance for the time between a router's reading of its clock and its writing of the attempt.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(150);
 
-/// The time left that the router stated must not exceed the time that is left.
+/// Returns a violation if the time left that the router stated exceeds the time that is left.
 pub(super) fn check(
     attempt: &ReceivedAttempt<'_>,
     request: &RequestRecord,
@@ -23,7 +23,7 @@
         rule: Rule::Deadline,
         at,
         detail: format!(
-            "{} states that {} ms are left, with {} ms left",
+            "an attempt of request {} states {} ms until the deadline, but {} ms are left",
             attempt.request_id,
             attempt.stated_time_left.as_millis(),
             left.as_millis()
--- a/crates/soak/src/oracle/drain.rs
+++ b/crates/soak/src/oracle/drain.rs
@@ -1,4 +1,4 @@
-//! The rule that a server which is draining or removed gets no new attempts.
+//! The rule that an endpoint that is draining or removed gets no new attempts.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,51 +6,52 @@
 use super::limits::Limits;
 use super::violation::{Rule, Violation};
 
-/// Each limit of the settings is this much longer on real sockets.
-const SOCKET_DELAY: Duration = Duration::from_millis(50);
+/// Tolerance for the delay of real sockets, added to the drain grace of the settings.
+const DRAIN_GRACE_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// Identifies what one router knows of one server.
+/// A pair of a router and an endpoint, by their indices.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct RouterView {
+struct RouterEndpointPair {
     router: usize,
-    server: usize,
+    endpoint: usize,
 }
 
-/// When each router was notified that a server accepts no new work. Holds nothing for a server
-/// that accepts work.
+/// When each router was notified that an endpoint accepts no new work. There is no entry for an
+/// endpoint that accepts work.
 #[derive(Debug, Default)]
-pub(super) struct DrainNotifications(HashMap<RouterView, Duration>);
+pub(super) struct DrainNotifications(HashMap<RouterEndpointPair, Duration>);
 
 impl DrainNotifications {
     pub(super) fn notify(
         &mut self,
         router: usize,
-        server: usize,
+        endpoint: usize,
         accepts_work: bool,
         at: Duration,
     ) {
-        let view = RouterView { router, server };
+        let pair = RouterEndpointPair { router, endpoint };
         if accepts_work {
-            self.0.remove(&view);
+            self.0.remove(&pair);
         } else {
-            self.0.entry(view).or_insert(at);
+            self.0.entry(pair).or_insert(at);
         }
     }
 
-    pub(super) fn forget_router(&mut self, router: usize) {
-        self.0.retain(|view, _| view.router != router);
+    pub(super) fn remove_router(&mut self, router: usize) {
+        self.0.retain(|pair, _| pair.router != router);
     }
 
-    /// The attempt must start within the grace period after the notification.
+    /// Returns a violation if an attempt starts later than the drain grace after the router was
+    /// notified.
     pub(super) fn check(
         &self,
         limits: &Limits,
         router: usize,
-        server: usize,
+        endpoint: usize,
         at: Duration,
     ) -> Option<Violation> {
-        let notified_at = *self.0.get(&RouterView { router, server })?;
-        if at <= notified_at + limits.drain_grace + SOCKET_DELAY {
+        let notified_at = *self.0.get(&RouterEndpointPair { router, endpoint })?;
+        if at <= notified_at + limits.drain_grace + DRAIN_GRACE_TOLERANCE {
             return None;
         }
         let late_ms = (at - notified_at).as_millis();
@@ -58,8 +59,8 @@
             rule: Rule::Drain,
             at,
             detail: format!(
-                "router {router} started an attempt at server {server} {late_ms} ms after it was \
-                 notified of its drain"
+                "router {router} started an attempt at endpoint {endpoint} {late_ms} ms after it was \
+                 notified that the endpoint is draining or removed"
             ),
         })
     }
--- a/crates/soak/src/oracle/duplicate_execution.rs
+++ b/crates/soak/src/oracle/duplicate_execution.rs
@@ -1,8 +1,9 @@
-//! The rule that a request which may have run is neither run again nor rejected.
+//! The rule that a non-idempotent request that may have been executed is neither executed again nor
+//! rejected.
 
 use std::time::Duration;
 
-use super::request::{Answer, Idempotency, ReceivedAttempt, RequestRecord, Role};
+use super::request::{Idempotency, Outcome, ReceivedAttempt, RequestRecord, Role};
 use super::violation::{Rule, Violation};
 
 fn violation(at: Duration, detail: String) -> Violation {
@@ -13,57 +14,60 @@
     }
 }
 
-fn may_have_run(request: &RequestRecord) -> bool {
-    request.idempotency == Idempotency::NonIdempotent && request.possible_runs > 0
+fn may_have_been_executed(request: &RequestRecord) -> bool {
+    request.idempotency == Idempotency::NonIdempotent && request.possible_executions > 0
 }
 
-/// An attempt for a request that no client has sent.
+/// Returns the violation for an attempt of a request that no client has sent.
 pub(super) fn unknown_request(attempt: &ReceivedAttempt<'_>, at: Duration) -> Violation {
-    violation(at, format!("no client sent {}", attempt.request_id))
+    violation(at, format!("no client sent request {}", attempt.request_id))
 }
 
-/// A request that may have run must not be rejected, as its client would send it again.
-pub(super) fn check_answered(
+/// Returns a violation if a request that may have been executed is rejected, as its client would
+/// send it again.
+pub(super) fn check_outcome(
     id: &str,
     request: &RequestRecord,
-    answer: Answer,
+    outcome: Outcome,
     at: Duration,
 ) -> Option<Violation> {
-    if answer != Answer::Rejected || !may_have_run(request) {
+    if outcome != Outcome::Rejected || !may_have_been_executed(request) {
         return None;
     }
-    let detail = format!("{id} was rejected after an attempt that may have run");
+    let detail = format!("request {id} was rejected though it may have been executed");
     Some(violation(at, detail))
 }
 
-/// No attempt is made after a final answer other than a stream, which may be resumed.
-pub(super) fn check_after_answer(
+/// Returns a violation if an attempt arrives after the final response. A stream may be resumed, so
+/// that attempts after the start of a stream are allowed.
+pub(super) fn check_after_response(
     attempt: &ReceivedAttempt<'_>,
     request: &RequestRecord,
     at: Duration,
 ) -> Option<Violation> {
-    let answer = request.answer?;
-    if answer == Answer::Served {
+    let outcome = request.outcome?;
+    if outcome == Outcome::Served {
         return None;
     }
     let detail = format!(
-        "{} was forwarded after its final answer",
+        "request {} was forwarded after its final response",
         attempt.request_id
     );
     Some(violation(at, detail))
 }
 
-/// A request that is not idempotent must not reach a decode server again once it may have run.
+/// Returns a violation if a non-idempotent request reaches a decode endpoint again after it may have
+/// been executed.
 pub(super) fn check_repeated(
     attempt: &ReceivedAttempt<'_>,
     request: &RequestRecord,
     at: Duration,
 ) -> Option<Violation> {
-    if attempt.role != Role::Decode || !may_have_run(request) {
+    if attempt.role != Role::Decode || !may_have_been_executed(request) {
         return None;
     }
     let detail = format!(
-        "{} was forwarded again though it may have run",
+        "request {} was forwarded again though it may have been executed",
         attempt.request_id
     );
     Some(violation(at, detail))
--- a/crates/soak/src/oracle/leaked_lease.rs
+++ b/crates/soak/src/oracle/leaked_lease.rs
@@ -6,19 +6,20 @@
 use super::request::RequestRecord;
 use super::violation::{Rule, Violation};
 
-/// Leases may last this much longer than the settings say.
+/// Tolerance added to the KV lease timeout of the settings.
 const LEASE_TOLERANCE: Duration = Duration::from_millis(300);
 
-/// No lease may outlast its timeout without an attempt in flight. Reports each request once.
+/// Returns a violation if the request has had leases without an attempt in flight for longer than
+/// the KV lease timeout. Each request is reported at most once.
 pub(super) fn check(
     id: &str,
     request: &mut RequestRecord,
     limits: &Limits,
     now: Duration,
 ) -> Option<Violation> {
-    let longest = limits.kv_lease_timeout + LEASE_TOLERANCE + OBSERVATION_SLACK;
+    let timeout = limits.kv_lease_timeout + LEASE_TOLERANCE + OBSERVATION_SLACK;
     let idle_for = now.saturating_sub(request.idle_lease_since?);
-    if idle_for <= longest || request.abandoned || request.leak_reported {
+    if idle_for <= timeout || request.exempt || request.leak_reported {
         return None;
     }
     request.leak_reported = true;
@@ -26,9 +27,9 @@
         rule: Rule::LeakedLease,
         at: now,
         detail: format!(
-            "{id} has leases {:?} for over {} ms with no attempt in flight",
+            "request {id} has had leases {:?} for over {} ms with no attempt in flight",
             request.leases,
-            longest.as_millis()
+            timeout.as_millis()
         ),
     })
 }
--- a/crates/soak/src/oracle/limits.rs
+++ b/crates/soak/src/oracle/limits.rs
@@ -1,20 +1,21 @@
-//! The limits that the rules use.
+//! The limits and tolerances that the rules use.
 
 use std::time::Duration;
 
-/// How far apart two observations of the same event may be reported, as all fake clients and
-/// servers share one busy thread.
+/// Maximum delay between an event and its report to the oracle. There is one, as all fake clients
+/// and servers share one busy thread.
 pub(super) const OBSERVATION_SLACK: Duration = Duration::from_millis(120);
 
-/// The limits of the routers' settings that the rules use.
+/// The limits from the routers' settings that the rules use.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// New attempts must stop within this after a router was notified of a drain.
+    /// Maximum duration in which a router may start new attempts at an endpoint after it was
+    /// notified that the endpoint is draining.
     pub drain_grace: Duration,
-    /// KV state and decode slots must be used or released within this.
+    /// Maximum duration until KV state and decode slots are used or released.
     pub kv_lease_timeout: Duration,
-    /// Attempts that a server in slow start accepts within the window.
-    pub slow_start_calls: f64,
-    /// How long slow start lasts.
+    /// Expected number of attempts at an endpoint within the slow start window.
+    pub slow_start_attempts: f64,
+    /// Duration of the slow start of an endpoint.
     pub slow_start_window: Duration,
 }
--- a/crates/soak/src/oracle/mod.rs
+++ b/crates/soak/src/oracle/mod.rs
@@ -1,6 +1,6 @@
-//! The oracle: the rules of the protocol as invariants over what clients, servers and the network
-//! observed. It takes observations in the order of their times and does no I/O. All observations
-//! come from the fake clients and servers, never from the routers.
+//! The oracle: it checks the rules of the protocol as invariants over the events of a run. The fake
+//! clients, fake servers and fault proxies report the events, in the order of their times; the
+//! routers under test report none. The oracle does no I/O.
 
 mod after_disconnect;
 mod concurrent_attempts;
@@ -22,10 +22,10 @@
 use slow_start::SlowStartWindows;
 
 pub use limits::Limits;
-pub use request::{Answer, Idempotency, LeasedResource, ReceivedAttempt, Role};
+pub use request::{Idempotency, LeasedResource, Outcome, ReceivedAttempt, Role};
 pub use violation::{Rule, Violation};
 
-/// Checks the rules and collects the violations. All times count from the start of the run.
+/// Checks the rules and collects the violations. All times are measured from the start of the run.
 #[derive(Debug)]
 pub struct Oracle {
     limits: Limits,
@@ -36,7 +36,7 @@
 }
 
 impl Oracle {
-    /// An oracle that has observed nothing.
+    /// Creates an oracle to which no event has been reported.
     pub fn new(limits: Limits) -> Oracle {
         Oracle {
             limits,
@@ -47,16 +47,16 @@
         }
     }
 
-    /// All violations so far, in the order in which they were found.
+    /// Returns all violations so far, in the order in which they were found.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// How many requests got this answer.
-    pub fn count_answers(&self, answer: Answer) -> usize {
+    /// Returns the number of requests with this outcome.
+    pub fn count_outcomes(&self, outcome: Outcome) -> usize {
         self.requests
             .values()
-            .filter(|request| request.answer == Some(answer))
+            .filter(|request| request.outcome == Some(outcome))
             .count()
     }
 
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A client has written the last byte of a request to a router.
+    /// Records that a client sends a request to a router.
     pub fn request_sent(
         &mut self,
         id: &str,
@@ -84,8 +84,8 @@
         self.requests.insert(id.to_owned(), request);
     }
 
-    /// The client's pooled connection was closed under the request, and it sends the request to
-    /// another router.
+    /// Records that a client sends a request again to a router, because its previous connection was
+    /// closed without a response.
     pub fn request_resent(&mut self, id: &str, router: usize, at: Duration) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -95,39 +95,40 @@
         self.report(violation);
     }
 
-    /// The client closed its connection before it had an answer.
+    /// Records that the client closed its connection before it had a response.
     pub fn client_disconnected(&mut self, id: &str, at: Duration) {
         if let Some(request) = self.requests.get_mut(id) {
             request.disconnected_at = Some(at);
         }
     }
 
-    /// The client has its answer.
-    pub fn request_answered(&mut self, id: &str, answer: Answer, at: Duration) {
+    /// Records the outcome of a request. It is ignored if the client has disconnected or
+    /// the request is exempt from checks.
+    pub fn request_finished(&mut self, id: &str, outcome: Outcome, at: Duration) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        if request.disconnected_at.is_some() || request.abandoned {
+        if request.disconnected_at.is_some() || request.exempt {
             return;
         }
-        request.answer = Some(answer);
-        let unanswered = missing_answer::check_answered(id, request, answer, at);
-        let duplicate = duplicate_execution::check_answered(id, request, answer, at);
-        self.report(unanswered);
+        request.outcome = Some(outcome);
+        let missing = missing_answer::check_outcome(id, request, outcome, at);
+        let duplicate = duplicate_execution::check_outcome(id, request, outcome, at);
+        self.report(missing);
         self.report(duplicate);
     }
 
-    /// The first byte of an attempt has left a router.
-    pub fn attempt_started(&mut self, router: usize, server: usize, at: Duration) {
-        let violation = self.drains.check(&self.limits, router, server, at);
+    /// Records that the first byte of an attempt has left a router.
+    pub fn attempt_started(&mut self, router: usize, endpoint: usize, at: Duration) {
+        let violation = self.drains.check(&self.limits, router, endpoint, at);
         self.report(violation);
     }
 
-    /// The last byte of an attempt has reached a running server.
+    /// Records that the last byte of an attempt has reached a running endpoint.
     pub fn attempt_received(&mut self, attempt: &ReceivedAttempt<'_>, at: Duration) {
         let over_budget = self
             .slow_starts
-            .count_attempt(&self.limits, attempt.server, at);
+            .count_attempt(&self.limits, attempt.endpoint, at);
         self.report(over_budget);
         let Some(request) = self.requests.get_mut(attempt.request_id) else {
             self.violations
@@ -136,7 +137,7 @@
         };
         let found = [
             after_disconnect::check(attempt, request, at),
-            duplicate_execution::check_after_answer(attempt, request, at),
+            duplicate_execution::check_after_response(attempt, request, at),
             concurrent_attempts::check(attempt, request, at),
             duplicate_execution::check_repeated(attempt, request, at),
             deadline::check(attempt, request, at),
@@ -145,78 +146,86 @@
         self.violations.extend(found.into_iter().flatten());
     }
 
-    /// A server has rejected an attempt before it ran.
+    /// Records that an endpoint has rejected an attempt without executing it.
     pub fn attempt_rejected(&mut self, id: &str, role: Role) {
         if let Some(request) = self.requests.get_mut(id) {
             request.attempt_rejected(role);
         }
     }
 
-    /// An attempt is no longer in flight: it was answered, or its router or server closed the
-    /// connection.
+    /// Records that an attempt is no longer in flight: its response is complete, or the router or
+    /// the endpoint has closed the connection.
     pub fn attempt_ended(&mut self, id: &str, number: u64, at: Duration) {
         if let Some(request) = self.requests.get_mut(id) {
             request.attempt_ended(number, at);
         }
     }
 
-    /// A server keeps KV state or a decode slot for a request.
+    /// Records that an endpoint reserves KV state or a decode slot for a request.
     pub fn lease_acquired(
         &mut self,
         id: &str,
-        server: usize,
+        endpoint: usize,
         resource: LeasedResource,
         at: Duration,
     ) {
         if let Some(request) = self.requests.get_mut(id) {
-            request.lease_acquired(server, resource, at);
+            request.lease_acquired(endpoint, resource, at);
         }
     }
 
-    /// A server no longer keeps it: it was used, released, or lost with the server.
-    pub fn lease_ended(&mut self, id: &str, server: usize, resource: LeasedResource, at: Duration) {
+    /// Records that an endpoint no longer reserves the resource for the request: it was used or
+    /// released, or the endpoint process has died.
+    pub fn lease_ended(
+        &mut self,
+        id: &str,
+        endpoint: usize,
+        resource: LeasedResource,
+        at: Duration,
+    ) {
         if let Some(request) = self.requests.get_mut(id) {
-            request.lease_ended(server, resource, at);
+            request.lease_ended(endpoint, resource, at);
         }
     }
 
-    /// A router has been notified whether a server accepts work.
+    /// Records that a router has been notified whether an endpoint accepts work.
     pub fn router_notified(
         &mut self,
         router: usize,
-        server: usize,
+        endpoint: usize,
         accepts_work: bool,
         at: Duration,
     ) {
-        self.drains.notify(router, server, accepts_work, at);
+        self.drains.notify(router, endpoint, accepts_work, at);
     }
 
-    /// A router process has started: it has not been notified of anything.
+    /// Records that a router process has started. It has no notifications yet.
     pub fn router_started(&mut self, router: usize) {
-        self.drains.forget_router(router);
+        self.drains.remove_router(router);
     }
 
-    /// A router process was killed: nobody answers the requests that it had taken.
+    /// Records that a router process was killed. The requests that were sent to it are exempt from
+    /// the checks for missing responses and leaked leases.
     pub fn router_killed(&mut self, router: usize) {
         for request in self.requests.values_mut() {
             if request.router == router {
-                request.abandoned = true;
+                request.exempt = true;
             }
         }
     }
 
-    /// A server has started: its slow start begins.
-    pub fn server_started(&mut self, server: usize, at: Duration) {
-        self.slow_starts.server_started(server, at);
+    /// Records that an endpoint has started, which begins its slow start.
+    pub fn endpoint_started(&mut self, endpoint: usize, at: Duration) {
+        self.slow_starts.endpoint_started(endpoint, at);
     }
 
-    /// Looks for leases and answers that are overdue by now.
+    /// Checks all requests for leaked leases and overdue responses.
     pub fn check_overdue(&mut self, now: Duration) {
         for (id, request) in &mut self.requests {
             let leaked = leaked_lease::check(id, request, &self.limits, now);
             self.violations.extend(leaked);
-            let unanswered = missing_answer::check_overdue(id, request, now);
-            self.violations.extend(unanswered);
+            let missing = missing_answer::check_overdue(id, request, now);
+            self.violations.extend(missing);
         }
     }
 }
--- a/crates/soak/src/oracle/violation.rs
+++ b/crates/soak/src/oracle/violation.rs
@@ -1,4 +1,4 @@
-//! The rules, and what the oracle reports when one is broken.
+//! The rules, and the violations that the oracle reports.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,34 +6,34 @@
 /// The rules of the protocol that a run checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
-    /// Each request that a router has taken gets exactly one final answer, in time.
+    /// Each request that a router has accepted gets exactly one final response, in time.
     MissingAnswer,
-    /// A request that may have run is neither run again nor rejected, unless it is idempotent.
+    /// A non-idempotent request that may have been executed is neither executed again nor rejected.
     DuplicateExecution,
     /// A request has at most one attempt in flight.
     ConcurrentAttempts,
-    /// A server that is draining or removed gets no new attempts.
+    /// An endpoint that is draining or removed gets no new attempts.
     Drain,
     /// KV state and decode slots are used or released in time.
     LeakedLease,
-    /// No attempt starts after its client has disconnected.
+    /// No attempt starts after the client of its request has disconnected.
     AfterDisconnect,
-    /// The time left that a server is given is no longer than the client will wait.
+    /// An attempt does not state more time until the deadline than is left for its client.
     Deadline,
-    /// A server in slow start gets no more attempts than its budget.
+    /// An endpoint in slow start gets no more attempts than its budget.
     SlowStart,
-    /// A process ends only when it is asked to, and logs no internal fault.
+    /// A router process ends only when it is signalled to, and logs no internal error.
     Crash,
 }
 
-/// A rule that was broken.
+/// One case in which a rule was broken.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
-    /// The rule.
+    /// The rule that was broken.
     pub rule: Rule,
-    /// The time since the start of the run.
+    /// When the violation was found, as the time since the start of the run.
     pub at: Duration,
-    /// What happened.
+    /// A description of what happened.
     pub detail: String,
 }
 
--- a/crates/soak/src/router_settings.rs
+++ b/crates/soak/src/router_settings.rs
@@ -18,13 +18,13 @@
 const SLOW_START_WINDOW: Duration = Duration::from_millis(3_000);
 /// Attempts that a prefill server accepts in slow start: 4 times the 26 % of its 4 slots that it
 /// has then, at 80 ms an attempt.
-const SLOW_START_CALLS: f64 = 156.0;
+const SLOW_START_ATTEMPTS: f64 = 156.0;
 
 /// The limits that the oracle checks.
 pub const LIMITS: Limits = Limits {
     drain_grace: DRAIN_GRACE,
     kv_lease_timeout: KV_LEASE_TIMEOUT,
-    slow_start_calls: SLOW_START_CALLS,
+    slow_start_attempts: SLOW_START_ATTEMPTS,
     slow_start_window: SLOW_START_WINDOW,
 };
 
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -12,7 +12,7 @@
 use crate::fault::inject_fault;
 use crate::injected_violation::InjectedViolation;
 use crate::options::{RunOptions, RunReport};
-use crate::oracle::{Answer, Rule};
+use crate::oracle::{Outcome, Rule};
 use crate::router_process::{Shutdown, Signal};
 use crate::router_settings::ORDER_DEADLINE;
 
@@ -91,9 +91,9 @@
 fn report(environment: &TestEnvironment, faults: usize) -> RunReport {
     let oracle = environment.state.oracle.borrow();
     RunReport {
-        served: oracle.count_answers(Answer::Served),
-        rejected: oracle.count_answers(Answer::Rejected),
-        failed: oracle.count_answers(Answer::Failed),
+        served: oracle.count_outcomes(Outcome::Served),
+        rejected: oracle.count_outcomes(Outcome::Rejected),
+        failed: oracle.count_outcomes(Outcome::Failed),
         faults,
         violations: oracle.violations().to_vec(),
     }
--- a/crates/soak/tests/environment.rs
+++ b/crates/soak/tests/environment.rs
@@ -12,7 +12,7 @@
 use cranetack_soak::injected_violation::InjectedViolation;
 use cranetack_soak::model_server::ModelServer;
 use cranetack_soak::options::RunOptions;
-use cranetack_soak::oracle::{Answer, Idempotency, Oracle, Role, Rule};
+use cranetack_soak::oracle::{Idempotency, Oracle, Outcome, Role, Rule};
 use cranetack_soak::router_process::RouterProcess;
 use cranetack_soak::router_settings::LIMITS;
 use cranetack_soak::run_state::RunState;
@@ -75,7 +75,7 @@
         assert!(decoded.starts_with("HTTP/1.1 200"), "{decoded}");
         assert!(decoded.contains("[DONE]"), "{decoded}");
         let mut oracle = state.oracle.borrow_mut();
-        oracle.request_answered("q1", Answer::Served, state.now());
+        oracle.request_finished("q1", Outcome::Served, state.now());
         oracle.check_overdue(state.now() + LONG_AFTER);
         assert_eq!(oracle.violations(), []);
     });
@@ -97,7 +97,7 @@
             }
             let now = state.now();
             let mut oracle = state.oracle.borrow_mut();
-            oracle.request_answered("q1", Answer::Failed, now);
+            oracle.request_finished("q1", Outcome::Failed, now);
             oracle.check_overdue(now + LONG_AFTER);
             drop(oracle);
             assert_eq!(broken_rules(&state), expected);
@@ -195,7 +195,7 @@
         sleep(4 * EXCHANGE_TIME).await;
         state.finished.set(true);
         client.await.unwrap();
-        let served = state.oracle.borrow().count_answers(Answer::Served);
+        let served = state.oracle.borrow().count_outcomes(Outcome::Served);
         assert!(served > 5, "{served}");
         assert!(served <= router.request_count.get(), "{served}");
         assert_eq!(broken_rules(&state), []);
--- a/crates/soak/tests/oracle.rs
+++ b/crates/soak/tests/oracle.rs
@@ -1,15 +1,16 @@
-//! The oracle: it reports each kind of violation, and nothing for sequences that keep the rules.
+//! Tests that the oracle reports each kind of violation, and none for sequences of events that keep
+//! the rules.
 
 use std::time::Duration;
 
 use cranetack_soak::oracle::{
-    Answer, Idempotency, LeasedResource, Limits, Oracle, ReceivedAttempt, Role, Rule,
+    Idempotency, LeasedResource, Limits, Oracle, Outcome, ReceivedAttempt, Role, Rule,
 };
 
 const LIMITS: Limits = Limits {
     drain_grace: ms(250),
     kv_lease_timeout: ms(300),
-    slow_start_calls: 4.0,
+    slow_start_attempts: 4.0,
     slow_start_window: ms(3_000),
 };
 
@@ -17,25 +18,25 @@
     Duration::from_millis(milliseconds)
 }
 
-/// An attempt for request `a`.
+/// Returns an attempt of request `a`.
 fn attempt(
     number: u64,
-    server: usize,
+    endpoint: usize,
     role: Role,
     stated_time_left: Duration,
 ) -> ReceivedAttempt<'static> {
     ReceivedAttempt {
         request_id: "a",
         number,
-        server,
+        endpoint,
         role,
         stated_time_left,
     }
 }
 
-/// A non-idempotent request whose prompt was processed at server 1, which has kept the KV state
-/// since 100 ms.
-fn prefilled() -> Oracle {
+/// Returns an oracle with a non-idempotent request `a`, whose prompt was processed at endpoint 1. The
+/// KV state is leased from 100 ms on.
+fn prefilled_request() -> Oracle {
     let mut oracle = Oracle::new(LIMITS);
     oracle.request_sent("a", 0, Idempotency::NonIdempotent, ms(0), ms(5_000));
     oracle.attempt_received(&attempt(1, 1, Role::Prefill, ms(4_990)), ms(10));
@@ -44,7 +45,7 @@
     oracle
 }
 
-/// Decodes the request at server 2.
+/// Reports that request `a` is decoded at endpoint 2.
 fn decode(oracle: &mut Oracle) {
     oracle.attempt_received(&attempt(2, 2, Role::Decode, ms(4_890)), ms(110));
     oracle.lease_ended("a", 1, LeasedResource::KvState, ms(120));
@@ -61,35 +62,35 @@
 
 #[test]
 fn a_request_that_is_prefilled_decoded_and_served_breaks_no_rule() {
-    let mut oracle = prefilled();
+    let mut oracle = prefilled_request();
     oracle.attempt_received(&attempt(2, 2, Role::Decode, ms(4_890)), ms(110));
     oracle.lease_ended("a", 1, LeasedResource::KvState, ms(120));
-    oracle.request_answered("a", Answer::Served, ms(200));
+    oracle.request_finished("a", Outcome::Served, ms(200));
     oracle.attempt_ended("a", 2, ms(900));
     oracle.check_overdue(ms(20_000));
     assert_eq!(broken_rules(&oracle), vec![]);
 }
 
 #[test]
-fn a_non_idempotent_request_may_be_retried_and_rejected_after_a_rejected_attempt() {
-    let mut oracle = prefilled();
+fn a_non_idempotent_request_may_be_retried_and_rejected_after_rejected_attempts() {
+    let mut oracle = prefilled_request();
     for number in [2, 3] {
         oracle.attempt_received(&attempt(number, 2, Role::Decode, ms(4_890)), ms(110));
         oracle.attempt_rejected("a", Role::Decode);
         oracle.attempt_ended("a", number, ms(115));
     }
     oracle.lease_ended("a", 1, LeasedResource::KvState, ms(120));
-    oracle.request_answered("a", Answer::Rejected, ms(130));
+    oracle.request_finished("a", Outcome::Rejected, ms(130));
     oracle.check_overdue(ms(20_000));
     assert_eq!(broken_rules(&oracle), vec![]);
 }
 
-/// One sequence of observations that breaks a rule.
+/// A sequence of events that breaks a rule.
 struct ViolationCase {
     rule: Rule,
-    /// Breaks no rule.
+    /// Reports the events before the violation, which break no rule.
     before: fn(&mut Oracle),
-    /// Breaks the rule.
+    /// Reports the events that break the rule.
     violation: fn(&mut Oracle),
 }
 
@@ -102,17 +103,17 @@
     ViolationCase {
         rule: Rule::MissingAnswer,
         before: decode,
-        violation: |oracle| oracle.request_answered("a", Answer::ConnectionClosed, ms(200)),
+        violation: |oracle| oracle.request_finished("a", Outcome::ConnectionClosed, ms(200)),
     },
     ViolationCase {
         rule: Rule::MissingAnswer,
         before: decode,
-        violation: |oracle| oracle.request_answered("a", Answer::Failed, ms(5_700)),
+        violation: |oracle| oracle.request_finished("a", Outcome::Failed, ms(5_700)),
     },
     ViolationCase {
         rule: Rule::DuplicateExecution,
         before: decode,
-        violation: |oracle| oracle.request_answered("a", Answer::Rejected, ms(200)),
+        violation: |oracle| oracle.request_finished("a", Outcome::Rejected, ms(200)),
     },
     ViolationCase {
         rule: Rule::DuplicateExecution,
@@ -156,12 +157,12 @@
     },
     ViolationCase {
         rule: Rule::SlowStart,
-        before: |oracle| oracle.server_started(2, ms(100)),
+        before: |oracle| oracle.endpoint_started(2, ms(100)),
         violation: exceed_slow_start_budget,
     },
 ];
 
-/// Fourteen requests for server 2, one a millisecond.
+/// Reports attempts of fourteen requests at endpoint 2, one per millisecond.
 fn exceed_slow_start_budget(oracle: &mut Oracle) {
     for index in 0..14 {
         let id = format!("s{index}");
@@ -177,7 +178,7 @@
 #[test]
 fn each_kind_of_violation_is_reported() {
     for case in VIOLATION_CASES {
-        let mut oracle = prefilled();
+        let mut oracle = prefilled_request();
         (case.before)(&mut oracle);
         assert_eq!(broken_rules(&oracle), vec![], "{:?}", case.rule);
         (case.violation)(&mut oracle);
@@ -186,8 +187,8 @@
 }
 
 #[test]
-fn the_requests_of_a_killed_router_are_owed_no_answer() {
-    let mut oracle = prefilled();
+fn requests_of_a_killed_router_need_no_response() {
+    let mut oracle = prefilled_request();
     oracle.router_killed(0);
     oracle.check_overdue(ms(20_000));
     assert_eq!(broken_rules(&oracle), vec![]);
