--- a/crates/soak/src/environment.rs
+++ b/crates/soak/src/environment.rs
@@ -14,24 +14,24 @@
 use crate::router_settings::LIMITS;
 use crate::run_state::RunState;
 
-/// The parts of a run.
+/// The components of a run.
 pub struct TestEnvironment {
-    /// The shared state.
+    /// State that all components share.
     pub state: Rc<RunState>,
-    /// The endpoint list.
+    /// Endpoint list that the discovery servers serve.
     pub endpoints: Rc<EndpointList>,
-    /// The fake servers: prefill servers first, then decode servers.
+    /// Fake servers: first the prefill servers, then the decode servers.
     pub servers: Vec<Rc<ModelServer>>,
-    /// The fault proxies, by router, then by server.
+    /// Fault proxies, by the index of the router, then by the index of the fake server.
     pub proxies: Vec<Vec<Rc<FaultProxy>>>,
-    /// The discovery servers, by router.
+    /// Discovery servers, by the index of the router.
     pub discovery_servers: Vec<Rc<DiscoveryServer>>,
-    /// The routers.
+    /// Routers under test.
     pub routers: Vec<Rc<RouterProcess>>,
 }
 
 impl TestEnvironment {
-    /// Starts all parts but the router processes.
+    /// Starts all components except the router processes.
     pub async fn build(options: &Rc<RunOptions>) -> Result<TestEnvironment, SoakError> {
         let state = RunState::new(
             Oracle::new(LIMITS),
--- a/crates/soak/src/error.rs
+++ b/crates/soak/src/error.rs
@@ -1,31 +1,31 @@
-//! Why a run cannot take place.
+//! The errors that prevent a run.
 
 use std::io;
 use std::path::PathBuf;
 
-/// Why a run cannot take place.
+/// An error that prevents a run.
 #[derive(Debug, thiserror::Error)]
 pub enum SoakError {
-    /// A file that the run needs is not there.
-    #[error("{path}: {source}")]
+    /// A file is not found, or the folder of a run cannot be created.
+    #[error("cannot access {path}: {source}")]
     File {
-        /// The file or folder.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A fake server or proxy cannot listen on loopback.
+    /// A component of the test environment cannot listen on loopback.
     #[error("cannot listen on loopback: {0}")]
     Listen(io::Error),
     /// A router process cannot be started.
     #[error("cannot start router {router}: {source}")]
     StartRouter {
-        /// The index of the router.
+        /// Index of the router.
         router: usize,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The runtime cannot be built.
-    #[error("cannot build the runtime: {0}")]
+    /// The Tokio runtime cannot be built.
+    #[error("cannot build the Tokio runtime: {0}")]
     Runtime(io::Error),
 }
--- a/crates/soak/src/injected_violation.rs
+++ b/crates/soak/src/injected_violation.rs
@@ -2,37 +2,38 @@
 
 use crate::oracle::Rule;
 
-/// A violation that a run causes on purpose. The names of the values are those of the command line.
+/// A violation that a run causes on purpose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum InjectedViolation {
-    /// Some answers are not reported to the oracle.
+    /// Some responses are not reported to the oracle.
     #[value(name = "lost")]
     MissingAnswer,
     /// Some attempts are reported to the oracle twice.
     #[value(name = "duplicate")]
     DuplicateExecution,
-    /// The same, expected to be reported as concurrent attempts.
+    /// Some attempts are reported to the oracle twice, as for `duplicate`, but the oracle must report
+    /// concurrent attempts.
     #[value(name = "second-copy")]
     ConcurrentAttempts,
-    /// Some releases are dropped on their way to the server.
+    /// Some releases are dropped on their way to the endpoint.
     #[value(name = "held")]
     LeakedLease,
     /// Some attempts are delayed until after their clients have disconnected.
     #[value(name = "after-client-left")]
     AfterDisconnect,
-    /// Some attempts are delayed, so that they state more time than is left.
+    /// Some attempts are delayed, so that they state more time until the deadline than is left.
     #[value(name = "deadline")]
     Deadline,
-    /// Drains are reported to the oracle of which no router is notified.
+    /// Drains are reported to the oracle as delivered to a router, though the router is not notified.
     #[value(name = "drain")]
     Drain,
-    /// A router process is killed, which is not reported to the oracle.
+    /// A router process is killed without a report to the oracle.
     #[value(name = "crash")]
     Crash,
 }
 
 impl InjectedViolation {
-    /// The rule that it breaks.
+    /// Returns the rule that the violation breaks.
     pub fn rule(self) -> Rule {
         match self {
             InjectedViolation::MissingAnswer => Rule::MissingAnswer,
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,8 +1,9 @@
-//! A randomized fault soak: real routers as processes on loopback, between fake servers, fake
-//! discovery servers and clients, with a fault proxy on each connection, while signals, partitions
-//! and failures overlap. [`oracle`] holds the rules that each run checks. A run's faults are drawn
-//! from a seed; the routers' own timing is the system's, so a seed repeats the faults, not each
-//! event.
+//! A randomized fault soak. It runs real router processes on loopback, together with fake model
+//! servers, fake discovery servers and clients, with a fault proxy between each router and each fake
+//! model server, and injects overlapping faults such as signals, stalled connections and failures.
+//! Each run checks the rules in [`oracle`]. The faults of a run are drawn from a seed. The scheduling
+//! of the routers is up to the operating system, so a seed reproduces the faults, but not the exact
+//! sequence of events.
 
 pub mod client;
 pub mod discovery_server;
--- a/crates/soak/src/misbehaving_clients.rs
+++ b/crates/soak/src/misbehaving_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that send malformed or unfinished requests, or only keep connections open.
+//! Clients that send malformed or unfinished requests, or keep connections open without sending.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,13 +11,14 @@
 use crate::router_process::RouterProcess;
 use crate::run_state::RunState;
 
-/// A router must answer a malformed request or close its connection within this: its own timeout,
-/// and some time more.
+/// Maximum time until a router responds to a malformed request or closes its connection: the timeout
+/// of the router plus a tolerance.
 const MALFORMED_REQUEST_TIMEOUT: Duration = Duration::from_millis(3_000 + 200);
-/// How long an idle client waits for its connection.
+/// Maximum time for which an idle client waits for its connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Sends an unfinished or malformed request and waits: the router must answer or close in time.
+/// Sends an unfinished or malformed request, and reports a violation if the router neither responds
+/// nor closes the connection in time.
 pub async fn send_malformed_request(state: &RunState, router: &RouterProcess) {
     let Ok(mut stream) = TcpStream::connect(router.address).await else {
         return;
@@ -38,15 +39,15 @@
     let closed = timeout(MALFORMED_REQUEST_TIMEOUT, reading).await.is_ok();
     if !closed && received.is_empty() && router.is_running() {
         let detail = format!(
-            "router {} neither answered nor closed a malformed request",
+            "router {} neither responded to a malformed request nor closed its connection",
             router.index
         );
         state.report_violation(Rule::MissingAnswer, detail);
     }
 }
 
-/// Keeps so many connections open for a while, and sends nothing.
-pub async fn keep_idle_connections(router: &Rc<RouterProcess>, count: usize, span: Duration) {
+/// Keeps `count` connections to a router open for a duration, and sends nothing.
+pub async fn keep_idle_connections(router: &Rc<RouterProcess>, count: usize, duration: Duration) {
     let mut idle = Vec::new();
     for _ in 0..count {
         let connecting = TcpStream::connect(router.address);
@@ -54,5 +55,5 @@
             idle.push(stream);
         }
     }
-    sleep(span).await;
+    sleep(duration).await;
 }
--- a/crates/soak/src/ports.rs
+++ b/crates/soak/src/ports.rs
@@ -1,4 +1,4 @@
-//! Free ports for the routers.
+//! Free addresses for the routers.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -6,11 +6,11 @@
 
 use crate::run_state::RunState;
 
-/// Ports below those that the system gives to outgoing connections, so that none of these takes one
-/// before its router listens on it.
+/// Range of the ports that routers listen on. It lies below the ephemeral ports, so that no outgoing
+/// connection takes a port before its router listens on it.
 const PORTS: Range<u16> = 12_000..30_000;
 
-/// Different addresses on loopback that are free now, both for TCP and for UDP.
+/// Returns `count` different loopback addresses that are free now, both for TCP and for UDP.
 pub fn free_addresses(state: &RunState, count: usize) -> io::Result<Vec<SocketAddr>> {
     let mut addresses = Vec::new();
     while addresses.len() < count {
--- a/crates/soak/tests/injected_violations.rs
+++ b/crates/soak/tests/injected_violations.rs
@@ -1,4 +1,4 @@
-//! The names of injected violations on the command line.
+//! Tests the names of the injected violations on the command line.
 
 use clap::ValueEnum;
 use cranetack_soak::injected_violation::InjectedViolation;
