--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients that send requests and wait for the answers, or disconnect early.
+//! Clients that send requests and wait for the responses, or disconnect early.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -14,16 +14,16 @@
 use crate::router_settings::{class_deadline, class_name};
 use crate::run_state::RunState;
 
-/// Routers that a client tries for one request, as long as connections are closed without an
-/// answer.
+/// Maximum number of times that a client sends one request, to a router drawn anew each time, if
+/// connections fail or are closed without a response.
 const MAX_SENDS: usize = 4;
-/// How long a connection to a router may take.
+/// Maximum time to connect to a router.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How much longer than its deadline a client waits for an answer.
-const ANSWER_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
-/// Of 100 requests, how many are not idempotent.
+/// Duration after the deadline of a request for which its client still waits for a response.
+const RESPONSE_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
+/// Percentage of requests that are not idempotent.
 const NON_IDEMPOTENT_PERCENT: u64 = 40;
-/// Of 100 requests, how many are abandoned by a client that disconnects early.
+/// Percentage of requests whose client disconnects early.
 const DISCONNECT_PERCENT: u64 = 8;
 /// The end of the head of an HTTP message.
 const HEAD_END: &[u8] = b"\r\n\r\n";
@@ -39,28 +39,28 @@
     session: u64,
 }
 
-/// A request as the client will send it.
+/// A request to send.
 struct ClientRequest {
     id: String,
     idempotency: Idempotency,
     deadline: Duration,
-    /// When the client disconnects, where it does not wait for the answer.
+    /// Time after which the client disconnects; `None` if it waits for the response.
     disconnects_after: Option<Duration>,
     bytes: Vec<u8>,
 }
 
-/// What came of a request on one connection.
+/// The result of sending a request over one connection.
 enum Exchange {
-    /// It was answered. The connection, if it can be used again.
-    Answered(Option<TcpStream>),
-    /// The connection was closed without an answer.
+    /// A response was received. Contains the connection if it can be reused.
+    ResponseReceived(Option<TcpStream>),
+    /// The connection was closed without a response, or the wait for the response timed out.
     ConnectionClosed,
-    /// The client disconnected.
+    /// The client disconnected early.
     Disconnected,
 }
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client that has no connections yet.
     pub fn new(state: Rc<RunState>, routers: Vec<Rc<RouterProcess>>) -> Client {
         let session = state.next_number();
         Client {
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Sends requests until the run is finished, with up to twice this pause between them.
+    /// Sends requests until the run is finished. The pauses between them are random, up to twice the
+    /// mean.
     pub async fn run(mut self, mean_pause_ms: u64) {
         while !self.state.finished.get() {
             sleep(self.state.draw_millis(1, 2 * mean_pause_ms)).await;
@@ -120,8 +121,8 @@
         }
     }
 
-    /// Sends one request, to another router each time that the connection is closed without an
-    /// answer.
+    /// Sends one request, and sends it again to a router drawn anew while connections fail or are
+    /// closed without a response.
     async fn send_request(&mut self) {
         let state = self.state.clone();
         let request = self.draw_request();
@@ -137,7 +138,7 @@
             sent = true;
             let kills_before = self.routers[router].kill_count.get();
             match self.exchange(stream, &request).await {
-                Exchange::Answered(stream) => {
+                Exchange::ResponseReceived(stream) => {
                     if let Some(stream) = stream {
                         self.pool.insert(router, stream);
                     }
@@ -155,13 +156,14 @@
             }
         }
         if sent {
-            // No router has taken the request, or the oracle has seen that one did.
+            // The client gives up. Either no router has accepted the request, or the oracle already
+            // knows of the one that did.
             let mut oracle = state.oracle.borrow_mut();
             oracle.client_disconnected(&request.id, state.now());
         }
     }
 
-    /// A pooled connection to a router, or a new one.
+    /// Returns a pooled connection to a router, or a new one.
     async fn connect(&mut self, router: usize) -> Option<TcpStream> {
         if let Some(stream) = self.pool.remove(&router) {
             return Some(stream);
@@ -188,34 +190,34 @@
         }
     }
 
-    /// Sends a request over a connection and waits for the answer, or disconnects early.
+    /// Sends a request over a connection and waits for the response, or disconnects early.
     async fn exchange(&self, stream: TcpStream, request: &ClientRequest) -> Exchange {
         let state = &self.state;
-        let report_answer = |answer| {
-            if !state.injects(InjectedViolation::MissingAnswer) {
+        let report_outcome = |outcome| {
+            if !state.should_inject(InjectedViolation::MissingAnswer) {
                 let mut oracle = state.oracle.borrow_mut();
-                oracle.request_finished(&request.id, answer, state.now());
+                oracle.request_finished(&request.id, outcome, state.now());
             }
         };
-        let exchange = send_and_receive(stream, &request.bytes, report_answer);
+        let exchange = send_and_receive(stream, &request.bytes, report_outcome);
         match request.disconnects_after {
-            Some(span) => timeout(span, exchange)
+            Some(delay) => timeout(delay, exchange)
                 .await
                 .unwrap_or(Exchange::Disconnected),
-            None => timeout(request.deadline + ANSWER_TIMEOUT_MARGIN, exchange)
+            None => timeout(request.deadline + RESPONSE_TIMEOUT_MARGIN, exchange)
                 .await
                 .unwrap_or(Exchange::ConnectionClosed),
         }
     }
 }
 
-/// Sends a request and reads the answer to its end. `report_answer` is called once the head has
-/// arrived: a stream that breaks off later was served all the same, as a client would ask for the
-/// rest with a new request.
+/// Sends a request and reads the response to its end. Calls `report_outcome` as soon as the head has
+/// arrived: a stream that breaks off later counts as served, as a client would send a new request
+/// for the rest.
 async fn send_and_receive(
     mut stream: TcpStream,
     request: &[u8],
-    report_answer: impl Fn(Outcome),
+    report_outcome: impl Fn(Outcome),
 ) -> Exchange {
     if stream.write_all(request).await.is_err() {
         return Exchange::ConnectionClosed;
@@ -225,33 +227,33 @@
     loop {
         match stream.read_buf(&mut received).await {
             Ok(0) | Err(_) if !reported => return Exchange::ConnectionClosed,
-            Ok(0) | Err(_) => return Exchange::Answered(None),
+            Ok(0) | Err(_) => return Exchange::ResponseReceived(None),
             Ok(_) => {}
         }
-        let Some(head) = head_of(&received) else {
+        let Some(head) = parse_head(&received) else {
             continue;
         };
         if !reported {
-            report_answer(answer_of(&received));
+            report_outcome(parse_outcome(&received));
             reported = true;
         }
         if is_complete(&received, &head) {
             let reusable = !head.text.contains("connection: close");
-            return Exchange::Answered(reusable.then_some(stream));
+            return Exchange::ResponseReceived(reusable.then_some(stream));
         }
     }
 }
 
 /// The head of an HTTP message.
 struct Head {
-    /// Its text in lower case, without the empty line at its end.
+    /// Text of the head in lower case, without the empty line at its end.
     text: String,
-    /// Where the body begins.
+    /// Offset of the body in the message.
     body_start: usize,
 }
 
-/// The head, once all of it has arrived.
-fn head_of(received: &[u8]) -> Option<Head> {
+/// Returns the head if all of it has arrived.
+fn parse_head(received: &[u8]) -> Option<Head> {
     let length = received
         .windows(HEAD_END.len())
         .position(|window| window == HEAD_END)?;
@@ -261,7 +263,7 @@
     })
 }
 
-/// Whether the body has arrived to its end.
+/// Returns whether the whole body has arrived.
 fn is_complete(received: &[u8], head: &Head) -> bool {
     let content_length: Option<usize> = head
         .text
@@ -274,7 +276,7 @@
     }
 }
 
-fn answer_of(received: &[u8]) -> Outcome {
+fn parse_outcome(received: &[u8]) -> Outcome {
     match received.get(9..12) {
         Some(b"200") => Outcome::Served,
         Some(b"503" | b"429") => Outcome::Rejected,
--- a/crates/soak/src/discovery_server.rs
+++ b/crates/soak/src/discovery_server.rs
@@ -1,4 +1,4 @@
-//! Fake discovery servers, one for each router. They deliver the endpoint list late, or not at all.
+//! Fake discovery servers, one for each router, which deliver the endpoint list late or not at all.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -21,40 +21,40 @@
 use crate::endpoint_list::{EndpointEntry, EndpointList, EndpointState};
 use crate::fault_proxy::FaultProxy;
 use crate::injected_violation::InjectedViolation;
-use crate::router_settings::server_type;
+use crate::router_settings::endpoint_kind;
 use crate::run_state::RunState;
 
-/// A router counts as notified of a change this long after its discovery server has it, if the
-/// server has been reachable meanwhile.
+/// Duration after which the oracle treats a router as notified of a change that its discovery server
+/// has, if the server has been serving for all of this time.
 const ASSUMED_NOTIFIED_AFTER: Duration = Duration::from_secs(6);
-/// How often a silent server looks whether it answers again.
-const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which an unresponsive server checks whether it is to respond again.
+const RESPONSIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How a discovery server behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// It answers.
+    /// The server responds.
     Serving,
-    /// It accepts connections and does not answer.
-    Silent,
-    /// It rejects all calls.
+    /// The server accepts connections and does not respond.
+    Unresponsive,
+    /// The server rejects all requests.
     Overloaded,
 }
 
-/// A version of the list that the server has, and of which its router may not be notified yet.
+/// A version of the list that the server has and its router may not have been notified of yet.
 #[derive(Debug, Clone, Copy)]
 struct PendingVersion {
     version: u64,
     received_at: Duration,
 }
 
-/// The query of a call for the list.
+/// The query of a request for the list.
 #[derive(Debug, Clone, Copy)]
 struct ListQuery {
-    /// The version that the router has; without one it asks for a snapshot.
+    /// Version that the router has; `None` if the router requests a snapshot.
     from_version: Option<u64>,
-    /// How long the call waits for a later version.
-    hold: Duration,
+    /// Maximum time for which the server waits for a later version before it responds.
+    wait_timeout: Duration,
 }
 
 impl ListQuery {
@@ -66,20 +66,20 @@
         };
         ListQuery {
             from_version: number("from"),
-            hold: Duration::from_millis(number("hold_ms").unwrap_or(0)),
+            wait_timeout: Duration::from_millis(number("hold_ms").unwrap_or(0)),
         }
     }
 }
 
-/// The discovery server of one router, at two addresses of which the router's configuration names
-/// one.
+/// The discovery server of one router. It listens on two addresses, one of which is in the router's
+/// configuration.
 pub struct DiscoveryServer {
-    /// Where it listens.
+    /// Addresses on which the server listens.
     pub addresses: [SocketAddr; 2],
     router: usize,
     endpoints: Rc<EndpointList>,
     proxies: Vec<Rc<FaultProxy>>,
-    /// The version of the list that it has.
+    /// Version of the list that the server has.
     version: watch::Sender<u64>,
     mode: Cell<DiscoveryMode>,
     mode_changed_at: Cell<Duration>,
@@ -88,7 +88,7 @@
 }
 
 impl DiscoveryServer {
-    /// Starts a server that has the present list.
+    /// Starts a server that has the current list.
     pub async fn start(
         state: &Rc<RunState>,
         router: usize,
@@ -111,7 +111,7 @@
         for listener in [first, second] {
             spawn_local(server.clone().accept_connections(state.clone(), listener));
         }
-        spawn_local(server.clone().follow_list(state.clone()));
+        spawn_local(server.clone().apply_list_changes(state.clone()));
         Ok(server)
     }
 
@@ -128,13 +128,13 @@
         }
     }
 
-    /// The complete list, as the router's configuration holds it.
+    /// Returns the complete list, in the format in which the router's configuration contains it.
     pub fn snapshot(&self) -> Value {
         self.encode_list(None)
     }
 
-    /// Reports to the oracle the versions of which the router counts as notified though it has not
-    /// asked for them.
+    /// Reports to the oracle that the router is notified of the versions that it has had enough time
+    /// to request, though it has not requested them.
     pub fn assume_notified(&self, state: &RunState) {
         if self.mode.get() != DiscoveryMode::Serving {
             return;
@@ -155,12 +155,13 @@
         }
     }
 
-    /// Reports to the oracle that the router is notified of the changes after one version, up to
-    /// another.
+    /// Reports to the oracle that the router is notified of the changes after `after_version` up to
+    /// and including `up_to_version`.
     fn notify_oracle(&self, state: &RunState, after_version: u64, up_to_version: u64) {
         let mut oracle = state.oracle.borrow_mut();
         for (endpoint, entry) in self.endpoints.entries().iter().enumerate() {
-            if entry.changed_in > after_version && entry.changed_in <= up_to_version {
+            if entry.changed_in_version > after_version && entry.changed_in_version <= up_to_version
+            {
                 let accepts_work = entry.state == EndpointState::Active;
                 oracle.router_notified(self.router, endpoint, accepts_work, state.now());
             }
@@ -170,12 +171,12 @@
             .retain(|pending| pending.version > up_to_version);
     }
 
-    /// Takes over changes of the list, some time after they are made.
-    async fn follow_list(self: Rc<Self>, state: Rc<RunState>) {
+    /// Applies changes of the endpoint list to this server, each after a random delay.
+    async fn apply_list_changes(self: Rc<Self>, state: Rc<RunState>) {
         let mut changes = self.endpoints.subscribe();
         while changes.changed().await.is_ok() {
             sleep(state.draw_millis(20, 600)).await;
-            self.wait_while_silent().await;
+            self.wait_while_unresponsive().await;
             let version = *changes.borrow_and_update();
             self.pending.borrow_mut().push(PendingVersion {
                 version,
@@ -185,9 +186,9 @@
         }
     }
 
-    async fn wait_while_silent(&self) {
-        while self.mode.get() == DiscoveryMode::Silent {
-            sleep(SILENCE_CHECK_INTERVAL).await;
+    async fn wait_while_unresponsive(&self) {
+        while self.mode.get() == DiscoveryMode::Unresponsive {
+            sleep(RESPONSIVENESS_CHECK_INTERVAL).await;
         }
     }
 
@@ -218,9 +219,9 @@
         if let Some(from_version) = query.from_version {
             let mut version = self.version.subscribe();
             let later = version.wait_for(|version| *version > from_version);
-            let _ = timeout(query.hold, later).await;
+            let _ = timeout(query.wait_timeout, later).await;
         }
-        self.wait_while_silent().await;
+        self.wait_while_unresponsive().await;
         let mut response = Response::new(Full::default());
         if self.mode.get() == DiscoveryMode::Overloaded {
             *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
@@ -229,14 +230,15 @@
         let list = self.encode_list(query.from_version);
         let version = *self.version.borrow();
         self.notify_oracle(state, query.from_version.unwrap_or(0), version);
-        if state.injects(InjectedViolation::Drain) {
+        if state.should_inject(InjectedViolation::Drain) {
             self.report_false_drain(state);
         }
         *response.body_mut() = Full::new(list.to_string().into());
         response
     }
 
-    /// Reports to the oracle that all endpoints drain, of which the router is not notified.
+    /// Reports to the oracle, as an injected violation, that the router is notified that all endpoints
+    /// accept no work, though it is not.
     fn report_false_drain(&self, state: &RunState) {
         let mut oracle = state.oracle.borrow_mut();
         for endpoint in 0..self.proxies.len() {
@@ -244,11 +246,12 @@
         }
     }
 
-    /// The changes after a version, or the complete list without the removed endpoints.
+    /// Returns the entries that changed after a version or, without a version, the complete list
+    /// without the removed endpoints.
     fn encode_list(&self, from_version: Option<u64>) -> Value {
         let version = *self.version.borrow();
         let is_included = |entry: &EndpointEntry| match from_version {
-            Some(from) => entry.changed_in > from && entry.changed_in <= version,
+            Some(from) => entry.changed_in_version > from && entry.changed_in_version <= version,
             None => entry.state != EndpointState::Removed,
         };
         let endpoints: Vec<Value> = self
@@ -271,7 +274,7 @@
             "name": format!("s{endpoint}"),
             "address": self.proxies[endpoint].address.to_string(),
             "zone": "here",
-            "type": server_type(entry.role),
+            "type": endpoint_kind(entry.role),
             "group": endpoint % 2,
             "status": entry.state.wire_name(),
             "weight": 1.0,
--- a/crates/soak/src/endpoint_list.rs
+++ b/crates/soak/src/endpoint_list.rs
@@ -11,16 +11,16 @@
 /// The state of an endpoint in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It accepts work.
+    /// The endpoint accepts work.
     Active,
-    /// It accepts no new work.
+    /// The endpoint accepts no new work.
     Draining,
-    /// It is no longer there.
+    /// The endpoint no longer exists.
     Removed,
 }
 
 impl EndpointState {
-    /// Its name on the wire.
+    /// Returns the name of the state in the endpoint list.
     pub fn wire_name(self) -> &'static str {
         match self {
             EndpointState::Active => "up",
@@ -30,33 +30,34 @@
     }
 }
 
-/// An entry of the list.
+/// An entry of the endpoint list.
 #[derive(Debug, Clone, Copy)]
 pub struct EndpointEntry {
-    /// What the endpoint does.
+    /// Role of the endpoint.
     pub role: Role,
-    /// Its state.
+    /// State of the endpoint.
     pub state: EndpointState,
-    /// When its process started, as Unix time.
+    /// When the endpoint process started, as Unix time.
     pub started_at: Duration,
-    /// The version of the list in which the entry last changed.
-    pub changed_in: u64,
+    /// Version of the list in which the entry last changed.
+    pub changed_in_version: u64,
 }
 
-/// The list, with a version that grows with each change.
+/// The endpoint list, with a version that is incremented by each change.
 pub struct EndpointList {
     entries: RefCell<Vec<EndpointEntry>>,
     version: watch::Sender<u64>,
 }
 
 impl EndpointList {
-    /// A list in which an endpoint of each role has been active for long.
+    /// Creates a list with one active endpoint for each element of `roles`. They have been active
+    /// since the Unix epoch, so that none is in slow start.
     pub fn new(roles: &[Role]) -> Rc<EndpointList> {
         let entry = |role: &Role| EndpointEntry {
             role: *role,
             state: EndpointState::Active,
             started_at: Duration::ZERO,
-            changed_in: 1,
+            changed_in_version: 1,
         };
         Rc::new(EndpointList {
             entries: RefCell::new(roles.iter().map(entry).collect()),
@@ -69,8 +70,8 @@
         self.update(endpoint, |entry| entry.state = state);
     }
 
-    /// An endpoint has started anew, at this Unix time.
-    pub fn restarted(&self, endpoint: usize, started_at: Duration) {
+    /// Records that an endpoint was restarted at this Unix time and is active.
+    pub fn set_restarted(&self, endpoint: usize, started_at: Duration) {
         self.update(endpoint, |entry| {
             entry.state = EndpointState::Active;
             entry.started_at = started_at;
@@ -81,22 +82,22 @@
         let version = self.version() + 1;
         if let Some(entry) = self.entries.borrow_mut().get_mut(endpoint) {
             change(entry);
-            entry.changed_in = version;
+            entry.changed_in_version = version;
         }
         self.version.send_replace(version);
     }
 
-    /// All entries, also those of removed endpoints.
+    /// Returns all entries, including those of removed endpoints.
     pub fn entries(&self) -> Vec<EndpointEntry> {
         self.entries.borrow().clone()
     }
 
-    /// The present version.
+    /// Returns the current version.
     pub fn version(&self) -> u64 {
         *self.version.borrow()
     }
 
-    /// Watches the version.
+    /// Returns a receiver that watches the version.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.version.subscribe()
     }
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -1,4 +1,4 @@
-//! The faults of a run: which ones there are, how they are drawn, and what each does.
+//! The faults of a run: their kinds, how they are drawn at random, and what each does.
 
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -13,24 +13,24 @@
 use crate::router_process::Shutdown;
 use crate::run_state::RunState;
 
-/// Connections that idle clients keep open.
+/// Number of connections that idle clients keep open.
 const IDLE_CONNECTIONS: usize = 150;
-/// Of 100 requests at a failing server, how many end with an error.
+/// Percentage of the attempts at a failing server that end with an error.
 const ERROR_PERCENT: u64 = 30;
 
-/// The kinds of faults.
+/// The kind of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum FaultKind {
     RestartRouter,
     KillRouter,
-    MoveDiscovery,
+    SwitchDiscoveryAddress,
     PauseRouter,
     HangServers,
     ReplaceServer,
     DrainServer,
     StallConnections,
     ResetConnections,
-    SilentDiscovery,
+    UnresponsiveDiscovery,
     OverloadedDiscovery,
     ResetDiscovery,
     IdleClients,
@@ -43,14 +43,14 @@
         match state.draw(0, 14) {
             0 | 1 => FaultKind::RestartRouter,
             2 => FaultKind::KillRouter,
-            3 => FaultKind::MoveDiscovery,
+            3 => FaultKind::SwitchDiscoveryAddress,
             4 => FaultKind::PauseRouter,
             5 => FaultKind::HangServers,
             6 => FaultKind::ReplaceServer,
             7 => FaultKind::DrainServer,
             8 => FaultKind::StallConnections,
             9 => FaultKind::ResetConnections,
-            10 => FaultKind::SilentDiscovery,
+            10 => FaultKind::UnresponsiveDiscovery,
             11 => FaultKind::OverloadedDiscovery,
             12 => FaultKind::ResetDiscovery,
             _ if state.chance(30) => FaultKind::IdleClients,
@@ -60,12 +60,13 @@
     }
 }
 
-/// A fault, and what it strikes.
+/// A fault, with the router and the fake server that it can affect. Each kind of fault lasts a fixed
+/// multiple or fraction of `duration`.
 struct Fault {
     kind: FaultKind,
     router: usize,
     server: usize,
-    span: Duration,
+    duration: Duration,
 }
 
 impl Fault {
@@ -73,56 +74,56 @@
         let state = &environment.state;
         let router = state.draw(0, environment.routers.len() as u64) as usize;
         let server = state.draw(0, environment.servers.len() as u64) as usize;
-        let span = state.draw_millis(300, 2_500);
+        let duration = state.draw_millis(300, 2_500);
         Fault {
             kind: FaultKind::draw(state),
             router,
             server,
-            span,
+            duration,
         }
     }
 }
 
-/// Injects one fault, from its beginning to its end.
+/// Draws a fault at random, injects it, and returns when it has ended.
 pub async fn inject_fault(environment: Rc<TestEnvironment>) {
     let fault = Fault::draw(&environment);
     let state = &environment.state;
     let router = &environment.routers[fault.router];
     let server = &environment.servers[fault.server];
-    let span = fault.span;
+    let time = fault.duration;
     match fault.kind {
-        FaultKind::RestartRouter => router.restart(state, Shutdown::Graceful, span / 4).await,
-        FaultKind::KillRouter => router.restart(state, Shutdown::Kill, span / 2).await,
-        FaultKind::MoveDiscovery => router.reload_with_other_discovery_address(),
-        FaultKind::PauseRouter => router.pause(span / 20).await,
-        FaultKind::HangServers => hang_servers(&environment, fault.server, span).await,
-        FaultKind::ReplaceServer => replace_server(&environment, fault.server, span).await,
-        FaultKind::DrainServer => drain_server(&environment, fault.server, span).await,
+        FaultKind::RestartRouter => router.restart(state, Shutdown::Graceful, time / 4).await,
+        FaultKind::KillRouter => router.restart(state, Shutdown::Kill, time / 2).await,
+        FaultKind::SwitchDiscoveryAddress => router.reload_with_other_discovery_address(),
+        FaultKind::PauseRouter => router.pause(time / 20).await,
+        FaultKind::HangServers => hang_servers(&environment, fault.server, time).await,
+        FaultKind::ReplaceServer => replace_server(&environment, fault.server, time).await,
+        FaultKind::DrainServer => drain_server(&environment, fault.server, time).await,
         FaultKind::StallConnections => stall_connections(&environment, &fault).await,
         FaultKind::ResetConnections => {
             environment.proxies[fault.router][fault.server].reset_connections();
         }
-        FaultKind::SilentDiscovery => {
-            disturb_discovery(&environment, &fault, DiscoveryMode::Silent).await;
+        FaultKind::UnresponsiveDiscovery => {
+            disrupt_discovery(&environment, &fault, DiscoveryMode::Unresponsive).await;
         }
         FaultKind::OverloadedDiscovery => {
-            disturb_discovery(&environment, &fault, DiscoveryMode::Overloaded).await;
+            disrupt_discovery(&environment, &fault, DiscoveryMode::Overloaded).await;
         }
         FaultKind::ResetDiscovery => {
             environment.discovery_servers[fault.router].reset_connections();
         }
-        FaultKind::IdleClients => keep_idle_connections(router, IDLE_CONNECTIONS, span).await,
+        FaultKind::IdleClients => keep_idle_connections(router, IDLE_CONNECTIONS, time).await,
         FaultKind::MalformedRequest => send_malformed_request(state, router).await,
         FaultKind::ServerErrors => {
             server.error_percent.set(ERROR_PERCENT);
-            sleep(span).await;
+            sleep(time).await;
             server.error_percent.set(0);
         }
     }
 }
 
-/// A server hangs, and perhaps a third of the others with it.
-async fn hang_servers(environment: &TestEnvironment, server: usize, span: Duration) {
+/// Makes a fake server hang for a duration, in 40 % of cases together with a third of all servers.
+async fn hang_servers(environment: &TestEnvironment, server: usize, duration: Duration) {
     let servers = &environment.servers;
     let others = if environment.state.chance(40) {
         servers.len() / 3
@@ -138,18 +139,19 @@
     for server in &hung {
         server.hung.send_replace(true);
     }
-    sleep(span).await;
+    sleep(duration).await;
     for server in &hung {
         server.hung.send_replace(false);
     }
 }
 
-/// A server's process dies and is replaced, which the endpoint list shows with its usual delay.
-async fn replace_server(environment: &TestEnvironment, server: usize, span: Duration) {
+/// Kills a fake server and starts it again after a duration. The discovery servers deliver the new
+/// endpoint entry with their usual delay.
+async fn replace_server(environment: &TestEnvironment, server: usize, duration: Duration) {
     let state = &environment.state;
     let process = &environment.servers[server];
     process.kill(state);
-    sleep(span).await;
+    sleep(duration).await;
     if process.listen(state).await.is_err() {
         return;
     }
@@ -160,25 +162,26 @@
         let mut oracle = state.oracle.borrow_mut();
         oracle.endpoint_started(server, state.now());
     }
-    environment.endpoints.restarted(server, started_at);
+    environment.endpoints.set_restarted(server, started_at);
 }
 
-/// A server drains, is perhaps removed, and accepts work again.
-async fn drain_server(environment: &TestEnvironment, server: usize, span: Duration) {
+/// Marks an endpoint as draining, in half of the cases as removed after that, and then as active
+/// again.
+async fn drain_server(environment: &TestEnvironment, server: usize, duration: Duration) {
     let process = &environment.servers[server];
     let endpoints = &environment.endpoints;
     endpoints.set_state(server, EndpointState::Draining);
-    sleep(span).await;
+    sleep(duration).await;
     process.draining.set(true);
     if environment.state.chance(50) {
         endpoints.set_state(server, EndpointState::Removed);
-        sleep(span).await;
+        sleep(duration).await;
     }
     process.draining.set(false);
     endpoints.set_state(server, EndpointState::Active);
 }
 
-/// The routers that a fault strikes: one or, in half of the cases, all.
+/// Returns the routers that a fault affects: the given one or, in half of the cases, all.
 fn draw_routers(environment: &TestEnvironment, router: usize) -> Vec<usize> {
     if environment.state.chance(50) {
         (0..environment.routers.len()).collect()
@@ -187,20 +190,21 @@
     }
 }
 
-/// The connections to a server stall, from one router or from all.
+/// Stalls the connections to a fake server, from one router or from all.
 async fn stall_connections(environment: &TestEnvironment, fault: &Fault) {
     let routers = draw_routers(environment, fault.router);
     for router in &routers {
         environment.proxies[*router][fault.server].stall();
     }
-    sleep(fault.span).await;
+    sleep(fault.duration).await;
     for router in &routers {
         environment.proxies[*router][fault.server].resume();
     }
 }
 
-/// The discovery servers of one router or of all do not serve the list for a while.
-async fn disturb_discovery(environment: &TestEnvironment, fault: &Fault, mode: DiscoveryMode) {
+/// Stops the discovery servers of one router or of all from serving the list, for twice the duration
+/// of the fault.
+async fn disrupt_discovery(environment: &TestEnvironment, fault: &Fault, mode: DiscoveryMode) {
     let routers = draw_routers(environment, fault.router);
     let set_mode = |mode| {
         for router in &routers {
@@ -208,6 +212,6 @@
         }
     };
     set_mode(mode);
-    sleep(fault.span * 2).await;
+    sleep(fault.duration * 2).await;
     set_mode(DiscoveryMode::Serving);
 }
--- a/crates/soak/src/fault_proxy.rs
+++ b/crates/soak/src/fault_proxy.rs
@@ -1,5 +1,5 @@
-//! The fault proxy: it forwards the connections from one router to one server, and can stall or
-//! reset them.
+//! The fault proxy, which forwards the connections from one router to one fake server and can stall
+//! or reset them.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -18,34 +18,35 @@
 use crate::model_server::ModelServer;
 use crate::run_state::RunState;
 
-/// How an attempt begins on the wire.
+/// First bytes of an attempt.
 const ATTEMPT_PREFIX: &[u8] = b"POST /v1/";
-/// How a call that releases KV state begins on the wire.
+/// First bytes of a request that releases KV state.
 const RELEASE_PREFIX: &[u8] = b"DELETE /bootstrap/";
-/// The answer to a release that is dropped on purpose.
-const RELEASE_ANSWER: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
-/// For how long an injected violation delays an attempt.
+/// Response to a release that the proxy drops as an injected violation.
+const RELEASE_RESPONSE: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
+/// Delay of an attempt as an injected violation.
 const INJECTED_DELAY: Duration = Duration::from_millis(900);
-/// How long a connection stays open after its client has closed it, in a run with an injected
-/// violation: what was delayed on purpose must have arrived by then.
+/// Duration for which the proxy keeps a connection open after the router has closed it, in a run with
+/// an injected violation, so that bytes that were delayed on purpose reach the fake server.
 const INJECTED_CLOSE_DELAY: Duration = Duration::from_millis(90);
-/// Bytes that are forwarded at once.
+/// Maximum number of bytes that are forwarded at once.
 const BUFFER_SIZE: usize = 16 * 1024;
 
-/// A proxy between one router and one server.
+/// A proxy between one router and one fake server.
 pub struct FaultProxy {
-    /// Where the router connects.
+    /// Address to which the router connects.
     pub address: SocketAddr,
     router: usize,
     server: Rc<ModelServer>,
     stalled: watch::Sender<bool>,
     connections: RefCell<Vec<AbortHandle>>,
-    /// Whether connections may have been open during a stall: they are reset when it ends.
+    /// Whether the proxy has stalled since the last resume. The next resume then resets all
+    /// connections, as they may have been open during the stall.
     reset_on_resume: Cell<bool>,
 }
 
 impl FaultProxy {
-    /// Listens on a free port.
+    /// Starts a proxy on a free port.
     pub async fn start(
         state: Rc<RunState>,
         router: usize,
@@ -74,13 +75,13 @@
         }
     }
 
-    /// Forwards nothing from now on, and closes nothing.
+    /// Stops forwarding, and keeps all connections open.
     pub fn stall(&self) {
         self.stalled.send_replace(true);
         self.reset_on_resume.set(true);
     }
 
-    /// Forwards again; connections that were open during the stall are reset.
+    /// Resets the connections that were open during the stall, and forwards again.
     pub fn resume(&self) {
         if self.reset_on_resume.replace(false) {
             self.reset_connections();
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Forwards one connection until either side closes it.
+    /// Forwards the bytes of one connection until either side closes it.
     async fn forward(self: Rc<Self>, state: Rc<RunState>, router_side: TcpStream) {
         let connection = state.next_number();
         let _attempt_end = EndAttemptOnDrop {
@@ -146,12 +147,14 @@
                 let mut oracle = state.oracle.borrow_mut();
                 oracle.attempt_started(self.router, self.server.index, state.now());
             }
-            if bytes.starts_with(RELEASE_PREFIX) && state.injects(InjectedViolation::LeakedLease) {
-                let _ = to_router.try_write(RELEASE_ANSWER);
+            if bytes.starts_with(RELEASE_PREFIX)
+                && state.should_inject(InjectedViolation::LeakedLease)
+            {
+                let _ = to_router.try_write(RELEASE_RESPONSE);
                 continue;
             }
-            if state.injects(InjectedViolation::AfterDisconnect)
-                || state.injects(InjectedViolation::Deadline)
+            if state.should_inject(InjectedViolation::AfterDisconnect)
+                || state.should_inject(InjectedViolation::Deadline)
             {
                 sleep(INJECTED_DELAY).await;
             }
@@ -178,13 +181,13 @@
             if write_all(to_router, &buffer[..length]).await.is_err() {
                 return;
             }
-            state.answer_delivered(connection);
+            state.response_delivered(connection);
         }
     }
 }
 
-/// Writes all bytes through a shared reference, as both directions of a connection write to the
-/// router.
+/// Writes all bytes. Takes a shared reference to the stream, as both directions of a connection write
+/// to the router.
 async fn write_all(stream: &OwnedWriteHalf, mut rest: &[u8]) -> io::Result<()> {
     while !rest.is_empty() {
         match stream.try_write(rest) {
@@ -196,7 +199,8 @@
     Ok(())
 }
 
-/// Reports the end of the attempt on a connection, however the connection ends.
+/// Reports the end of the attempt on a connection when it is dropped, which covers each way in which
+/// a connection can end.
 struct EndAttemptOnDrop {
     state: Rc<RunState>,
     connection: u64,
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,5 @@
-//! The soak as a program: one run for each seed, with one line for each run and its violations.
+//! The soak program: it executes one run per seed, and prints one line for each run, followed by the
+//! violations of the run.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -11,50 +12,51 @@
 use cranetack_soak::run::run;
 use tokio::task::LocalSet;
 
-/// The most routers of a run.
+/// Maximum number of routers of a run.
 const MAX_ROUTERS: usize = 40;
-/// Prefill servers of a run.
+/// Number of fake prefill servers of a run.
 const PREFILL_SERVERS: usize = 4;
-/// Decode servers of a run.
+/// Number of fake decode servers of a run.
 const DECODE_SERVERS: usize = 5;
-/// Violations of a run that are printed.
+/// Maximum number of violations that are printed for a run.
 const PRINTED_VIOLATIONS: usize = 12;
 
-/// Runs real routers through overlapping faults and checks the rules of the protocol.
+/// Runs real routers under overlapping faults and checks the rules of the protocol.
 #[derive(Parser)]
 #[command(name = "soak", version)]
 struct Cli {
-    /// The router's program.
+    /// Path of the router program.
     #[arg(long, default_value = "target/release/cranetack")]
     program: PathBuf,
-    /// The library that steps the clock and fails system calls; `--plain` runs without it.
+    /// Path of the library that shifts the wall clock of the routers and makes their system calls
+    /// fail; not used with `--plain`.
     #[arg(
         long,
         default_value = "target/release/libcranetack_syscall_fault_shim.so"
     )]
     shim: PathBuf,
-    /// Leave clock and system calls alone.
+    /// Run the routers without the library that injects clock and system call faults.
     #[arg(long)]
     plain: bool,
-    /// Which system calls fail.
+    /// Names of the faults that the library injects, separated by commas.
     #[arg(long, default_value = "accept,connect,socket,wait,short,file")]
     faults: String,
-    /// Where configuration files and logs go.
+    /// Folder for the configuration files and logs of the routers.
     #[arg(long, default_value = "target/soak")]
     folder: PathBuf,
-    /// The first seed.
+    /// Seed of the first run.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds.
+    /// Number of runs; their seeds are consecutive.
     #[arg(long, default_value_t = 4)]
     seeds: u64,
-    /// For how long new faults begin in each run (s).
+    /// Duration in which faults are started in each run, in seconds.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// The number of routers.
+    /// Number of routers.
     #[arg(long, default_value_t = 10)]
     routers: usize,
-    /// A violation to cause on purpose: the run passes if the oracle reports it.
+    /// Violation to cause on purpose; a run passes if the oracle reports it.
     #[arg(long = "plant", value_name = "PLANT")]
     injected_violation: Option<InjectedViolation>,
 }
@@ -75,7 +77,7 @@
             routers: self.routers.clamp(1, MAX_ROUTERS),
             prefill_servers: PREFILL_SERVERS,
             decode_servers: DECODE_SERVERS,
-            fault_span: Duration::from_secs(self.seconds),
+            fault_injection_duration: Duration::from_secs(self.seconds),
             injected_violation: self.injected_violation,
         })
     }
@@ -99,7 +101,7 @@
     }
 }
 
-/// Runs all seeds. Returns whether all runs passed.
+/// Executes the runs for all seeds. Returns whether all runs passed.
 fn run_seeds(cli: &Cli) -> Result<bool, SoakError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -122,7 +124,8 @@
     Ok(failed == 0)
 }
 
-/// Whether all rules were kept or, in a run with an injected violation, its rule was broken.
+/// Returns whether a run passed: no rule was broken or, in a run with an injected violation, the rule
+/// of this violation was broken.
 fn has_passed(report: &RunReport, injected: Option<InjectedViolation>) -> bool {
     match injected {
         None => report.violations.is_empty(),
--- a/crates/soak/src/model_server.rs
+++ b/crates/soak/src/model_server.rs
@@ -1,5 +1,5 @@
-//! Fake prefill and decode servers. They report to the oracle which attempts arrived and which leases
-//! they hold.
+//! Fake prefill and decode servers, which are the endpoints of the routers under test. They report to
+//! the oracle which attempts arrive and which leases they hold.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -26,36 +26,38 @@
 
 type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// Requests that a prefill server processes at once.
+/// Number of attempts that a prefill server processes at the same time.
 const PREFILL_SLOTS: usize = 4;
-/// Requests that a decode server processes at once.
+/// Number of attempts that a decode server processes at the same time.
 const DECODE_SLOTS: usize = 24;
-/// Requests that may be in a server before it rejects more.
+/// Number of attempts at a server, waiting or in progress, from which it rejects more.
 const QUEUE_LIMIT: usize = 40;
-/// How long a decode server waits before it answers that no prefill of a request is under way.
+/// Delay before a decode server responds to a slot reservation for a request that has no prefill in
+/// progress.
 const UNKNOWN_PREFILL_DELAY: Duration = Duration::from_millis(300);
-/// Of 100 decode slot reservations, how many a server rejects.
+/// Percentage of the slot reservations that a decode server rejects.
 const RESERVATION_CONFLICT_PERCENT: u64 = 25;
 
-/// How the response to an attempt relates to the end of the attempt.
+/// The response to an attempt, by when the attempt ends.
 enum AttemptResponse {
-    /// The attempt ends with this response.
+    /// The attempt ends when this response has been delivered.
     Complete(Response<Body>),
-    /// The attempt ends with the stream.
+    /// The attempt ends when the stream of this response ends.
     Streaming(Response<Body>),
 }
 
-/// A fake server. It may die and start anew.
+/// A fake server. It can be killed and started again.
 pub struct ModelServer {
-    /// Its index in the run.
+    /// Index of the server, which is also the index of the endpoint in the endpoint list.
     pub index: usize,
-    /// What it does.
+    /// Role of the server.
     pub role: Role,
-    /// Whether it processes and answers nothing.
+    /// Whether the server hangs: it accepts connections, but processes no request and sends no
+    /// response.
     pub hung: watch::Sender<bool>,
-    /// Of 100 requests, how many end with an error after they have run.
+    /// Percentage of the attempts that fail after they have been executed.
     pub error_percent: Cell<u64>,
-    /// Whether it rejects new work.
+    /// Whether the server rejects new attempts.
     pub draining: Cell<bool>,
     address: Cell<SocketAddr>,
     queue_length: Cell<usize>,
@@ -64,7 +66,7 @@
 }
 
 impl ModelServer {
-    /// Starts a server.
+    /// Starts a fake server.
     pub async fn start(
         state: &Rc<RunState>,
         index: usize,
@@ -89,20 +91,20 @@
         Ok(server)
     }
 
-    /// Where it listens now.
+    /// Returns the address on which the server listens now.
     pub fn address(&self) -> SocketAddr {
         self.address.get()
     }
 
-    /// The process dies: its connections are closed, and its leases are lost.
+    /// Simulates the death of the server process: closes its connections and ends its leases.
     pub fn kill(&self, state: &RunState) {
         for task in self.tasks.borrow_mut().drain(..) {
             task.abort();
         }
-        state.server_lost(self.index);
+        state.end_leases_at(self.index);
     }
 
-    /// Starts a new process, at another port.
+    /// Simulates the start of a new server process: listens on a new port.
     pub async fn listen(self: &Rc<Self>, state: &Rc<RunState>) -> std::io::Result<()> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         self.address.set(listener.local_addr()?);
@@ -129,7 +131,7 @@
         stream: TcpStream,
         peer: SocketAddr,
     ) {
-        // The proxy records its connection right after it is established.
+        // Waits for the proxy to record its connection, which it does right after connecting.
         sleep(Duration::from_millis(1)).await;
         let known = state.connections.borrow_mut().remove(&peer);
         let connection = known.unwrap_or_else(|| state.next_number());
@@ -157,7 +159,9 @@
         }
         self.wait_while_hung().await;
         if let Some(id) = path.strip_prefix("/bootstrap/rooms/") {
-            return self.serve_slot(state, request.method(), id).await;
+            return self
+                .serve_reservation_or_release(state, request.method(), id)
+                .await;
         }
         if path == "/metrics/load" {
             return complete(StatusCode::OK, self.load_report());
@@ -201,7 +205,7 @@
         match self.run_attempt(state, &id, connection).await {
             AttemptResponse::Streaming(response) => response,
             AttemptResponse::Complete(response) => {
-                state.answered.borrow_mut().insert(connection);
+                state.undelivered_responses.borrow_mut().insert(connection);
                 response
             }
         }
@@ -269,7 +273,7 @@
         AttemptResponse::Streaming(stream_events(state.clone(), connection))
     }
 
-    /// Rejects an attempt before it has run.
+    /// Rejects an attempt without executing it.
     fn reject(&self, state: &RunState, id: &str, status: StatusCode) -> AttemptResponse {
         state.oracle.borrow_mut().attempt_rejected(id, self.role);
         let mut response = complete(status, "");
@@ -279,8 +283,13 @@
         AttemptResponse::Complete(response)
     }
 
-    /// Reserves a decode slot for a request, or releases its leases.
-    async fn serve_slot(&self, state: &RunState, method: &Method, id: &str) -> Response<Body> {
+    /// Reserves a decode slot for a request (POST), or releases its leases (any other method).
+    async fn serve_reservation_or_release(
+        &self,
+        state: &RunState,
+        method: &Method,
+        id: &str,
+    ) -> Response<Body> {
         if method != Method::POST {
             state.release(id);
             return complete(StatusCode::NO_CONTENT, "");
@@ -310,12 +319,12 @@
     value.to_str().ok().map(str::to_owned)
 }
 
-/// Reports an attempt to the oracle, and now and then a second time as an injected violation.
+/// Reports an attempt to the oracle, and at random a second time as an injected violation.
 fn report_received(state: &RunState, received: &ReceivedAttempt<'_>) {
     let mut oracle = state.oracle.borrow_mut();
     oracle.attempt_received(received, state.now());
-    if state.injects(InjectedViolation::ConcurrentAttempts)
-        || state.injects(InjectedViolation::DuplicateExecution)
+    if state.should_inject(InjectedViolation::ConcurrentAttempts)
+        || state.should_inject(InjectedViolation::DuplicateExecution)
     {
         let duplicate = ReceivedAttempt {
             number: state.next_number(),
@@ -325,7 +334,7 @@
     }
 }
 
-/// Counts a request as queued for as long as it lives.
+/// Increments a queue length until it is dropped.
 struct QueueLengthGuard<'a>(&'a Cell<usize>);
 
 impl<'a> QueueLengthGuard<'a> {
@@ -341,7 +350,7 @@
     }
 }
 
-/// Keeps a request in a set for as long as it lives.
+/// Keeps a request ID in a set until it is dropped.
 struct SetMemberGuard<'a> {
     set: &'a RefCell<HashSet<String>>,
     id: String,
@@ -372,8 +381,8 @@
     response
 }
 
-/// Streams some events, some milliseconds apart. The attempt ends with the last one, or when the
-/// connection is closed.
+/// Returns a response that streams a random number of events at random intervals. The attempt ends
+/// after the last event, or when the connection is closed.
 fn stream_events(state: Rc<RunState>, connection: u64) -> Response<Body> {
     let (frames, receiver) = mpsc::channel(1);
     spawn_local(async move {
--- a/crates/soak/src/options.rs
+++ b/crates/soak/src/options.rs
@@ -1,4 +1,4 @@
-//! What a run is asked to do, and what it reports.
+//! The options of a run, and its report.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -6,43 +6,43 @@
 use crate::injected_violation::InjectedViolation;
 use crate::oracle::Violation;
 
-/// What a run is asked to do.
+/// The options of a run.
 #[derive(Debug, Clone)]
 pub struct RunOptions {
-    /// The router's program.
+    /// Path of the router program.
     pub program: PathBuf,
-    /// The library that is preloaded into routers; without one, clock and system calls are the
-    /// system's own.
+    /// Path of the library that is preloaded into routers to shift the wall clock and make system
+    /// calls fail; `None` to run without it.
     pub shim: Option<PathBuf>,
-    /// Which system calls fail, by the library's names for them, separated by commas.
+    /// Names of the faults that the library injects, separated by commas.
     pub syscall_faults: String,
-    /// Where configuration files and logs go.
+    /// Folder for the configuration files and logs of the routers.
     pub folder: PathBuf,
-    /// The seed.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// The number of routers.
+    /// Number of routers.
     pub routers: usize,
-    /// The number of prefill servers.
+    /// Number of fake prefill servers.
     pub prefill_servers: usize,
-    /// The number of decode servers.
+    /// Number of fake decode servers.
     pub decode_servers: usize,
-    /// For how long new faults begin.
-    pub fault_span: Duration,
-    /// A violation to cause on purpose.
+    /// Duration in which faults are started. A fault may end later.
+    pub fault_injection_duration: Duration,
+    /// Violation to cause on purpose, if any.
     pub injected_violation: Option<InjectedViolation>,
 }
 
-/// What a run reports.
+/// The report of a run.
 #[derive(Debug)]
 pub struct RunReport {
-    /// Requests that were served.
+    /// Number of requests that were served.
     pub served: usize,
-    /// Requests that were rejected.
+    /// Number of requests that were rejected.
     pub rejected: usize,
-    /// Requests that got another answer.
+    /// Number of requests that got another response.
     pub failed: usize,
-    /// Faults that were injected.
+    /// Number of faults that were injected.
     pub faults: usize,
-    /// The violations that the oracle found.
+    /// Violations that the oracle found.
     pub violations: Vec<Violation>,
 }
--- a/crates/soak/src/router_process.rs
+++ b/crates/soak/src/router_process.rs
@@ -1,4 +1,4 @@
-//! The routers: processes of the program under test, with their configuration, signals and logs.
+//! The routers under test: their processes, configuration files, signals and logs.
 
 use std::cell::{Cell, RefCell};
 use std::fs;
@@ -22,42 +22,42 @@
 use crate::router_settings::router_settings;
 use crate::run_state::RunState;
 
-/// A router must end within this after SIGTERM: the longest that it may drain, and some time more.
+/// Maximum time until a router has ended after SIGTERM: its maximum time to drain plus a tolerance.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3_000 + 700);
-/// A router must be ready within this after its start.
+/// Maximum time from the start of a router until it is ready.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often a starting router is asked whether it is ready.
+/// Interval of the readiness checks of a starting router.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a router may take to answer whether it is ready.
+/// Maximum time until a router responds to a readiness check.
 const READINESS_TIMEOUT: Duration = Duration::from_millis(500);
-/// Texts in a log that say that something is wrong inside a router.
-const ALARMS: [&str; 3] = ["panicked", "a decision failed", "a rule is broken"];
-/// The most characters of a log line that are reported.
-const ALARM_LENGTH: usize = 600;
-/// By how many seconds the wall clock of a router may be wrong.
+/// Texts in the log of a router that indicate an internal error.
+const ALARM_TEXTS: [&str; 3] = ["panicked", "a decision failed", "a rule is broken"];
+/// Maximum number of characters of a log line that are reported.
+const MAX_ALARM_CHARS: usize = 600;
+/// Possible offsets of the wall clock of a router process, in seconds.
 const CLOCK_STEPS_S: [i64; 5] = [0, 3_600, -3_600, 5, -5];
 
-/// How a process is ended.
+/// How a process is stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Shutdown {
-    /// SIGTERM, and SIGKILL if it does not end in time.
+    /// With SIGTERM, and with SIGKILL if it does not end in time.
     Graceful,
-    /// SIGKILL.
+    /// With SIGKILL.
     Kill,
 }
 
 /// A signal that is sent with the program `kill`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Signal {
-    /// Ends the process at once.
+    /// SIGKILL, which ends the process at once.
     Kill,
-    /// Asks it to shut down.
+    /// SIGTERM, on which a router shuts down gracefully.
     Terminate,
-    /// Asks it to read its configuration again.
+    /// SIGHUP, on which a router reloads its configuration.
     HangUp,
-    /// Pauses it.
+    /// SIGSTOP, which pauses the process.
     Stop,
-    /// Lets it go on.
+    /// SIGCONT, which resumes a paused process.
     Continue,
 }
 
@@ -79,29 +79,29 @@
     }
 }
 
-/// A router that is started, ended and started again under one name and address.
+/// A router. Its process can be stopped and started again with the same name and address.
 pub struct RouterProcess {
-    /// Its index in the run.
+    /// Index of the router in the run.
     pub index: usize,
-    /// Where clients connect.
+    /// Address to which clients connect.
     pub address: SocketAddr,
-    /// Whether clients choose it for new requests.
+    /// Whether clients send new requests to the router.
     pub in_rotation: Cell<bool>,
-    /// How often it was killed. What was sent to it before a kill may have been read, and no client
-    /// sends it again.
+    /// Number of times that the process was killed. The router may have read a request that was sent
+    /// to it before a kill, so clients do not send such a request again.
     pub kill_count: Cell<u32>,
     discovery: Rc<DiscoveryServer>,
     peers: Vec<SocketAddr>,
     options: Rc<RunOptions>,
     child: RefCell<Option<Child>>,
     start_count: Cell<u32>,
-    /// Which address of its discovery server the configuration names.
+    /// Index of the discovery server's address that is in the configuration.
     discovery_address: Cell<usize>,
     restarting: Cell<bool>,
 }
 
 impl RouterProcess {
-    /// A router that does not run yet.
+    /// Creates a router whose process is not running.
     pub fn new(
         index: usize,
         address: SocketAddr,
@@ -144,7 +144,8 @@
             "known": self.discovery.snapshot(),
             "settings": router_settings(self.index, self.peers.len()),
         });
-        // In place, as an operator's tool may do it: the router can read half of the file.
+        // The file is written in place, as an operator's tool may do, so that the router can read a
+        // partly written file.
         fs::write(self.file("json"), config.to_string())
     }
 
@@ -204,7 +205,7 @@
         Ok(())
     }
 
-    /// Sends the process a signal.
+    /// Sends a signal to the process, if it runs.
     pub fn signal(&self, signal: Signal) {
         let id = self.child.borrow().as_ref().and_then(Child::id);
         if let Some(id) = id {
@@ -212,27 +213,28 @@
         }
     }
 
-    /// Writes the other address of the discovery server into the configuration and has the router
-    /// read it again.
+    /// Writes the other address of the discovery server into the configuration and makes the router
+    /// reload it.
     pub fn reload_with_other_discovery_address(&self) {
         self.discovery_address.set(1 - self.discovery_address.get());
         let _ = self.write_config();
         self.signal(Signal::HangUp);
     }
 
-    /// Pauses the process for a while.
-    pub async fn pause(&self, span: Duration) {
+    /// Pauses the process for a duration.
+    pub async fn pause(&self, duration: Duration) {
         self.signal(Signal::Stop);
-        sleep(span).await;
+        sleep(duration).await;
         self.signal(Signal::Continue);
     }
 
-    /// Ends the process and starts it again after a while. Does nothing during another restart.
+    /// Stops the process and starts it again after `downtime`. Does nothing if a restart is already in
+    /// progress.
     pub async fn restart(&self, state: &RunState, shutdown: Shutdown, downtime: Duration) {
         if self.restarting.replace(true) {
             return;
         }
-        self.end(state, shutdown).await;
+        self.stop(state, shutdown).await;
         sleep(downtime).await;
         if !state.finished.get() {
             if let Err(error) = self.start(state).await {
@@ -242,24 +244,28 @@
         self.restarting.set(false);
     }
 
-    /// Ends the process.
-    pub async fn end(&self, state: &RunState, shutdown: Shutdown) {
+    /// Stops the process. Reports a violation if it has ended before or does not end as it should.
+    pub async fn stop(&self, state: &RunState, shutdown: Shutdown) {
         let Some(mut child) = self.child.borrow_mut().take() else {
             return;
         };
-        // Before the check, as a process that has ended has no id any more.
+        // The ID must be read before `try_wait`, as it is no longer available once the process is
+        // known to have ended.
         let id = child.id().map(|id| id.to_string()).unwrap_or_default();
         if let Some(status) = child.try_wait().ok().flatten() {
-            let detail = format!("router {} had ended by itself: {status}", self.index);
+            let detail = format!(
+                "router {} ended without being stopped: {status}",
+                self.index
+            );
             state.report_violation(Rule::Crash, detail);
         }
         match shutdown {
-            Shutdown::Graceful => self.end_gracefully(state, child, &id).await,
+            Shutdown::Graceful => self.stop_gracefully(state, child, &id).await,
             Shutdown::Kill => self.kill(state, child).await,
         }
     }
 
-    async fn end_gracefully(&self, state: &RunState, mut child: Child, id: &str) {
+    async fn stop_gracefully(&self, state: &RunState, mut child: Child, id: &str) {
         Signal::Terminate.send(id);
         // The load balancer in front of the routers notices a shutdown with a delay.
         sleep(state.draw_millis(100, 400)).await;
@@ -271,7 +277,10 @@
                 state.report_violation(Rule::Crash, detail);
             }
             Err(_) => {
-                let detail = format!("router {} still ran at its end", self.index);
+                let detail = format!(
+                    "router {} did not end within {SHUTDOWN_TIMEOUT:?} after SIGTERM",
+                    self.index
+                );
                 state.report_violation(Rule::Crash, detail);
                 let _ = child.kill().await;
             }
@@ -280,18 +289,19 @@
 
     async fn kill(&self, state: &RunState, mut child: Child) {
         self.in_rotation.set(false);
-        // Before the signal, as clients may see the closed connections first.
+        // The count must change before the signal is sent, as clients may notice the closed
+        // connections before this function continues.
         self.kill_count.set(self.kill_count.get() + 1);
         state.oracle.borrow_mut().router_killed(self.index);
         let _ = child.kill().await;
     }
 
-    /// Whether the process runs.
+    /// Returns whether the process has been started and not been stopped.
     pub fn is_running(&self) -> bool {
         self.child.borrow().is_some()
     }
 
-    /// The lines of its log that say that something is wrong inside it.
+    /// Returns the log lines of the router that indicate an internal error.
     pub fn alarms(&self) -> Vec<String> {
         alarms(&self.file("log"))
     }
@@ -300,14 +310,14 @@
 fn alarms(log: &Path) -> Vec<String> {
     let text = fs::read_to_string(log).unwrap_or_default();
     text.lines()
-        .filter(|line| ALARMS.iter().any(|alarm| line.contains(alarm)))
-        .map(|line| line.chars().take(ALARM_LENGTH).collect())
+        .filter(|line| ALARM_TEXTS.iter().any(|alarm| line.contains(alarm)))
+        .map(|line| line.chars().take(MAX_ALARM_CHARS).collect())
         .collect()
 }
 
-/// Whether the router at an address says that it is ready.
+/// Returns whether the router at an address reports that it is ready.
 async fn is_ready(address: SocketAddr) -> bool {
-    let answer = async {
+    let response = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
         stream
             .write_all(b"GET /up HTTP/1.1\r\nhost: app\r\nconnection: close\r\n\r\n")
@@ -317,7 +327,7 @@
         let _ = stream.read_to_end(&mut received).await;
         Some(received.starts_with(b"HTTP/1.1 200"))
     };
-    timeout(READINESS_TIMEOUT, answer)
+    timeout(READINESS_TIMEOUT, response)
         .await
         .ok()
         .flatten()
--- a/crates/soak/src/router_settings.rs
+++ b/crates/soak/src/router_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the routers under test, and the limits that follow from them.
+//! The settings of the routers under test, and the limits that the oracle derives from them.
 
 use std::time::Duration;
 
@@ -6,21 +6,22 @@
 
 use crate::oracle::{Idempotency, Limits, Role};
 
-/// The longest that clients of class `chat` wait.
+/// Maximum deadline of the requests of class `chat`.
 const CHAT_DEADLINE: Duration = Duration::from_millis(2_500);
-/// The longest that clients of class `order` wait. No class has a longer deadline.
+/// Maximum deadline of the requests of class `order`. No class has a longer one.
 pub const ORDER_DEADLINE: Duration = Duration::from_millis(4_000);
-/// KV state and decode slots must be used or released within this.
+/// Duration within which KV state and decode slots must be used or released.
 const KV_LEASE_TIMEOUT: Duration = Duration::from_millis(300);
-/// No new attempts may start once this has passed after the notification of a drain.
+/// Duration after the notification of a drain in which new attempts may still start.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
-/// How long a prefill server is in slow start.
+/// Duration of the slow start of a prefill endpoint, which is `fall_us` in the settings.
 const SLOW_START_WINDOW: Duration = Duration::from_millis(3_000);
-/// Attempts that a prefill server accepts in slow start: 4 times the 26 % of its 4 slots that it
-/// has then, at 80 ms an attempt.
+/// Expected number of attempts at a prefill endpoint within its slow start of 3,000 ms: 4 times
+/// (`fall_multiple`) the 26 % (`start_capacity`) of its 4 slots that are available then, with 80 ms
+/// per attempt.
 const SLOW_START_ATTEMPTS: f64 = 156.0;
 
-/// The limits that the oracle checks.
+/// Limits that the oracle checks.
 pub const LIMITS: Limits = Limits {
     drain_grace: DRAIN_GRACE,
     kv_lease_timeout: KV_LEASE_TIMEOUT,
@@ -28,7 +29,7 @@
     slow_start_window: SLOW_START_WINDOW,
 };
 
-/// The name of the request class with this idempotency.
+/// Returns the name of the request class with this idempotency.
 pub fn class_name(idempotency: Idempotency) -> &'static str {
     match idempotency {
         Idempotency::Idempotent => "chat",
@@ -36,7 +37,7 @@
     }
 }
 
-/// The deadline of the request class with this idempotency.
+/// Returns the maximum deadline of the request class with this idempotency.
 pub fn class_deadline(idempotency: Idempotency) -> Duration {
     match idempotency {
         Idempotency::Idempotent => CHAT_DEADLINE,
@@ -44,16 +45,16 @@
     }
 }
 
-/// The name of the server type with this role in the settings and in the endpoint list.
-pub fn server_type(role: Role) -> &'static str {
+/// Returns the name of the endpoint kind with this role in the settings and in the endpoint list.
+pub fn endpoint_kind(role: Role) -> &'static str {
     match role {
         Role::Prefill => "reader",
         Role::Decode => "writer",
     }
 }
 
-fn micros(span: Duration) -> u64 {
-    span.as_micros() as u64
+fn micros(duration: Duration) -> u64 {
+    duration.as_micros() as u64
 }
 
 fn class(idempotency: Idempotency) -> Value {
@@ -71,13 +72,13 @@
     })
 }
 
-/// The settings of one router, as its configuration file holds them.
+/// Returns the settings of one router, in the format of its configuration file.
 pub fn router_settings(router_index: usize, router_count: usize) -> Value {
     json!({
         "az": "here",
         "period_us": 4_000,
         "zones": ["here"],
-        "kinds": [server_type(Role::Prefill), server_type(Role::Decode)],
+        "kinds": [endpoint_kind(Role::Prefill), endpoint_kind(Role::Decode)],
         "balancers": router_count,
         "me": router_index,
         "classes": [class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)],
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -16,23 +16,24 @@
 use crate::router_process::{Shutdown, Signal};
 use crate::router_settings::ORDER_DEADLINE;
 
-/// The shortest time between the beginnings of two faults (ms).
+/// Minimum time between the starts of two faults, in milliseconds.
 const MIN_FAULT_INTERVAL_MS: u64 = 250;
-/// The longest time between the beginnings of two faults (ms).
+/// Exclusive upper bound of the time between the starts of two faults, in milliseconds.
 const MAX_FAULT_INTERVAL_MS: u64 = 900;
-/// After the last fault the clients go on for this long, so that all faults have ended and all
-/// leases are released.
-const RECOVERY_SPAN: Duration = Duration::from_secs(5);
-/// How much longer than the longest deadline a run waits for the last answers.
-const LAST_ANSWER_MARGIN: Duration = Duration::from_secs(1);
-/// How often the oracle looks for what is overdue.
+/// Duration after the start of the last fault for which clients still send requests, so that all
+/// faults end and all leases are released.
+const RECOVERY_DURATION: Duration = Duration::from_secs(5);
+/// Time that a run waits for the last responses beyond the longest deadline.
+const LAST_RESPONSE_MARGIN: Duration = Duration::from_secs(1);
+/// Interval at which the oracle checks for overdue responses and leases.
 const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Clients for each router.
+/// Number of clients per router.
 const CLIENTS_PER_ROUTER: usize = 4;
-/// The mean pause of a client between two requests (ms).
+/// Mean pause of a client between two requests, in milliseconds.
 const CLIENT_PAUSE_MS: u64 = 60;
 
-/// Runs from start to end. Must be called within a `LocalSet`, which owns all tasks of the run.
+/// Executes one run and returns its report. Must be called within a `LocalSet`, which owns all tasks
+/// of the run.
 pub async fn run(options: RunOptions) -> Result<RunReport, SoakError> {
     std::fs::create_dir_all(&options.folder).map_err(|source| SoakError::File {
         path: options.folder.clone(),
@@ -48,11 +49,11 @@
     if options.injected_violation == Some(InjectedViolation::Crash) {
         environment.routers[0].signal(Signal::Kill);
     }
-    let faults = inject_faults(&environment, options.fault_span).await;
-    sleep(RECOVERY_SPAN).await;
+    let faults = inject_faults(&environment, options.fault_injection_duration).await;
+    sleep(RECOVERY_DURATION).await;
     environment.state.finished.set(true);
-    sleep(ORDER_DEADLINE + LAST_ANSWER_MARGIN).await;
-    end_routers(&environment).await;
+    sleep(ORDER_DEADLINE + LAST_RESPONSE_MARGIN).await;
+    stop_routers(&environment).await;
     Ok(report(&environment, faults))
 }
 
@@ -63,12 +64,12 @@
     }
 }
 
-/// Injects faults, which may overlap, and returns how many.
-async fn inject_faults(environment: &Rc<TestEnvironment>, span: Duration) -> usize {
+/// Starts faults, which may overlap, for a duration. Returns the number of faults.
+async fn inject_faults(environment: &Rc<TestEnvironment>, duration: Duration) -> usize {
     let state = &environment.state;
-    let end = state.now() + span;
+    let injection_end = state.now() + duration;
     let mut faults = 0;
-    while state.now() < end {
+    while state.now() < injection_end {
         let pause = state.draw_millis(MIN_FAULT_INTERVAL_MS, MAX_FAULT_INTERVAL_MS);
         sleep(pause).await;
         spawn_local(inject_fault(environment.clone()));
@@ -77,11 +78,11 @@
     faults
 }
 
-/// Ends all routers, and reports what their logs say is wrong.
-async fn end_routers(environment: &TestEnvironment) {
+/// Stops all routers, and reports each line of their logs that indicates an internal error.
+async fn stop_routers(environment: &TestEnvironment) {
     let state = &environment.state;
     for router in &environment.routers {
-        router.end(state, Shutdown::Graceful).await;
+        router.stop(state, Shutdown::Graceful).await;
         for alarm in router.alarms() {
             state.report_violation(Rule::Crash, format!("router {}: {alarm}", router.index));
         }
@@ -99,7 +100,7 @@
     }
 }
 
-/// Looks for overdue answers, leases and notifications for as long as the run lasts.
+/// Checks at intervals for overdue responses, leases and notifications, until the run ends.
 async fn check_overdue(environment: Rc<TestEnvironment>) {
     let state = &environment.state;
     loop {
--- a/crates/soak/src/run_state.rs
+++ b/crates/soak/src/run_state.rs
@@ -1,5 +1,5 @@
-//! What all parts of a run share: its clock and random numbers, the oracle, the leases at the fake
-//! servers, and the connections through the fault proxies.
+//! The state that all components of a run share: the clock, the random number generator, the oracle,
+//! the leases at the fake servers, and the connections through the fault proxies.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -14,41 +14,43 @@
 use crate::injected_violation::InjectedViolation;
 use crate::oracle::{LeasedResource, Oracle, Rule};
 
-/// Of 100 occasions for an injected violation, how many are used.
+/// Percentage of the opportunities for an injected violation that are used.
 const INJECTION_PERCENT: u64 = 20;
-/// The stream of the random number generator, the same for all seeds.
+/// Stream of the random number generator, the same for all seeds.
 const RNG_STREAM: u64 = 0x5eed_50a6;
 
-/// An attempt that has arrived at a server.
+/// An attempt that has arrived at a fake server and has not ended.
 #[derive(Debug)]
 pub struct AttemptInFlight {
-    /// The request that it belongs to.
+    /// ID of the request.
     pub request_id: String,
-    /// Its number, unique in the run.
+    /// Number of the attempt, unique in the run.
     pub number: u64,
 }
 
-/// The shared state of a run. All of it lives on one thread.
+/// The shared state of a run. It is used on one thread only.
 pub struct RunState {
-    /// The rules.
+    /// The oracle, which checks the rules.
     pub oracle: RefCell<Oracle>,
-    /// By request: the server that keeps its KV state.
+    /// Index of the fake server that holds the KV state of a request, by request ID.
     pub kv_states: RefCell<HashMap<String, usize>>,
-    /// By request: the server at which a decode slot is reserved for it.
+    /// Index of the fake server at which a decode slot is reserved for a request, by request ID.
     pub decode_slots: RefCell<HashMap<String, usize>>,
-    /// Requests whose prompt is being processed.
+    /// IDs of the requests whose prompt is being processed.
     pub prefilling: RefCell<HashSet<String>>,
-    /// Requests that wait for their KV state at a decode server.
+    /// IDs of the requests that wait for their KV state at a decode server.
     pub fetching: RefCell<HashSet<String>>,
-    /// The number of the proxied connection that a server sees from this address.
+    /// Numbers of the proxied connections, by the local address of the proxy's connection to the
+    /// fake server.
     pub connections: RefCell<HashMap<SocketAddr, u64>>,
-    /// The attempt in flight on a connection.
+    /// The attempts in flight, by the number of the connection.
     pub attempts: RefCell<HashMap<u64, AttemptInFlight>>,
-    /// Connections whose attempt was answered, with the answer still on its way to the router.
-    pub answered: RefCell<HashSet<u64>>,
-    /// Whether the clients send no more requests.
+    /// Numbers of the connections on which a fake server has sent a complete response that has not
+    /// been forwarded to the router yet.
+    pub undelivered_responses: RefCell<HashSet<u64>>,
+    /// Whether the clients must stop sending requests.
     pub finished: Cell<bool>,
-    /// A violation to cause on purpose.
+    /// The violation that the run causes on purpose, if any.
     pub injected_violation: Option<InjectedViolation>,
     started_at: Instant,
     next_number: Cell<u64>,
@@ -56,7 +58,7 @@
 }
 
 impl RunState {
-    /// The state of a run that starts now.
+    /// Creates the state of a run that starts now.
     pub fn new(
         oracle: Oracle,
         seed: u64,
@@ -70,7 +72,7 @@
             fetching: RefCell::default(),
             connections: RefCell::default(),
             attempts: RefCell::default(),
-            answered: RefCell::default(),
+            undelivered_responses: RefCell::default(),
             finished: Cell::default(),
             injected_violation,
             started_at: Instant::now(),
@@ -79,34 +81,35 @@
         })
     }
 
-    /// The time since the start, in whole milliseconds.
+    /// Returns the time since the start of the run, rounded down to milliseconds.
     pub fn now(&self) -> Duration {
         let millis = u64::try_from(self.started_at.elapsed().as_millis());
         Duration::from_millis(millis.unwrap_or(u64::MAX))
     }
 
-    /// A number that no other call gets.
+    /// Returns a number that is unique in the run.
     pub fn next_number(&self) -> u64 {
         self.next_number.replace(self.next_number.get() + 1)
     }
 
-    /// A random number from `low` to below `high`.
+    /// Returns a random number from `low` to below `high`.
     pub fn draw(&self, low: u64, high: u64) -> u64 {
         low + u64::from(self.rng.borrow_mut().next_u32()) % (high - low).max(1)
     }
 
-    /// A random number of milliseconds from `low` to below `high`.
+    /// Returns a random number of milliseconds from `low` to below `high`.
     pub fn draw_millis(&self, low: u64, high: u64) -> Duration {
         Duration::from_millis(self.draw(low, high))
     }
 
-    /// True in so many of 100 cases.
+    /// Returns `true` at random, with this probability in percent.
     pub fn chance(&self, percent: u64) -> bool {
         self.draw(0, 100) < percent
     }
 
-    /// Whether to cause this violation now: it is asked for, and chance wants it.
-    pub fn injects(&self, violation: InjectedViolation) -> bool {
+    /// Returns whether to cause this violation now: it must be the injected violation of the run,
+    /// and a random draw must succeed.
+    pub fn should_inject(&self, violation: InjectedViolation) -> bool {
         self.injected_violation == Some(violation) && self.chance(INJECTION_PERCENT)
     }
 
@@ -116,9 +119,9 @@
         oracle.report_violation(rule, self.now(), detail);
     }
 
-    /// The attempt on a connection is no longer in flight.
+    /// Reports to the oracle that the attempt on a connection, if any, is no longer in flight.
     pub fn attempt_ended(&self, connection: u64) {
-        self.answered.borrow_mut().remove(&connection);
+        self.undelivered_responses.borrow_mut().remove(&connection);
         let ended = self.attempts.borrow_mut().remove(&connection);
         if let Some(attempt) = ended {
             let mut oracle = self.oracle.borrow_mut();
@@ -126,15 +129,17 @@
         }
     }
 
-    /// Bytes have been passed on to the router: an attempt that was answered has ended now.
-    pub fn answer_delivered(&self, connection: u64) {
-        let answered = self.answered.borrow_mut().remove(&connection);
-        if answered {
+    /// Records that bytes have been forwarded to the router. If the fake server had already sent the
+    /// complete response, this ends the attempt.
+    pub fn response_delivered(&self, connection: u64) {
+        let was_undelivered = self.undelivered_responses.borrow_mut().remove(&connection);
+        if was_undelivered {
             self.attempt_ended(connection);
         }
     }
 
-    /// Releases a request's KV state and decode slot, but not the state that an attempt waits for.
+    /// Releases the KV state and the decode slot of a request, except for KV state that an attempt is
+    /// waiting for.
     pub fn release(&self, id: &str) {
         let mut oracle = self.oracle.borrow_mut();
         if !self.fetching.borrow().contains(id) {
@@ -147,15 +152,15 @@
         }
     }
 
-    /// A server has died: its leases are lost.
-    pub fn server_lost(&self, server: usize) {
+    /// Ends all leases of a fake server that has died.
+    pub fn end_leases_at(&self, server: usize) {
         let leases = [
             (&self.kv_states, LeasedResource::KvState),
             (&self.decode_slots, LeasedResource::DecodeSlot),
         ];
         let mut oracle = self.oracle.borrow_mut();
-        for (servers, resource) in leases {
-            servers.borrow_mut().retain(|id, holder| {
+        for (holders, resource) in leases {
+            holders.borrow_mut().retain(|id, holder| {
                 if *holder == server {
                     oracle.lease_ended(id, server, resource, self.now());
                 }
--- a/crates/soak/tests/environment.rs
+++ b/crates/soak/tests/environment.rs
@@ -1,4 +1,4 @@
-//! The parts of the test environment without router processes.
+//! Tests of the components of the test environment, without router processes.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -21,11 +21,11 @@
 use tokio::time::{sleep, timeout};
 
 const DEADLINE: Duration = Duration::from_secs(5);
-/// Longer than any lease or answer may be overdue.
-const LONG_AFTER: Duration = Duration::from_secs(20);
-/// Long enough for a spawned task to run for the first time.
+/// Duration after which each unreleased lease and each missing response is overdue.
+const OVERDUE_TIME: Duration = Duration::from_secs(20);
+/// Duration that suffices for a spawned task to run for the first time.
 const TASK_START_TIME: Duration = Duration::from_millis(20);
-/// Long enough for a request and its answer on loopback.
+/// Duration that suffices for a request and its response on loopback.
 const EXCHANGE_TIME: Duration = Duration::from_millis(300);
 
 fn new_state(injected_violation: Option<InjectedViolation>) -> Rc<RunState> {
@@ -38,7 +38,7 @@
     violations.map(|violation| violation.rule).collect()
 }
 
-/// A server behind a proxy for router 0.
+/// Starts a fake server and the proxy between router 0 and this server.
 async fn start_proxied(state: &Rc<RunState>, index: usize, role: Role) -> Rc<FaultProxy> {
     let server = ModelServer::start(state, index, role).await.unwrap();
     FaultProxy::start(state.clone(), 0, server).await.unwrap()
@@ -49,7 +49,7 @@
     oracle.request_sent(id, 0, Idempotency::NonIdempotent, state.now(), DEADLINE);
 }
 
-fn attempt(id: &str) -> String {
+fn attempt_request(id: &str) -> String {
     format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: app\r\nx-request-id: {id}\r\n\
          x-deadline-ms: 4000\r\nconnection: close\r\ncontent-length: 2\r\n\r\n{{}}"
@@ -69,26 +69,26 @@
         let prefill = start_proxied(&state, 0, Role::Prefill).await;
         let decode = start_proxied(&state, 1, Role::Decode).await;
         report_sent(&state, "q1");
-        let prefilled = send(prefill.address, &attempt("q1")).await;
+        let prefilled = send(prefill.address, &attempt_request("q1")).await;
         assert!(prefilled.starts_with("HTTP/1.1 202"), "{prefilled}");
-        let decoded = send(decode.address, &attempt("q1")).await;
+        let decoded = send(decode.address, &attempt_request("q1")).await;
         assert!(decoded.starts_with("HTTP/1.1 200"), "{decoded}");
         assert!(decoded.contains("[DONE]"), "{decoded}");
         let mut oracle = state.oracle.borrow_mut();
         oracle.request_finished("q1", Outcome::Served, state.now());
-        oracle.check_overdue(state.now() + LONG_AFTER);
+        oracle.check_overdue(state.now() + OVERDUE_TIME);
         assert_eq!(oracle.violations(), []);
     });
 }
 
 #[test]
-fn kv_state_that_is_not_released_is_a_leaked_lease() {
+fn only_kv_state_that_is_not_released_is_a_leaked_lease() {
     run(async {
         for (releases, expected) in [(true, vec![]), (false, vec![Rule::LeakedLease])] {
             let state = new_state(None);
             let prefill = start_proxied(&state, 0, Role::Prefill).await;
             report_sent(&state, "q1");
-            send(prefill.address, &attempt("q1")).await;
+            send(prefill.address, &attempt_request("q1")).await;
             if releases {
                 let release = "DELETE /bootstrap/rooms/q1 HTTP/1.1\r\nhost: app\r\n\
                     connection: close\r\n\r\n";
@@ -98,7 +98,7 @@
             let now = state.now();
             let mut oracle = state.oracle.borrow_mut();
             oracle.request_finished("q1", Outcome::Failed, now);
-            oracle.check_overdue(now + LONG_AFTER);
+            oracle.check_overdue(now + OVERDUE_TIME);
             drop(oracle);
             assert_eq!(broken_rules(&state), expected);
         }
@@ -112,26 +112,26 @@
         let proxy = start_proxied(&state, 0, Role::Prefill).await;
         proxy.stall();
         let mut client = RawClient::connect(proxy.address).await;
-        client.send(&attempt("q1")).await;
+        client.send(&attempt_request("q1")).await;
         let stalled = timeout(EXCHANGE_TIME, client.read_until_closed()).await;
         assert!(stalled.is_err(), "{stalled:?}");
         proxy.resume();
         assert_eq!(client.read_until_closed().await, "");
         report_sent(&state, "q2");
-        let answer = send(proxy.address, &attempt("q2")).await;
-        assert!(answer.starts_with("HTTP/1.1 202"), "{answer}");
+        let response = send(proxy.address, &attempt_request("q2")).await;
+        assert!(response.starts_with("HTTP/1.1 202"), "{response}");
     });
 }
 
 #[test]
-fn attempts_that_are_reported_twice_are_seen_as_concurrent() {
+fn attempts_that_are_reported_twice_are_concurrent_attempts() {
     run(async {
         let state = new_state(Some(InjectedViolation::ConcurrentAttempts));
         let proxy = start_proxied(&state, 0, Role::Prefill).await;
         for index in 0..20 {
             let id = format!("q{index}");
             report_sent(&state, &id);
-            send(proxy.address, &attempt(&id)).await;
+            send(proxy.address, &attempt_request(&id)).await;
         }
         let rules = broken_rules(&state);
         assert!(rules.contains(&Rule::ConcurrentAttempts), "{rules:?}");
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_router_that_polled_a_drain_may_start_no_attempt_after_the_grace() {
+fn an_attempt_after_the_drain_grace_of_a_notified_router_breaks_the_drain_rule() {
     run(async {
         let state = new_state(None);
         let proxy = start_proxied(&state, 0, Role::Prefill).await;
@@ -148,7 +148,7 @@
             .await
             .unwrap();
         assert_eq!(discovery.snapshot()["endpoints"][0]["status"], "up");
-        // The server watches the list once its task has run.
+        // The discovery server watches the list as soon as its task has run once.
         sleep(TASK_START_TIME).await;
         endpoints.set_state(0, EndpointState::Draining);
         let poll = "GET /v1/endpoints?from=1&hold_ms=5000 HTTP/1.1\r\nhost: app\r\n\
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_client_reports_served_requests_over_its_connection() {
+fn a_client_reports_its_served_requests_to_the_oracle() {
     run(async {
         let state = new_state(None);
         let endpoints = EndpointList::new(&[]);
@@ -186,7 +186,7 @@
             routers: 1,
             prefill_servers: 0,
             decode_servers: 0,
-            fault_span: Duration::ZERO,
+            fault_injection_duration: Duration::ZERO,
             injected_violation: None,
         };
         let process = RouterProcess::new(0, address, discovery, vec![], Rc::new(options));
