--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of a router.
+//! An HTTP client for tests and measurements.
 
 use std::net::SocketAddr;
 
@@ -10,9 +10,11 @@
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, AbortHandle};
 
-/// A client with one connection. Dropping it closes the connection.
+/// An HTTP client with one connection to a router or a fake server. Dropping it closes the
+/// connection.
 pub struct Client {
     sender: hyper::client::conn::http1::SendRequest<Full<Bytes>>,
+    /// The task that drives the connection.
     driver: AbortHandle,
 }
 
@@ -23,7 +25,7 @@
 }
 
 impl Client {
-    /// Connects to a router.
+    /// Connects to a router or a fake server.
     pub async fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).await.unwrap();
         stream.set_nodelay(true).unwrap();
@@ -34,7 +36,7 @@
         Client { sender, driver }
     }
 
-    /// Sends a GET request; returns status and body.
+    /// Sends a GET request and returns the status and the body of the response.
     pub async fn get(&mut self, path: &str) -> (u16, Bytes) {
         let request = Request::get(path)
             .header("host", "app")
@@ -44,8 +46,8 @@
         (status, body.unwrap())
     }
 
-    /// Sends a request; returns status, headers and body. The body is `None` where the connection
-    /// ended before it was complete.
+    /// Sends a request and returns the status, the headers and the body of the response. The body
+    /// is `None` if the connection was closed before the body was complete.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> (u16, HeaderMap, Option<Bytes>) {
         self.sender.ready().await.unwrap();
         let response = self.sender.send_request(request).await.unwrap();
@@ -54,20 +56,21 @@
         (head.status.as_u16(), head.headers, body)
     }
 
-    /// Posts JSON to the inference API; returns status and body.
+    /// Posts JSON to the inference API and returns the status and the body of the response. A body
+    /// that is not JSON is returned as a JSON string.
     pub async fn post(&mut self, path: &str, body: Value) -> (u16, Value) {
         let request = Request::post(path)
             .header("host", "app")
             .body(Full::from(body.to_string()))
             .unwrap();
         let (status, _, body) = self.send(request).await;
-        let body = body.expect("a complete body");
+        let body = body.expect("the connection was closed before the response body was complete");
         let json =
             serde_json::from_slice(&body).unwrap_or_else(|_| String::from_utf8_lossy(&body).into());
         (status, json)
     }
 
-    /// Sends a chat to the platform API; returns status, headers and body, like [`Client::send`].
+    /// Sends a chat request to the platform API and returns the same as [`Client::send`].
     pub async fn send_chat(
         &mut self,
         id: &str,
--- a/crates/testkit/src/endpoint_entry.rs
+++ b/crates/testkit/src/endpoint_entry.rs
@@ -4,7 +4,8 @@
 
 use serde_json::{json, Value};
 
-/// The entry of a server at an address, with its type and status as they are on the wire.
+/// Returns the endpoint list entry of the model server at `address`. `server_type` and `status` are
+/// values of the wire format, such as `mixed` and `up`.
 pub fn endpoint_entry_at(address: SocketAddr, server_type: &str, status: &str) -> Value {
     json!({
         "name": format!("w{}", address.port()),
--- a/crates/testkit/src/fake_discovery.rs
+++ b/crates/testkit/src/fake_discovery.rs
@@ -18,7 +18,7 @@
 
 use crate::response::{complete, FakeResponse};
 
-/// How long a watch waits for a later version of the list.
+/// Maximum time that a watch call waits for a later version of the list.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A version of the endpoint list.
@@ -28,15 +28,15 @@
     entries: Vec<Value>,
 }
 
-/// A fake discovery server, whose list a test may change.
+/// A fake discovery server whose endpoint list a test can change.
 pub struct FakeDiscovery {
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
-    /// Whether watches are not answered.
+    /// Whether watch calls never get a response.
     pub silent: Cell<bool>,
-    /// Whether all calls are rejected.
+    /// Whether all calls are rejected with status 503.
     pub overloaded: Cell<bool>,
-    /// The queries of all calls, in order.
+    /// The query strings of all calls, in the order of their arrival.
     pub queries: RefCell<Vec<String>>,
     list: watch::Sender<EndpointList>,
     snapshot_called: Notify,
@@ -44,12 +44,12 @@
 }
 
 impl FakeDiscovery {
-    /// Starts a server on a free port, with these entries in its list.
+    /// Starts a server on a free port with `entries` as its endpoint list.
     pub async fn start(entries: Vec<Value>) -> Rc<FakeDiscovery> {
         FakeDiscovery::start_at("127.0.0.1:0", entries).await
     }
 
-    /// Starts a server at an address, with these entries in its list.
+    /// Starts a server at `address` with `entries` as its endpoint list.
     pub async fn start_at(address: &str, entries: Vec<Value>) -> Rc<FakeDiscovery> {
         let listener = TcpListener::bind(address).await.unwrap();
         let (list, _) = watch::channel(EndpointList {
@@ -114,7 +114,8 @@
         }
     }
 
-    /// Waits for a call for the complete list, since the last such wait.
+    /// Waits for a call for the complete list. A call that was received since the previous wait
+    /// counts.
     pub async fn wait_for_snapshot_call(&self) {
         self.snapshot_called.notified().await;
     }
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Publishes a new list.
+    /// Publishes a new version of the endpoint list.
     pub fn publish(&self, entries: Vec<Value>) {
         self.list.send_modify(|list| {
             list.version += 1;
@@ -135,7 +136,8 @@
     }
 }
 
-/// The version that a watch has, or `None` for a call for the complete list.
+/// Returns the list version that the caller of a watch has, or `None` for a call for the complete
+/// list.
 fn watched_version(query: &str) -> Option<u64> {
     query.strip_prefix("from=")?.split('&').next()?.parse().ok()
 }
--- a/crates/testkit/src/fake_server/answers.rs
+++ b/crates/testkit/src/fake_server/answers.rs
@@ -1,5 +1,5 @@
-//! What a fake server answers by path. The dimensions of an embedding all hold the length of its
-//! text; the score of a document is the number that it begins with.
+//! Responses of a fake server, chosen by the path of the request. Each dimension of an embedding is
+//! the length of its text; the score of a document is the number with which its text begins.
 
 use std::io;
 use std::time::Duration;
@@ -8,38 +8,38 @@
 use http::StatusCode;
 use serde_json::{json, Value};
 
-use super::fault::MalformedAnswer;
+use super::fault::MalformedResponse;
 use super::streams::{stream_events, DONE, EVENT, FINISH};
 use crate::response::{complete, FakeResponse};
 
-/// The answer to a request.
-pub(super) fn answer(
+/// Builds the response to a request, malformed if `malformed` says so.
+pub(super) fn build_response(
     path: &str,
     body: &[u8],
-    malformed: Option<MalformedAnswer>,
+    malformed: Option<MalformedResponse>,
     event_interval: Duration,
 ) -> io::Result<FakeResponse> {
-    if malformed == Some(MalformedAnswer::NotJson) {
+    if malformed == Some(MalformedResponse::NotJson) {
         return Ok(complete(StatusCode::OK, "<html>".into()));
     }
     let request: Value = serde_json::from_slice(body).map_err(io::Error::other)?;
     let (key, mut results) = match path {
         "/v1/embeddings" => ("data", embeddings(&request)),
-        "/v1/rerank" => ("results", scores(&request)),
-        _ => return Ok(chat(&request, malformed, event_interval)),
+        "/v1/rerank" => ("results", rerank_scores(&request)),
+        _ => return Ok(chat_response(&request, malformed, event_interval)),
     };
     for (index, result) in results.iter_mut().enumerate() {
         result["index"] = json!(index);
     }
     if let Some(malformed) = malformed {
-        malform(&mut results, malformed);
+        malform_results(&mut results, malformed);
     }
     let usage = json!({"prompt_tokens": results.len(), "total_tokens": results.len()});
-    let answer = json!({key: results, "usage": usage});
-    Ok(complete(StatusCode::OK, answer.to_string().into()))
+    let response = json!({key: results, "usage": usage});
+    Ok(complete(StatusCode::OK, response.to_string().into()))
 }
 
-/// One embedding for each input, without its index.
+/// Returns one embedding for each input. The caller adds the indices.
 fn embeddings(request: &Value) -> Vec<Value> {
     let dimensions = request["dimensions"].as_u64().unwrap_or(1) as usize;
     let inputs = match &request["input"] {
@@ -55,15 +55,15 @@
         .collect()
 }
 
-/// One score for each document, without its index.
-fn scores(request: &Value) -> Vec<Value> {
+/// Returns one score for each document. The caller adds the indices.
+fn rerank_scores(request: &Value) -> Vec<Value> {
     let documents = request["documents"].as_array().into_iter().flatten();
     documents
         .map(|document| json!({"relevance_score": score_of(text_of(document))}))
         .collect()
 }
 
-/// A text that stands alone or in a field `text`.
+/// Returns the text of an input or a document, which is a string or an object with a field `text`.
 fn text_of(item: &Value) -> &str {
     item.as_str().or(item["text"].as_str()).unwrap_or("")
 }
@@ -73,28 +73,28 @@
     first_word.and_then(|word| word.parse().ok()).unwrap_or(0.0)
 }
 
-fn malform(results: &mut Vec<Value>, malformed: MalformedAnswer) {
+fn malform_results(results: &mut Vec<Value>, malformed: MalformedResponse) {
     match malformed {
-        MalformedAnswer::MissingItem => {
+        MalformedResponse::MissingItem => {
             results.pop();
         }
-        MalformedAnswer::DuplicateItem => results.push(results[0].clone()),
-        MalformedAnswer::IndexOutOfRange => results[0]["index"] = json!(results.len()),
-        MalformedAnswer::NotANumber => {
+        MalformedResponse::DuplicateItem => results.push(results[0].clone()),
+        MalformedResponse::IndexOutOfRange => results[0]["index"] = json!(results.len()),
+        MalformedResponse::NotANumber => {
             results[0] = json!({"index": 0, "relevance_score": null, "embedding": [null]});
         }
-        MalformedAnswer::NotJson => {}
+        MalformedResponse::NotJson => {}
     }
 }
 
-/// A stream of one word, with its usage where the request asks for it.
-fn chat(
+/// Builds a chat stream of one word, with a usage event if the request asks for one.
+fn chat_response(
     request: &Value,
-    malformed: Option<MalformedAnswer>,
+    malformed: Option<MalformedResponse>,
     event_interval: Duration,
 ) -> FakeResponse {
     let mut events = vec![EVENT.to_owned()];
-    if malformed != Some(MalformedAnswer::MissingItem) {
+    if malformed != Some(MalformedResponse::MissingItem) {
         events.push(FINISH.to_owned());
         if request["stream_options"]["include_usage"] == json!(true) {
             let usage = json!({"prompt_tokens": 3, "completion_tokens": 1, "total_tokens": 4});
--- a/crates/testkit/src/fake_server/fault.rs
+++ b/crates/testkit/src/fake_server/fault.rs
@@ -1,76 +1,78 @@
-//! How a fake server answers a request: by its own setting, or as the request asks for.
+//! Behaviours and faults of a fake server, which a test sets on the server or a request asks for in
+//! its body.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 
-/// What a fake server does with a request that has its slot.
+/// What a fake server does with a request that has got a slot.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Behaviour {
-    /// Answers by its path: vectors, scores, or a chat stream.
+    /// Responds according to the path of the request: embeddings, scores, or a chat stream.
     Answer,
-    /// Processes the prompt, as a prefill server does.
+    /// Responds as a prefill endpoint that has processed the prompt.
     #[serde(rename = "read")]
     Prefill,
-    /// Begins to work and never ends.
+    /// Keeps the slot and never responds.
     Hang,
-    /// Closes the connection once the request is received.
+    /// Closes the connection without a response after the service time.
     #[serde(rename = "break")]
     CloseConnection,
     /// Streams one event and closes the connection.
     #[serde(rename = "break_stream")]
     TruncateStream,
-    /// Streams events without end, and keeps its slot all the while.
+    /// Streams events until the connection is closed, and keeps the slot until then.
     #[serde(rename = "stream_on")]
     StreamEndlessly,
-    /// Rejects the request, saying that it has not run.
+    /// Rejects the request with status 503 and a header that says that it was not executed.
     #[serde(rename = "full")]
     Reject,
-    /// Answers with an error, and may have run.
+    /// Responds with status 500, after which the request may have been executed.
     Error,
 }
 
-/// How an answer is malformed.
+/// How a response is malformed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum MalformedAnswer {
-    /// The last item has no result, or the stream no end.
+pub enum MalformedResponse {
+    /// The result of the last item is missing, or the end of the chat stream.
     #[serde(rename = "missing")]
     MissingItem,
-    /// The first item has two results.
+    /// The result of the first item is sent twice.
     #[serde(rename = "doubled")]
     DuplicateItem,
-    /// A result belongs to no item.
+    /// The index of a result is beyond the last item.
     #[serde(rename = "out_of_range")]
     IndexOutOfRange,
-    /// A result is not a number.
+    /// A score or a dimension of an embedding is `null` in place of a number.
     #[serde(rename = "nan")]
     NotANumber,
-    /// The answer is not JSON.
+    /// The response body is not JSON.
     NotJson,
 }
 
-/// What the body of a request asks of the server, in a field `toy` that a router passes on without
-/// reading it: `{"does": "break", "on": 6, "times": 1}` closes the connection at the slice of a
-/// batch whose id ends in `.6`, once.
+/// The fault that a request asks for in the field `toy` of its body, which a router passes on
+/// unchanged. For example, `{"does": "break", "on": 6, "times": 1}` closes the connection once, at
+/// the slice of a batch whose request id ends in `.6`.
 #[derive(Deserialize, Clone, Copy, Default)]
 #[serde(default)]
 pub(super) struct RequestedFault {
     #[serde(rename = "does")]
     pub(super) behaviour: Option<Behaviour>,
     #[serde(rename = "spoils")]
-    pub(super) malformed: Option<MalformedAnswer>,
+    pub(super) malformed: Option<MalformedResponse>,
     #[serde(rename = "ms")]
     service_time_ms: Option<u64>,
+    /// Number of the slice to which the fault is limited.
     #[serde(rename = "on")]
     slice: Option<u64>,
-    /// How often the request may be received before the fault no longer applies.
+    /// Number of attempts at the request to which the fault applies; later attempts have no fault.
     #[serde(rename = "times")]
     pub(super) repetitions: Option<usize>,
 }
 
-/// The part of a request's body that is meant for the fake server.
+/// The part of a request body that is meant for the fake server.
 #[derive(Deserialize, Default)]
 struct RequestBody {
     #[serde(default, rename = "toy")]
@@ -78,7 +80,7 @@
 }
 
 impl RequestedFault {
-    /// Decodes the fault for the request with this id.
+    /// Decodes the fault that applies to the request with this id.
     pub(super) fn decode(id: &str, body: &[u8]) -> RequestedFault {
         let body: RequestBody = serde_json::from_slice(body).unwrap_or_default();
         let requested = body.requested;
@@ -88,7 +90,7 @@
         }
     }
 
-    /// The same request for a service time, without a fault.
+    /// Returns a copy that keeps the requested service time but has no fault.
     pub(super) fn without_fault(self) -> RequestedFault {
         RequestedFault {
             service_time_ms: self.service_time_ms,
@@ -101,7 +103,7 @@
     }
 }
 
-/// The number of a slice, at the end of the id of its request.
+/// Returns the slice number at the end of a request id, or 0 if the id has none.
 fn slice_number(id: &str) -> u64 {
     id.rsplit_once('.')
         .and_then(|(_, number)| number.parse().ok())
--- a/crates/testkit/src/fake_server/fault/tests.rs
+++ b/crates/testkit/src/fake_server/fault/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the decoder of requested faults.
+//! Tests of decoding the faults that requests ask for.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn behaviours_and_malformed_answers_have_these_names_on_the_wire() {
+fn behaviours_and_malformed_responses_keep_their_wire_names() {
     for (name, behaviour) in [
         ("answer", Behaviour::Answer),
         ("read", Behaviour::Prefill),
@@ -22,11 +22,11 @@
         assert_eq!(requested.behaviour, Some(behaviour), "{name}");
     }
     for (name, malformed) in [
-        ("missing", MalformedAnswer::MissingItem),
-        ("doubled", MalformedAnswer::DuplicateItem),
-        ("out_of_range", MalformedAnswer::IndexOutOfRange),
-        ("nan", MalformedAnswer::NotANumber),
-        ("not_json", MalformedAnswer::NotJson),
+        ("missing", MalformedResponse::MissingItem),
+        ("doubled", MalformedResponse::DuplicateItem),
+        ("out_of_range", MalformedResponse::IndexOutOfRange),
+        ("nan", MalformedResponse::NotANumber),
+        ("not_json", MalformedResponse::NotJson),
     ] {
         let requested = decode("a", &format!("{{\"spoils\": \"{name}\"}}"));
         assert_eq!(requested.malformed, Some(malformed), "{name}");
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_fault_for_one_slice_leaves_the_others_their_service_time() {
+fn a_fault_for_one_slice_keeps_the_service_time_of_other_slices() {
     let requested = "{\"does\": \"break\", \"on\": 6, \"times\": 1, \"ms\": 5}";
     let slice = decode("batch.6", requested);
     assert_eq!(slice.behaviour, Some(Behaviour::CloseConnection));
--- a/crates/testkit/src/fake_server/mod.rs
+++ b/crates/testkit/src/fake_server/mod.rs
@@ -24,19 +24,19 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::sleep;
 
-use self::answers::answer;
+use self::answers::build_response;
 use self::fault::RequestedFault;
 use self::streams::{stream_endlessly, stream_events};
 use crate::endpoint_entry::endpoint_entry_at;
 use crate::response::{complete, FakeResponse};
 
-pub use self::fault::{Behaviour, MalformedAnswer};
+pub use self::fault::{Behaviour, MalformedResponse};
 pub use self::observation::Observation;
 pub use self::streams::{DONE, EVENT, FINISH};
 
-/// How long a request takes, and the pause before each event of a stream, unless a test sets it.
+/// Service time of a request, and the pause before each event of a stream, unless a test sets them.
 const DEFAULT_DELAY: Duration = Duration::from_millis(2);
-/// The path of calls about decode slots, before the id of the request.
+/// Path prefix of the calls that reserve or release decode slots; the request id follows it.
 const SLOT_PATH: &str = "/bootstrap/rooms/";
 
 /// Called with the id and the body of a request that got a slot.
@@ -46,46 +46,49 @@
 
 /// A fake model server.
 pub struct FakeServer {
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
-    /// What it does with requests that do not ask for something else.
+    /// What the server does with requests whose body asks for no other behaviour.
     pub behaviour: Cell<Behaviour>,
-    /// Whether it closes each connection on which a second request arrives, without reading it.
+    /// Whether the server closes a connection on which a second request arrives, without processing
+    /// that request.
     pub drops_reused_connections: Cell<bool>,
-    /// How long a request takes.
+    /// How long the server processes a request, without the part that depends on the body.
     pub service_time: Cell<Duration>,
-    /// How much longer it takes for each KiB of its body.
+    /// Additional time that a request takes for each KiB of its body.
     pub service_time_per_kib: Cell<Duration>,
-    /// The pause before each event of a stream, so that each is received by itself.
+    /// The pause before each event of a stream, so that clients receive the events one at a time.
     pub event_interval: Cell<Duration>,
-    /// Every so many requests one fails, in turn by a closed connection and by an answer that
-    /// leaves an item out; 0 for none.
+    /// One request out of this many fails; 0 for none. The failures alternate between a closed
+    /// connection and a response without the last item.
     pub failure_interval: Cell<usize>,
-    /// Whether it records no observations, of which a long run makes too many.
+    /// Whether the server records no observations, because a long run would collect too many.
     pub recording_disabled: Cell<bool>,
-    /// Called when a request gets a slot.
+    /// Callback for a request that gets a slot.
     pub on_request_started: RefCell<Option<StartedHook>>,
-    /// Called when the slot of a request is released.
+    /// Callback for a request whose slot is released.
     pub on_slot_released: RefCell<Option<ReleasedHook>>,
-    /// All observations, in order.
+    /// All recorded observations, in order.
     pub observations: RefCell<Vec<Observation>>,
-    /// The most attempts of one request that were here at once.
+    /// Maximum number of concurrent attempts with the same request id at this server.
     pub max_concurrent_attempts: Cell<usize>,
-    /// Requests that counted towards the failure interval.
-    received: Cell<usize>,
+    /// Number of requests received while a failure interval was set.
+    requests_counted: Cell<usize>,
     attempts_in_flight: RefCell<HashMap<String, usize>>,
     observed: Notify,
     slots: Semaphore,
     connections: RefCell<Vec<AbortHandle>>,
 }
 
-/// The entry of a server in the endpoint list, with its type and status as they are on the wire.
+/// Returns the endpoint list entry of `server`. `server_type` and `status` are values of the wire
+/// format, such as `mixed` and `up`.
 pub fn endpoint_entry(server: &FakeServer, server_type: &str, status: &str) -> Value {
     endpoint_entry_at(server.address, server_type, status)
 }
 
 impl FakeServer {
-    /// Starts a server that processes so many requests at once; others wait in turn.
+    /// Starts a server that processes at most `slots` requests at once; further ones wait in order
+    /// of arrival.
     pub async fn start(slots: usize, behaviour: Behaviour) -> Rc<FakeServer> {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let server = Rc::new(FakeServer {
@@ -101,7 +104,7 @@
             on_slot_released: RefCell::default(),
             observations: RefCell::default(),
             max_concurrent_attempts: Cell::default(),
-            received: Cell::default(),
+            requests_counted: Cell::default(),
             attempts_in_flight: RefCell::default(),
             observed: Notify::new(),
             slots: Semaphore::new(slots),
@@ -130,12 +133,14 @@
             let drops = is_reused && server.drops_reused_connections.get();
             async move {
                 if drops {
-                    return Err(io::Error::other("dropped unread"));
+                    return Err(io::Error::other(
+                        "the connection is closed because it was reused",
+                    ));
                 }
                 server.serve(request).await
             }
         });
-        // An error here is how a connection is closed on purpose.
+        // The service returns an error to close the connection on purpose, so errors are expected.
         let _ = hyper::server::conn::http1::Builder::new()
             .serve_connection(TokioIo::new(stream), service)
             .await;
@@ -149,7 +154,7 @@
         self.observed.notify_waiters();
     }
 
-    /// How many requests for a path got a slot.
+    /// Returns how many requests for a path got a slot.
     pub fn count_started(&self, path: &str) -> usize {
         self.observations
             .borrow()
@@ -158,7 +163,7 @@
             .count()
     }
 
-    fn attempts_of(&self, id: &str) -> usize {
+    fn count_attempts(&self, id: &str) -> usize {
         self.observations
             .borrow()
             .iter()
@@ -166,18 +171,18 @@
             .count()
     }
 
-    /// Waits until the observations fulfil a condition.
-    pub async fn wait_until(&self, is_fulfilled: impl Fn(&[Observation]) -> bool) {
+    /// Waits until the observations meet a condition.
+    pub async fn wait_until(&self, condition: impl Fn(&[Observation]) -> bool) {
         loop {
             let observed = self.observed.notified();
-            if is_fulfilled(&self.observations.borrow()) {
+            if condition(&self.observations.borrow()) {
                 return;
             }
             observed.await;
         }
     }
 
-    /// Closes all connections at once, as the death of its process would.
+    /// Closes all connections at once, as a crash of the server process would.
     pub fn close_connections(&self) {
         for connection in self.connections.borrow_mut().drain(..) {
             connection.abort();
@@ -231,14 +236,16 @@
         sleep_unless_zero(self.service_time(&requested, body)).await;
         let event_interval = self.event_interval.get();
         let behaviour = requested.behaviour.unwrap_or(self.behaviour.get());
-        let reply = match behaviour {
-            Behaviour::Answer => answer(path, body, requested.malformed, event_interval),
+        let response = match behaviour {
+            Behaviour::Answer => build_response(path, body, requested.malformed, event_interval),
             Behaviour::Error => Ok(complete(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new())),
-            Behaviour::Prefill => Ok(prefilled()),
+            Behaviour::Prefill => Ok(prefill_response()),
             Behaviour::Hang => std::future::pending().await,
-            Behaviour::CloseConnection => Err(io::Error::other("closed on purpose")),
+            Behaviour::CloseConnection => Err(io::Error::other(
+                "the connection is closed as the test asked",
+            )),
             Behaviour::TruncateStream => Ok(truncated_stream(event_interval)),
-            Behaviour::Reject => Ok(rejection()),
+            Behaviour::Reject => Ok(rejection_response()),
             Behaviour::StreamEndlessly => {
                 drop(in_flight);
                 let guard = RecordReleaseOnDrop {
@@ -249,16 +256,17 @@
             }
         };
         drop(in_flight);
-        reply
+        response
     }
 
-    /// The fault of a request that got a slot: what it asks for, or that of the failure interval.
+    /// Returns the fault that a request with a slot asks for, or the one that the failure interval
+    /// brings about.
     fn requested_fault(&self, id: &str, body: &[u8]) -> RequestedFault {
         let mut requested = RequestedFault::decode(id, body);
-        let is_used_up = requested
+        let is_exhausted = requested
             .repetitions
-            .is_some_and(|repetitions| self.attempts_of(id) > repetitions);
-        if is_used_up {
+            .is_some_and(|repetitions| self.count_attempts(id) > repetitions);
+        if is_exhausted {
             requested = requested.without_fault();
         }
         if let Some(on_request_started) = &*self.on_request_started.borrow() {
@@ -273,14 +281,16 @@
         if interval == 0 {
             return;
         }
-        let received = self.received.replace(self.received.get() + 1);
-        if !received.is_multiple_of(interval) {
+        let requests_counted = self
+            .requests_counted
+            .replace(self.requests_counted.get() + 1);
+        if !requests_counted.is_multiple_of(interval) {
             return;
         }
-        if (received / interval).is_multiple_of(2) {
+        if (requests_counted / interval).is_multiple_of(2) {
             requested.behaviour = Some(Behaviour::CloseConnection);
         } else {
-            requested.malformed = Some(MalformedAnswer::MissingItem);
+            requested.malformed = Some(MalformedResponse::MissingItem);
         }
     }
 
@@ -291,35 +301,35 @@
     }
 }
 
-async fn sleep_unless_zero(span: Duration) {
-    if !span.is_zero() {
-        sleep(span).await;
+async fn sleep_unless_zero(duration: Duration) {
+    if !duration.is_zero() {
+        sleep(duration).await;
     }
 }
 
-/// The answer of a prefill server.
-fn prefilled() -> FakeResponse {
+/// Builds the response of a prefill endpoint.
+fn prefill_response() -> FakeResponse {
     let body = json!({"cached_tokens": 0});
     complete(StatusCode::ACCEPTED, body.to_string().into())
 }
 
-/// One event, and the end of the connection.
+/// Builds a stream of one event, after which the connection is closed.
 fn truncated_stream(event_interval: Duration) -> FakeResponse {
-    let error = io::Error::other("closed on purpose");
+    let error = io::Error::other("the connection is closed as the test asked");
     stream_events(event_interval, vec![Ok(EVENT.into()), Err(error)])
 }
 
-/// A rejection before the request has run.
-fn rejection() -> FakeResponse {
-    let mut reply = complete(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
-    reply
+/// Builds a rejection that says that the request was not executed.
+fn rejection_response() -> FakeResponse {
+    let mut response = complete(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
+    response
         .headers_mut()
         .insert("x-not-run", HeaderValue::from_static("1"));
-    reply
+    response
 }
 
-/// An attempt at a server. Dropping it releases the slot, also when the connection closes, which
-/// drops the future of the request.
+/// An attempt that waits for a slot or has one. Dropping it records the release of the slot. If the
+/// connection is closed, the future of the request is dropped and this value with it.
 struct AttemptInFlight<'a> {
     server: &'a FakeServer,
     id: String,
@@ -330,8 +340,8 @@
         let mut in_flight = server.attempts_in_flight.borrow_mut();
         let attempts = in_flight.entry(id.to_owned()).or_default();
         *attempts += 1;
-        let most = server.max_concurrent_attempts.get().max(*attempts);
-        server.max_concurrent_attempts.set(most);
+        let maximum = server.max_concurrent_attempts.get().max(*attempts);
+        server.max_concurrent_attempts.set(maximum);
         AttemptInFlight {
             server,
             id: id.to_owned(),
--- a/crates/testkit/src/fake_server/observation.rs
+++ b/crates/testkit/src/fake_server/observation.rs
@@ -1,21 +1,21 @@
-//! What a fake server observes.
+//! Events that a fake server records for tests.
 
-/// One observation.
+/// An event that a fake server recorded.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Observation {
     /// A request got a slot.
     RequestStarted {
-        /// Its path.
+        /// The path of the request.
         path: String,
-        /// Its id.
+        /// The id of the request.
         id: String,
     },
-    /// The slot of a request was released, by its end or by that of its connection.
+    /// The slot of a request was released because the request ended or its connection was closed.
     SlotReleased {
         /// The id of the request.
         id: String,
     },
-    /// A call about the decode slot of a request.
+    /// A call that reserves or releases the decode slot of a request.
     SlotCall {
         /// The method of the call.
         method: String,
@@ -25,12 +25,12 @@
 }
 
 impl Observation {
-    /// Whether a request for this path got a slot.
+    /// Returns whether this is the start of a request for a path.
     pub(super) fn is_start_for_path(&self, expected: &str) -> bool {
         matches!(self, Observation::RequestStarted { path, .. } if path == expected)
     }
 
-    /// Whether the request with this id got a slot.
+    /// Returns whether this is the start of the request with an id.
     pub(super) fn is_start_of(&self, expected: &str) -> bool {
         matches!(self, Observation::RequestStarted { id, .. } if id == expected)
     }
--- a/crates/testkit/src/fake_server/streams.rs
+++ b/crates/testkit/src/fake_server/streams.rs
@@ -1,4 +1,4 @@
-//! Streamed answers of a fake server.
+//! Streamed responses of a fake server.
 
 use std::time::Duration;
 
@@ -12,16 +12,16 @@
 
 /// The first event of a chat stream.
 pub const EVENT: &str = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"oqvh\"}}]}\n\n";
-/// The last event of a chat stream but one.
+/// The event of a chat stream that carries the finish reason, before the last event.
 pub const FINISH: &str =
     "data: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n";
 /// The last event of a chat stream.
 pub const DONE: &str = "data: [DONE]\n\n";
 
-/// The length of the text of an event in an endless stream.
+/// Length in bytes of the text of each event in an endless stream.
 const LARGE_EVENT_LENGTH: usize = 8_000;
 
-/// Streams events with a pause before each. An error closes the connection.
+/// Streams events with a pause of `event_interval` before each. An error closes the connection.
 pub(super) fn stream_events(
     event_interval: Duration,
     events: Vec<Result<Bytes, std::io::Error>>,
@@ -40,7 +40,7 @@
     event_stream(frames)
 }
 
-/// Streams large events until the connection is closed, and drops `guard` then.
+/// Streams large events until the connection is closed, then drops `guard`.
 pub(super) fn stream_endlessly<Guard: 'static>(guard: Guard) -> FakeResponse {
     let (sender, frames) = mpsc::channel(1);
     spawn_local(async move {
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,6 +1,7 @@
-//! Fake servers on loopback for discovery, model servers and clients: for tests, the example
-//! servers and measurements. They know nothing of the router. A fake server does what its
-//! [`Behaviour`] says, or what a request's own `toy` field asks for, and records what it observed.
+//! Fake discovery, fake model servers and clients on loopback, for tests, the example servers and
+//! measurements. They do not depend on the router. A fake model server behaves as its
+//! [`Behaviour`] says, or as a request asks for in the field `toy` of its body, and records
+//! [`Observation`]s.
 
 mod client;
 mod endpoint_entry;
@@ -17,7 +18,7 @@
 pub use endpoint_entry::endpoint_entry_at;
 pub use fake_discovery::FakeDiscovery;
 pub use fake_server::{
-    endpoint_entry, Behaviour, FakeServer, MalformedAnswer, Observation, DONE, EVENT, FINISH,
+    endpoint_entry, Behaviour, FakeServer, MalformedResponse, Observation, DONE, EVENT, FINISH,
 };
 pub use manual_server::{
     chunk, ConnectionEnd, ManualConnection, ManualSender, ManualServer, LAST_CHUNK,
--- a/crates/testkit/src/manual_server.rs
+++ b/crates/testkit/src/manual_server.rs
@@ -1,5 +1,5 @@
-//! A server whose connections a test drives step by step, so that a rare order of events happens
-//! every time.
+//! A server whose connections a test controls step by step, so that a rare order of events can be
+//! reproduced in each run.
 
 use std::net::SocketAddr;
 
@@ -10,31 +10,31 @@
 
 use crate::endpoint_entry::endpoint_entry_at;
 
-/// The end of the head of a message.
+/// The bytes that end the head of an HTTP message.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 /// The head of a response that streams events.
 pub const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
 /// The end of a chunked body.
 pub const LAST_CHUNK: &str = "0\r\n\r\n";
-/// The answer of a prefill server that has processed the prompt.
+/// The response of a prefill endpoint that has processed the prompt.
 pub const PREFILL_RESPONSE: &str =
     "HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":0}";
 
-/// A chunk of a chunked body.
+/// Encodes `data` as one chunk of a chunked body.
 pub fn chunk(data: &str) -> String {
     format!("{:x}\r\n{data}\r\n", data.len())
 }
 
-/// A server that accepts and answers only when the test says so.
+/// A server that accepts connections and responds only when the test calls for it.
 pub struct ManualServer {
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
     listener: TcpListener,
 }
 
 impl ManualServer {
-    /// Listens on a free port.
+    /// Starts a server on a free port.
     pub async fn start() -> ManualServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         ManualServer {
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Its entry of the endpoint list, with its type and status as they are on the wire.
+    /// Returns the endpoint list entry of this server. `server_type` and `status` are values of the
+    /// wire format, such as `mixed` and `up`.
     pub fn endpoint_entry(&self, server_type: &str, status: &str) -> Value {
         endpoint_entry_at(self.address, server_type, status)
     }
@@ -62,20 +63,21 @@
     }
 }
 
-/// How the other side ended a connection.
+/// How the peer ended a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// In order, after all that it had sent.
+    /// The peer closed the connection in order, after the last byte that it had sent.
     Closed,
-    /// By a reset.
+    /// The connection was reset.
     Reset,
 }
 
-/// One connection.
+/// A connection that a test reads and writes step by step.
 pub struct ManualConnection {
     reader: OwnedReadHalf,
-    /// `None` once it is taken.
+    /// The sending side; `None` after `sender` has taken it.
     writer: Option<OwnedWriteHalf>,
+    /// Bytes that were received but not yet returned.
     received: Vec<u8>,
 }
 
@@ -83,7 +85,7 @@
 pub struct ManualSender(OwnedWriteHalf);
 
 impl ManualSender {
-    /// Sends a text, as far as the other side receives it.
+    /// Sends a text. An error, such as a connection that the peer has closed, is ignored.
     pub async fn send_until_closed(&mut self, text: &str) {
         let _ = self.0.write_all(text.as_bytes()).await;
     }
@@ -105,12 +107,16 @@
         }
     }
 
-    /// Takes the sending side, for a task of its own. Dropping it closes that side.
+    /// Takes the sending side so that another task can use it. Dropping the sender closes it.
     pub fn sender(&mut self) -> ManualSender {
-        ManualSender(self.writer.take().expect("the sending side has been taken"))
+        ManualSender(
+            self.writer
+                .take()
+                .expect("the sending side was already taken by `sender`"),
+        )
     }
 
-    /// Receives the next request, with its head and its body.
+    /// Receives the next request and returns its head and its body.
     pub async fn receive_request(&mut self) -> String {
         loop {
             if let Some(length) = message_length(&self.received) {
@@ -118,7 +124,10 @@
                 return String::from_utf8(request).unwrap();
             }
             let read = self.reader.read_buf(&mut self.received).await.unwrap();
-            assert!(read > 0, "the connection ended before a complete request");
+            assert!(
+                read > 0,
+                "the connection was closed before a complete request was received"
+            );
         }
     }
 
@@ -126,13 +135,13 @@
     pub async fn send(&mut self, text: &str) {
         self.writer
             .as_mut()
-            .expect("the sending side has been taken")
+            .expect("the sending side was already taken by `sender`")
             .write_all(text.as_bytes())
             .await
             .unwrap();
     }
 
-    /// Reads until `text` is received; returns all up to its end.
+    /// Reads until `text` is received, and returns all data up to the end of `text`.
     pub async fn read_until(&mut self, text: &str) -> String {
         let pattern = text.as_bytes();
         let mut searched = 0;
@@ -151,13 +160,13 @@
             let read = self.reader.read_buf(&mut self.received).await.unwrap();
             assert!(
                 read > 0,
-                "the connection ended before {text:?}: {:?}",
+                "the connection was closed before {text:?} was received; received: {:?}",
                 self.take_received()
             );
         }
     }
 
-    /// Whether anything was received that is not read yet. Does not wait.
+    /// Returns without waiting whether there is received data that the test has not read yet.
     pub fn has_received(&mut self) -> bool {
         let mut buffer = [0; 1024];
         if let Ok(length) = self.reader.try_read(&mut buffer) {
@@ -166,7 +175,7 @@
         !self.received.is_empty()
     }
 
-    /// Reads to the end; returns the rest, and how the connection ended.
+    /// Reads until the connection ends, and returns the remaining data and how it ended.
     pub async fn read_to_end(&mut self) -> (String, ConnectionEnd) {
         loop {
             match self.reader.read_buf(&mut self.received).await {
@@ -187,7 +196,7 @@
     }
 }
 
-/// The length of the first message, once all of it is received.
+/// Returns the length of the first message in `bytes`, or `None` if it is incomplete.
 fn message_length(bytes: &[u8]) -> Option<usize> {
     let body_start = bytes
         .windows(HEAD_END.len())
--- a/crates/testkit/src/response.rs
+++ b/crates/testkit/src/response.rs
@@ -14,10 +14,10 @@
 /// A response of a fake server.
 pub type FakeResponse = Response<UnsyncBoxBody<Bytes, std::io::Error>>;
 
-/// A frame of a streamed body, or the error that ends its connection.
+/// A frame of a streamed body, or an error that closes the connection.
 pub(crate) type FrameResult = Result<Frame<Bytes>, std::io::Error>;
 
-/// A JSON response with a body of known length.
+/// Builds a JSON response with a body of known length.
 pub(crate) fn complete(status: StatusCode, body: Bytes) -> FakeResponse {
     let body = Full::new(body)
         .map_err(|never: Infallible| match never {})
@@ -29,7 +29,8 @@
         .unwrap()
 }
 
-/// A stream of events whose frames come through a channel. It ends when the sender is dropped.
+/// Builds an event stream whose frames are received from a channel. It ends when the sender of the
+/// channel is dropped.
 pub(crate) fn event_stream(frames: mpsc::Receiver<FrameResult>) -> FakeResponse {
     Response::builder()
         .header("content-type", "text/event-stream")
@@ -37,7 +38,7 @@
         .unwrap()
 }
 
-/// A body whose frames come through a channel.
+/// A body whose frames are received from a channel.
 struct ChannelBody(mpsc::Receiver<FrameResult>);
 
 impl Body for ChannelBody {
--- a/crates/testkit/src/runtime.rs
+++ b/crates/testkit/src/runtime.rs
@@ -1,14 +1,14 @@
-//! Runs tests on one thread.
+//! Single-threaded runtimes for tests.
 
 use std::future::Future;
 use std::time::Duration;
 
 use tokio::task::LocalSet;
 
-/// No test waits longer than this for anything: a bound on hangs, not a measurement.
+/// Maximum duration of a test. It only bounds tests that hang.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs a test's future and the tasks that it spawns.
+/// Runs the future of a test and the tasks that it spawns. Panics after [`TEST_TIMEOUT`].
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -17,11 +17,11 @@
     LocalSet::new().block_on(&runtime, async {
         tokio::time::timeout(TEST_TIMEOUT, test)
             .await
-            .expect("it hangs")
+            .expect("the test did not finish within TEST_TIMEOUT")
     });
 }
 
-/// The same with a paused clock, which only advances while all tasks are idle.
+/// Runs the future of a test with a paused clock, which advances only while all tasks are idle.
 pub fn run_paused(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/testkit/src/scripted_server.rs
+++ b/crates/testkit/src/scripted_server.rs
@@ -1,4 +1,4 @@
-//! A server that answers every request with the same bytes.
+//! A server that sends the same bytes in response to every request.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,28 +12,28 @@
 
 use crate::endpoint_entry::endpoint_entry_at;
 
-/// How calls about decode slots are answered.
+/// The response to calls that reserve or release decode slots.
 const SLOT_RESPONSE: &str = "HTTP/1.1 204 No Content\r\n\r\n";
-/// The pause after each part of a response, so that each is received by itself.
+/// The pause after each part of a response, so that the router receives the parts one at a time.
 const PART_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A server that answers every request with the same bytes.
+/// A server that sends the same bytes in response to every request.
 pub struct ScriptedServer {
-    /// Its entry of the endpoint list.
+    /// The endpoint list entry of the server.
     pub entry: Value,
-    /// How many requests it has received, without calls about decode slots.
+    /// Number of requests received, without the calls that reserve or release decode slots.
     pub request_count: Rc<Cell<usize>>,
 }
 
-/// What each connection of a scripted server needs.
+/// State that all connections of a scripted server share.
 #[derive(Clone)]
 struct Script {
     parts: Rc<Vec<String>>,
     requests: Rc<Cell<usize>>,
 }
 
-/// Starts a server that answers each request with the same parts, whatever their bytes are, and
-/// leaves the connection open. Calls about decode slots get a proper answer.
+/// Starts a server that responds to each request by sending `parts` as they are, and leaves the
+/// connection open. Calls that reserve or release decode slots get a valid response.
 pub async fn start_scripted_server(server_type: &str, parts: Vec<String>) -> ScriptedServer {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -69,14 +69,14 @@
             if body.len() < content_length(head) {
                 continue;
             }
-            if self.answer(&mut stream, head).await.is_err() {
+            if self.respond(&mut stream, head).await.is_err() {
                 return;
             }
             received.clear();
         }
     }
 
-    async fn answer(&self, stream: &mut TcpStream, head: &str) -> std::io::Result<()> {
+    async fn respond(&self, stream: &mut TcpStream, head: &str) -> std::io::Result<()> {
         if head.contains("/bootstrap/") {
             return send_part(stream, SLOT_RESPONSE).await;
         }
@@ -94,7 +94,7 @@
     Ok(())
 }
 
-/// The length of the body that a head announces.
+/// Returns the `content-length` of a message head, or 0 if it has none.
 fn content_length(head: &str) -> usize {
     head.split_once("content-length: ")
         .and_then(|(_, rest)| rest.lines().next())
--- a/crates/testkit/src/settings.rs
+++ b/crates/testkit/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the tests.
+//! The router settings that tests use.
 
 use serde_json::{json, Value};
 
@@ -13,7 +13,7 @@
     })
 }
 
-/// The settings of the tests, as a configuration file holds them.
+/// Returns the router settings that tests use, in the form that a configuration file has.
 pub fn settings() -> Value {
     json!({
         "az": "here",
--- a/crates/testkit/tests/known_red.rs
+++ b/crates/testkit/tests/known_red.rs
@@ -1,11 +1,13 @@
-//! How `.ci/test` treats the list of tests that may fail, with a fake cargo.
+//! Tests of `.ci/test` with `KNOWN-RED.txt`, the list of tests that are known to fail. A script
+//! takes the place of cargo.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// A fake cargo with three tests, of which `red` fails. A run of all fails unless it is left out.
+/// A script in place of cargo with three tests, of which `red` fails. A run of all tests fails
+/// unless `red` is skipped.
 const FAKE_CARGO: &str = r#"#!/usr/bin/env bash
 case "$*" in
     *--list) printf 'red: test\nb::green: test\nc: test\n' ;;
@@ -16,7 +18,8 @@
 esac
 "#;
 
-/// Runs the script with this list, or without one, in a folder of this name.
+/// Runs `.ci/test` in a folder called `name`, with `list` as the content of `KNOWN-RED.txt` or
+/// without that file.
 fn run_script(name: &str, list: Option<&str>) -> Output {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     fs::create_dir_all(&folder).unwrap();
@@ -57,14 +60,14 @@
 }
 
 #[test]
-fn a_failing_test_that_is_not_listed_fails() {
+fn a_failing_test_that_is_not_listed_fails_the_run() {
     for list in [None, Some(""), Some("c | another fault | issue 7\n")] {
         assert!(!run_script("unlisted", list).status.success(), "{list:?}");
     }
 }
 
 #[test]
-fn a_list_that_is_too_long_malformed_or_names_an_unknown_test_fails_with_the_reason() {
+fn a_list_that_is_too_long_malformed_or_names_an_unknown_test_fails_the_run_with_the_reason() {
     for (list, word) in [
         (
             "red | a | 1\nc | b | 2\nb::green | c | 3\nred | d | 4\n",
@@ -76,10 +79,10 @@
         ("# red | a fault | issue 7\n", "not of the form"),
         ("re | a fault | issue 7\n", "no test of the name re"),
     ] {
-        let refused = run_script("refused", Some(list));
-        let output = String::from_utf8_lossy(&refused.stderr).into_owned();
+        let rejected = run_script("refused", Some(list));
+        let output = String::from_utf8_lossy(&rejected.stderr).into_owned();
         assert!(
-            !refused.status.success() && output.contains(word),
+            !rejected.status.success() && output.contains(word),
             "{list:?}: {output}"
         );
     }
