--- a/crates/inference-client/examples/ask.rs
+++ b/crates/inference-client/examples/ask.rs
@@ -1,5 +1,5 @@
-//! Calls the models of the example service through a router (`make example-servers` and `make run`
-//! in other terminals).
+//! Calls each model of the example servers through a router. Run `make example-servers` and
+//! `make run` in other terminals first.
 
 use cranetack_inference_client::{ChatRequest, Client, EmbeddingsRequest, Message, RerankRequest};
 
@@ -24,7 +24,7 @@
     );
     let response = client.chat(&request).await?;
     println!(
-        "whole: {}",
+        "complete response: {}",
         response.choices[0].message.content.as_deref().unwrap_or("")
     );
 
@@ -43,11 +43,11 @@
         input,
         ..EmbeddingsRequest::default()
     };
-    let vectors = client.embeddings(&request).await?;
+    let embeddings = client.embeddings(&request).await?;
     println!(
-        "vectors: {}, of length {}",
-        vectors.data.len(),
-        vectors.data[0].embedding.len()
+        "embeddings: {}, each with {} dimensions",
+        embeddings.data.len(),
+        embeddings.data[0].embedding.len()
     );
 
     let documents = vec!["3 head gasket".to_owned(), "9 hose".to_owned()];
@@ -59,7 +59,10 @@
         ..RerankRequest::default()
     };
     for result in client.rerank(&request).await?.results {
-        println!("document {}: {}", result.index, result.relevance_score);
+        println!(
+            "document {}: score {}",
+            result.index, result.relevance_score
+        );
     }
     Ok(())
 }
--- a/crates/inference-client/examples/orders.rs
+++ b/crates/inference-client/examples/orders.rs
@@ -1,4 +1,5 @@
-//! An order must not be executed twice: the client retries only what has not been executed.
+//! Sends an order, which must not be executed twice. The client retries it only if it cannot have
+//! been executed.
 
 use std::time::Duration;
 
@@ -21,11 +22,11 @@
             "{}",
             response.choices[0].message.content.as_deref().unwrap_or("")
         ),
-        Err(Error::NotSent(why)) => println!("nothing was ordered: {why}"),
+        Err(Error::NotSent(reason)) => println!("nothing was ordered: {reason}"),
         Err(Error::ConnectionLost | Error::StreamBroken) => {
-            println!("it may have been ordered: ask before you try again")
+            println!("the order may have been executed: check before you send it again")
         }
-        Err(Error::Api { status: 503, .. }) => println!("nothing was ordered: the service is full"),
+        Err(Error::Api { status: 503, .. }) => println!("nothing was ordered: service overloaded"),
         Err(error) => return Err(error),
     }
     Ok(())
--- a/crates/inference-client/src/call.rs
+++ b/crates/inference-client/src/call.rs
@@ -1,4 +1,4 @@
-//! Makes a call: attempts with retries, within the call's deadline.
+//! Execution of a call: one or more attempts within the deadline of the call.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 }
 
 impl Call {
-    /// A request without a body.
+    /// Creates a GET request without a body.
     pub(crate) fn get(path: &str) -> Call {
         Call {
             method: Method::GET,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// A request with a body in JSON.
+    /// Creates a POST request with a JSON body.
     pub(crate) fn post(path: &str, body: &impl Serialize) -> Result<Call, Error> {
         let body = serde_json::to_vec(body);
         let body = body.map_err(|error| Error::Malformed(error.to_string()))?;
@@ -47,10 +47,11 @@
 }
 
 impl Client {
-    /// Makes a call and decodes its whole response.
+    /// Makes a call and decodes the complete response.
     pub(crate) async fn fetch<T: DeserializeOwned>(&self, call: Call) -> Result<T, Error> {
         let read = async |response: Response<Incoming>, connection: Connection| {
-            // The caller has seen nothing of an incomplete response, so it counts as none.
+            // The caller has seen no part of an incomplete response, so the call can be retried as
+            // if there had been no response.
             let body = response.into_body().collect().await;
             let body = body.map_err(|_| Error::ConnectionLost)?.to_bytes();
             self.shared.connections.put(connection).await;
@@ -60,7 +61,7 @@
         serde_json::from_slice(&body).map_err(|error| Error::Malformed(error.to_string()))
     }
 
-    /// Makes a call and opens the stream of its response.
+    /// Makes a call and returns its response as a stream.
     pub(crate) async fn open_stream(&self, call: Call) -> Result<ChatStream, Error> {
         let open = async |response: Response<Incoming>, connection: Connection| {
             let idle_timeout = self.options.idle_timeout;
@@ -73,18 +74,19 @@
         self.call(call, open).await
     }
 
-    /// Makes attempts at a call until one succeeds, none may follow, or the deadline has passed.
+    /// Makes attempts at a call until one succeeds, no retry is allowed, or the deadline has
+    /// passed. `read` turns a successful response into the result.
     async fn call<T>(
         &self,
         call: Call,
         read: impl AsyncFn(Response<Incoming>, Connection) -> Result<T, Error>,
     ) -> Result<T, Error> {
         let deadline = Instant::now() + self.options.deadline;
-        let number = self.shared.call_count.fetch_add(1, Ordering::Relaxed);
+        let call_number = self.shared.call_count.fetch_add(1, Ordering::Relaxed);
         let mut attempts = 0;
         loop {
             attempts += 1;
-            let request_id = format!("{:016x}-{number}-{attempts}", self.shared.client_id);
+            let request_id = format!("{:016x}-{call_number}-{attempts}", self.shared.client_id);
             let attempt = self.attempt(&call, &request_id, deadline, &read);
             let result = timeout_at(deadline, attempt).await;
             let error = match result.unwrap_or(Err(Error::DeadlineExceeded)) {
@@ -101,7 +103,7 @@
         }
     }
 
-    /// The delay before the next attempt; `None` if there is to be none.
+    /// Returns the delay before the next attempt, or `None` if the call is not retried.
     fn retry_delay(&self, error: &Error, attempts: u32, deadline: Instant) -> Option<Duration> {
         let outcome = attempt_outcome(error);
         let remaining = deadline.saturating_duration_since(Instant::now());
@@ -113,11 +115,13 @@
         .flatten()
     }
 
-    fn with_retry_budget<T>(&self, step: impl FnOnce(&mut RetryBudget) -> T) -> Option<T> {
+    /// Calls `action` with the shared retry budget; `None` if its lock is poisoned.
+    fn with_retry_budget<T>(&self, action: impl FnOnce(&mut RetryBudget) -> T) -> Option<T> {
         let mut budget = self.shared.retry_budget.lock().ok()?;
-        Some(step(&mut budget))
+        Some(action(&mut budget))
     }
 
+    /// Sends the request once and reads the response with `read` if its status is a success.
     async fn attempt<T>(
         &self,
         call: &Call,
@@ -127,12 +131,15 @@
     ) -> Result<T, Error> {
         let connection = self.shared.connections.take().await;
         let mut connection = connection.map_err(|error| Error::NotSent(error.to_string()))?;
-        let request = self.request(call, request_id, deadline)?;
+        let request = self.build_request(call, request_id, deadline)?;
         let response = connection
             .send(request)
             .await
             .map_err(|error| match error {
-                SendError::NotSent => Error::NotSent("the connection ended".to_owned()),
+                SendError::NotSent => Error::NotSent(
+                    "the connection was closed before the request was completely written"
+                        .to_owned(),
+                ),
                 SendError::ConnectionLost => Error::ConnectionLost,
             })?;
         if response.status().is_success() {
@@ -150,7 +157,7 @@
         })
     }
 
-    fn request(
+    fn build_request(
         &self,
         call: &Call,
         request_id: &str,
@@ -197,7 +204,7 @@
     }
 }
 
-/// The value of `Retry-After` in seconds, whole or decimal.
+/// Returns the delay in the `Retry-After` header, which is a whole or decimal number of seconds.
 fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("retry-after")?.to_str().ok()?;
     let seconds = text.trim().parse().ok()?;
--- a/crates/inference-client/src/client.rs
+++ b/crates/inference-client/src/client.rs
@@ -1,4 +1,4 @@
-//! The client and the calls that it offers.
+//! The client and its calls.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::{Arc, Mutex};
@@ -22,31 +22,33 @@
 const MODELS_PATH: &str = "/v1/models";
 const DEFAULT_PORT: u16 = 80;
 
-/// What the clones of a client share.
-pub(crate) struct Shared {
-    /// The `Host` header.
+/// State that all clones of a client share.
+pub(crate) struct SharedState {
+    /// Value of the `Host` header.
     pub(crate) host: String,
     pub(crate) connections: ConnectionPool,
     pub(crate) retry_budget: Mutex<RetryBudget>,
-    /// Distinguishes the request ids of this client from those of others.
+    /// Random part of the request ids, which tells the requests of different clients apart.
     pub(crate) client_id: u64,
+    /// Number of calls made so far.
     pub(crate) call_count: AtomicU64,
 }
 
-/// A client. Clones share connections and the retry budget.
+/// A client of the inference API. Clones share the connections and the retry budget.
 #[derive(Clone)]
 pub struct Client {
-    pub(crate) shared: Arc<Shared>,
+    pub(crate) shared: Arc<SharedState>,
     pub(crate) options: Options,
 }
 
 impl Client {
-    /// A client of the service at an address such as `http://127.0.0.1:8090`.
+    /// Creates a client of the service at an address such as `http://127.0.0.1:8090`, with the
+    /// default options.
     pub fn new(base: &str) -> Result<Client, Error> {
         Client::with_options(base, Options::default())
     }
 
-    /// A client with these options.
+    /// Creates a client with these options.
     pub fn with_options(base: &str, options: Options) -> Result<Client, Error> {
         let invalid = || Error::InvalidAddress(base.to_owned());
         let uri: http::Uri = base.parse().map_err(|_| invalid())?;
@@ -57,7 +59,7 @@
         let authority = uri.authority().map_or(host, |authority| authority.as_str());
         let host_name = host.trim_matches(['[', ']']).to_owned();
         let port = uri.port_u16().unwrap_or(DEFAULT_PORT);
-        let shared = Shared {
+        let shared = SharedState {
             host: authority.to_owned(),
             connections: ConnectionPool::new(host_name, port),
             retry_budget: Mutex::new(RetryBudget::new(options.retry_policy)),
@@ -70,7 +72,8 @@
         })
     }
 
-    /// A clone with changed options. Its retry budget stays the one that all clones share.
+    /// Returns a clone with changed options. A changed retry policy has no effect, because all
+    /// clones share the retry budget.
     #[must_use]
     pub fn with_changed_options(&self, change: impl FnOnce(&mut Options)) -> Client {
         let mut client = self.clone();
@@ -78,12 +81,12 @@
         client
     }
 
-    /// A complete chat response.
+    /// Requests a chat response and waits until it is complete.
     pub async fn chat(&self, request: &ChatRequest) -> Result<ChatResponse, Error> {
         self.fetch(Call::post(CHAT_PATH, request)?).await
     }
 
-    /// A chat response as a stream. The last event carries the usage.
+    /// Requests a chat response as a stream. The last event contains the usage.
     pub async fn chat_stream(&self, request: &ChatRequest) -> Result<ChatStream, Error> {
         let body = serde_json::to_value(request);
         let mut body = body.map_err(|error| Error::Malformed(error.to_string()))?;
@@ -92,7 +95,7 @@
         self.open_stream(Call::post(CHAT_PATH, &body)?).await
     }
 
-    /// The vectors of texts.
+    /// Requests the embeddings of texts.
     pub async fn embeddings(
         &self,
         request: &EmbeddingsRequest,
@@ -100,24 +103,24 @@
         self.fetch(Call::post(EMBEDDINGS_PATH, request)?).await
     }
 
-    /// The scores of documents.
+    /// Requests the relevance scores of documents.
     pub async fn rerank(&self, request: &RerankRequest) -> Result<RerankResponse, Error> {
         self.fetch(Call::post(RERANK_PATH, request)?).await
     }
 
-    /// The models that may be used.
+    /// Lists the models that the service offers to this client.
     pub async fn models(&self) -> Result<ModelList, Error> {
         self.fetch(Call::get(MODELS_PATH)).await
     }
 
-    /// One model.
+    /// Requests the description of a model.
     pub async fn model(&self, id: &str) -> Result<Model, Error> {
         let path = format!("{MODELS_PATH}/{}", percent_encode(id));
         self.fetch(Call::get(&path)).await
     }
 }
 
-/// Encodes all but unreserved characters (RFC 3986, 2.3).
+/// Percent-encodes all characters except the unreserved ones (RFC 3986, section 2.3).
 fn percent_encode(text: &str) -> String {
     let mut encoded = String::with_capacity(text.len());
     for byte in text.bytes() {
--- a/crates/inference-client/src/connection.rs
+++ b/crates/inference-client/src/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to the service.
+//! Connections to the service, and a pool of idle ones.
 
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -15,21 +15,21 @@
 
 use crate::write_progress::{RecordedStream, WriteProgress};
 
-/// The most idle connections that are kept.
+/// Maximum number of idle connections that a client keeps.
 const MAX_IDLE_CONNECTIONS: usize = 16;
-/// How long an idle connection is kept. The service keeps it for longer.
+/// Maximum time that an idle connection is kept. The service keeps idle connections for longer.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Why a request got no response head.
+/// Why no response head was received for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SendError {
-    /// The connection ended before the last byte of the request was written.
+    /// The connection was closed before the last byte of the request was written.
     NotSent,
-    /// The connection ended after that.
+    /// The connection was closed after the last byte of the request was written.
     ConnectionLost,
 }
 
-/// A connection, which is closed when this is dropped.
+/// A connection to the service. Dropping it closes the connection.
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
     progress: Arc<WriteProgress>,
@@ -79,10 +79,10 @@
 /// A connection that is not in use.
 struct IdleConnection {
     connection: Connection,
-    since: Instant,
+    idle_since: Instant,
 }
 
-/// The connections of a client.
+/// The idle connections of a client.
 pub(crate) struct ConnectionPool {
     host: String,
     port: u16,
@@ -90,7 +90,7 @@
 }
 
 impl ConnectionPool {
-    /// A pool of connections to this host and port.
+    /// Creates an empty pool of connections to a host and port.
     pub(crate) fn new(host: String, port: u16) -> ConnectionPool {
         ConnectionPool {
             host,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Takes an idle connection, or opens one.
+    /// Takes an idle connection from the pool, or opens a new one.
     pub(crate) async fn take(&self) -> io::Result<Connection> {
         match self.take_idle() {
             Some(connection) => Ok(connection),
@@ -107,18 +107,23 @@
         }
     }
 
-    /// Takes the connection that has been idle for the shortest time, and closes unusable ones.
+    /// Takes the usable connection that has been idle for the shortest time. Connections that are
+    /// unusable or idle for too long are closed on the way.
     fn take_idle(&self) -> Option<Connection> {
         let mut idle = self.idle.lock().ok()?;
-        while let Some(IdleConnection { connection, since }) = idle.pop() {
-            if since.elapsed() < IDLE_TIMEOUT && connection.sender.is_ready() {
+        while let Some(IdleConnection {
+            connection,
+            idle_since,
+        }) = idle.pop()
+        {
+            if idle_since.elapsed() < IDLE_TIMEOUT && connection.sender.is_ready() {
                 return Some(connection);
             }
         }
         None
     }
 
-    /// Keeps a connection whose response has been read to its end.
+    /// Returns a connection to the pool, once its response has been read to the end.
     pub(crate) async fn put(&self, mut connection: Connection) {
         if connection.sender.ready().await.is_err() {
             return;
@@ -129,7 +134,7 @@
             }
             idle.push(IdleConnection {
                 connection,
-                since: Instant::now(),
+                idle_since: Instant::now(),
             });
         }
     }
--- a/crates/inference-client/src/error.rs
+++ b/crates/inference-client/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a call fails.
+//! Errors of calls.
 
 use std::time::Duration;
 
@@ -6,41 +6,45 @@
 
 use crate::types::ApiErrorBody;
 
-/// Why a call has no response.
+/// Why a call has failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The address of the service is invalid.
-    #[error("{0:?} is not an address such as http://host:port")]
+    #[error("invalid service address {0:?}: expected http://host:port")]
     InvalidAddress(String),
-    /// No connection was established, or it ended before the whole request was written: the request
-    /// has not been executed.
+    /// No connection was established, or it was closed before the complete request was written. The
+    /// request has not been executed.
     #[error("the request could not be sent: {0}")]
     NotSent(String),
-    /// The connection ended before the response: the request may have been executed.
-    #[error("the connection ended before the answer; the request may have run")]
+    /// The connection was closed before the response was received. The request may have been
+    /// executed.
+    #[error("the connection was closed before the response; the request may have been executed")]
     ConnectionLost,
-    /// The stream broke off.
-    #[error("the answer broke off")]
+    /// The connection was closed before the end of the stream, or the stream paused for longer than
+    /// the idle timeout.
+    #[error("the response stream was interrupted before its end")]
     StreamBroken,
-    /// The deadline has passed.
-    #[error("the deadline has passed")]
+    /// The deadline of the call has passed.
+    #[error("the deadline of the call has passed")]
     DeadlineExceeded,
-    /// The service responded with an error. The status is 200 if the error came in a stream.
+    /// The service responded with an error. The status is 200 if the error was an event of a
+    /// stream.
     #[error("{status}: {}", error.message)]
     Api {
-        /// The HTTP status.
+        /// The HTTP status code.
         status: u16,
-        /// The error.
+        /// The error in the response body.
         error: ApiErrorBody,
-        /// The delay before a retry that the service asks for.
+        /// The delay that the service asks for before a retry.
         retry_after: Option<Duration>,
     },
-    /// The request or response is not as the API defines it.
-    #[error("the answer cannot be read: {0}")]
+    /// The request cannot be encoded, or the response cannot be decoded.
+    #[error("the request cannot be encoded or the response cannot be decoded: {0}")]
     Malformed(String),
 }
 
-/// Decodes the body of an error response. If it is not the API's, its text becomes the message.
+/// Decodes the body of an error response. If it does not have the form of an API error, its text
+/// becomes the message.
 pub(crate) fn decode_api_error(body: &[u8]) -> ApiErrorBody {
     #[derive(Deserialize)]
     struct ErrorResponse {
--- a/crates/inference-client/src/lib.rs
+++ b/crates/inference-client/src/lib.rs
@@ -1,4 +1,4 @@
-//! A client of the inference API that cranetack serves: chat, complete or streamed, embeddings,
+//! A client of the inference API that cranetack serves: chat (complete or streamed), embeddings,
 //! rerank and models.
 //!
 //! ```no_run
@@ -13,12 +13,12 @@
 //! # }
 //! ```
 //!
-//! Every call has a deadline over all its attempts. Whether a call is retried depends on the
-//! outcome of the attempt (see [`retry`]), on whether it may be executed twice ([`Idempotency`]),
-//! on the delay that the service asks for, and on a budget that all calls of a [`Client`] share.
-//! Dropping a call's future, or a [`ChatStream`], closes its connection, which cancels the request
-//! at the service. The client opens connections by itself and keeps some of them. It must run on a
-//! tokio runtime with time and I/O.
+//! Every call has a deadline that covers all its attempts. Whether a call is retried depends on the
+//! outcome of the attempt (see [`retry`]), on whether the request may be executed twice
+//! ([`Idempotency`]), on the delay that the service asks for, and on a retry budget that all calls
+//! of a [`Client`] share. Dropping the future of a call, or a [`ChatStream`], closes its
+//! connection, which cancels the request at the service. The client opens connections as needed and
+//! keeps some of them for reuse. It must run on a tokio runtime with time and I/O enabled.
 
 mod call;
 mod client;
--- a/crates/inference-client/src/options.rs
+++ b/crates/inference-client/src/options.rs
@@ -7,17 +7,18 @@
 /// How a client makes its calls.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// The deadline of a call over all its attempts; for a stream, of its first event.
+    /// Time within which a call must be complete, including all its attempts. For a stream, the
+    /// time within which the response must begin.
     pub deadline: Duration,
-    /// How long a stream may pause once it has begun.
+    /// Maximum time between two parts of a stream.
     pub idle_timeout: Duration,
     /// Whether requests may be executed twice.
     pub idempotency: Idempotency,
-    /// The tenant's API key.
+    /// API key of the tenant.
     pub api_key: Option<String>,
-    /// The session, whose prompts extend one another.
+    /// Id of the session, a series of requests of which each prompt begins with the previous one.
     pub session: Option<String>,
-    /// How calls are retried.
+    /// When and how often calls are retried.
     pub retry_policy: RetryPolicy,
 }
 
--- a/crates/inference-client/src/retry.rs
+++ b/crates/inference-client/src/retry.rs
@@ -1,52 +1,54 @@
-//! Whether and when a call is retried.
+//! Decisions about whether and when a call is retried.
 
 use std::time::Duration;
 
-/// The largest power of two by which the backoff grows.
+/// Exponent of the largest power of two by which the backoff is multiplied.
 const MAX_BACKOFF_EXPONENT: u32 = 16;
 
 /// Whether a request may be executed twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Idempotency {
-    /// It may: reading, embedding and scoring change nothing.
+    /// The request may be executed twice: reading, embedding and scoring change nothing.
     #[default]
     Idempotent,
-    /// It must not: an order, for example.
+    /// The request must not be executed twice, such as an order.
     NonIdempotent,
 }
 
 /// How an attempt failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// No connection was established, or it ended before the last byte was written: the request has
-    /// not been executed.
+    /// No connection was established, or it was closed before the last byte of the request was
+    /// written. The request has not been executed.
     NotSent,
-    /// The connection ended after the last byte was written and before a response: the request may
-    /// have been executed.
+    /// The connection was closed after the last byte of the request was written and before the
+    /// response was received. The request may have been executed.
     ConnectionLost,
-    /// The service responded.
+    /// The service responded with an error.
     Responded {
-        /// The status.
+        /// The HTTP status code.
         status: u16,
-        /// The delay that the service asks for.
+        /// The delay that the service asks for before a retry.
         retry_after: Option<Duration>,
     },
-    /// A retry is not possible or of no use, as when a part of the response has been seen.
+    /// A retry is impossible or useless, for example because the caller has seen a part of the
+    /// response.
     NotRetryable,
 }
 
-/// How calls are retried.
+/// Limits and delays of retries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryPolicy {
-    /// The most attempts at one call.
+    /// Maximum number of attempts at a call, including the first one.
     pub max_attempts: u32,
-    /// The first delay if the service asks for none; it doubles with each attempt.
+    /// Backoff after the first attempt if the service asks for no delay. It doubles with each
+    /// further attempt.
     pub initial_delay: Duration,
-    /// The longest delay. If the service asks for a longer one, the call is not retried.
+    /// Maximum delay. If the service asks for a longer one, the call is not retried.
     pub max_delay: Duration,
-    /// Retries as a share of the successes of all calls.
+    /// Number of retries that each successful call adds to the budget.
     pub budget_ratio: f64,
-    /// The most retries that may be saved.
+    /// Maximum number of retries in the budget.
     pub max_saved: f64,
 }
 
@@ -62,15 +64,17 @@
     }
 }
 
-/// The retries that all calls of a client share, so that they add little load to an outage.
+/// The retry budget that all calls of a client share. It limits the load that retries add during an
+/// outage.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     policy: RetryPolicy,
+    /// Number of retries that may be made now.
     available: f64,
 }
 
 impl RetryBudget {
-    /// A budget that starts full.
+    /// Creates a full budget.
     pub fn new(policy: RetryPolicy) -> RetryBudget {
         RetryBudget {
             available: policy.max_saved,
@@ -78,14 +82,14 @@
         }
     }
 
-    /// Notes that a call succeeded.
+    /// Adds to the budget for a successful call.
     pub fn record_success(&mut self) {
         self.available = (self.available + self.policy.budget_ratio).min(self.policy.max_saved);
     }
 
-    /// The delay before the next attempt, which is taken from the budget, or `None` if there is to
-    /// be none. `attempts` counts those made, `remaining` is the time to the deadline, and `jitter`
-    /// from 0 to 1 spreads the retries of many clients.
+    /// Returns the delay before the next attempt, or `None` if the call is not retried. A retry is
+    /// taken from the budget. `attempts` is the number of attempts made so far, `remaining` is the
+    /// time until the deadline, and `jitter` from 0 to 1 spreads the retries of many clients.
     pub fn next_delay(
         &mut self,
         outcome: AttemptOutcome,
@@ -119,7 +123,7 @@
             if retry_after > max_delay {
                 return None;
             }
-            // Never earlier than the service asks for: the jitter is added.
+            // The jitter is added, so that no retry is earlier than the service asks for.
             return Some(retry_after + initial_delay.mul_f64(jitter));
         }
         let exponent = attempts.saturating_sub(1).min(MAX_BACKOFF_EXPONENT);
@@ -128,12 +132,12 @@
     }
 }
 
-/// Whether a retry cannot execute a request twice that must not be.
+/// Returns whether a retry is useful and cannot execute a non-idempotent request twice.
 fn is_retryable(outcome: AttemptOutcome, idempotency: Idempotency) -> bool {
     match outcome {
         AttemptOutcome::NotSent => true,
         AttemptOutcome::Responded { status, .. } => match status {
-            // The request was not executed.
+            // These statuses mean that the request was not executed.
             408 | 429 | 503 => true,
             502 => idempotency == Idempotency::Idempotent,
             _ => false,
--- a/crates/inference-client/src/retry/tests.rs
+++ b/crates/inference-client/src/retry/tests.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 
-const LONG: Duration = Duration::from_secs(60);
+const AMPLE_TIME: Duration = Duration::from_secs(60);
 
 fn responded(status: u16, retry_after: Option<Duration>) -> AttemptOutcome {
     AttemptOutcome::Responded {
@@ -15,12 +15,12 @@
 }
 
 fn first_delay(outcome: AttemptOutcome, idempotency: Idempotency) -> Option<Duration> {
-    RetryBudget::new(RetryPolicy::default()).next_delay(outcome, idempotency, 1, LONG, 0.0)
+    RetryBudget::new(RetryPolicy::default()).next_delay(outcome, idempotency, 1, AMPLE_TIME, 0.0)
 }
 
 #[test]
 fn a_request_that_may_have_been_executed_is_retried_only_if_idempotent() {
-    for (outcome, safe, other) in [
+    for (outcome, if_idempotent, if_non_idempotent) in [
         (AttemptOutcome::NotSent, true, true),
         (AttemptOutcome::ConnectionLost, true, false),
         (responded(503, None), true, true),
@@ -33,12 +33,12 @@
     ] {
         assert_eq!(
             first_delay(outcome, Idempotency::Idempotent).is_some(),
-            safe,
+            if_idempotent,
             "{outcome:?}"
         );
         assert_eq!(
             first_delay(outcome, Idempotency::NonIdempotent).is_some(),
-            other,
+            if_non_idempotent,
             "{outcome:?}"
         );
     }
@@ -59,7 +59,7 @@
         None
     );
     let jittered = budget
-        .next_delay(rejected(short), Idempotency::Idempotent, 1, LONG, 1.0)
+        .next_delay(rejected(short), Idempotency::Idempotent, 1, AMPLE_TIME, 1.0)
         .unwrap();
     assert!(jittered > short);
 }
@@ -80,7 +80,7 @@
                 successes += 1;
             } else {
                 let outcome = AttemptOutcome::NotSent;
-                let delay = budget.next_delay(outcome, Idempotency::Idempotent, 1, LONG, 0.5);
+                let delay = budget.next_delay(outcome, Idempotency::Idempotent, 1, AMPLE_TIME, 0.5);
                 retries += u32::from(delay.is_some());
             }
             prop_assert!(f64::from(retries) <= 4.0 + 0.25 * f64::from(successes));
--- a/crates/inference-client/src/stream.rs
+++ b/crates/inference-client/src/stream.rs
@@ -1,4 +1,4 @@
-//! A chat response as a stream.
+//! Streamed chat responses.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,12 +13,13 @@
 use crate::error::{decode_api_error, Error};
 use crate::types::ChatChunk;
 
-/// A chat response as a stream. Dropping it closes its connection, which cancels the request.
+/// A streamed chat response. Dropping it closes its connection, which cancels the request.
 pub struct ChatStream {
     body: Incoming,
     _connection: Connection,
     idle_timeout: Duration,
     events: EventSplitter,
+    /// Data of the events that were received but not yet returned.
     pending: VecDeque<String>,
     ended: bool,
 }
@@ -39,7 +40,8 @@
         }
     }
 
-    /// The next event; `None` at the end of a complete response. Nothing follows an error.
+    /// Returns the next event, or `None` at the end of a complete response. After an error from the
+    /// service or from the connection, further calls return `None`.
     pub async fn next(&mut self) -> Option<Result<ChatChunk, Error>> {
         loop {
             if let Some(data) = self.pending.pop_front() {
@@ -59,13 +61,13 @@
         }
     }
 
-    /// Reads further events; `false` at the end of the response.
+    /// Reads further events. Returns `false` at the end of the response.
     async fn read_events(&mut self) -> Result<bool, Error> {
         let frame = timeout(self.idle_timeout, self.body.frame())
             .await
             .map_err(|_| Error::StreamBroken)?;
         let Some(Ok(frame)) = frame else {
-            // The response was complete before its connection broke off.
+            // After the last event the response is complete, also if the connection fails then.
             return if self.events.is_done() {
                 Ok(false)
             } else {
@@ -83,6 +85,7 @@
         Ok(true)
     }
 
+    /// Decodes the data of an event, which is a chunk or an error of the service.
     fn decode_chunk(&mut self, data: &str) -> Result<ChatChunk, Error> {
         #[derive(serde::Deserialize)]
         struct ErrorEvent {
@@ -101,7 +104,7 @@
         serde_json::from_str(data).map_err(|error| Error::Malformed(error.to_string()))
     }
 
-    /// The whole text of the first choice.
+    /// Reads the stream to its end and returns the complete text of the first choice.
     pub async fn text(mut self) -> Result<String, Error> {
         let mut text = String::new();
         while let Some(chunk) = self.next().await {
--- a/crates/inference-client/src/types.rs
+++ b/crates/inference-client/src/types.rs
@@ -1,5 +1,5 @@
-//! The requests and responses of calls. Fields that are not listed here can be set, and are found,
-//! in `extra`.
+//! Requests and responses of the API. Fields that a type does not list are sent from, and received
+//! into, its field `extra`.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
@@ -7,12 +7,12 @@
 /// A message of a chat.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// Its author: `system`, `user`, `assistant` or `tool`.
+    /// Author of the message: `system`, `user`, `assistant` or `tool`.
     pub role: String,
-    /// The content.
+    /// Text of the message.
     #[serde(default)]
     pub content: Option<String>,
-    /// The tool calls.
+    /// Tool calls of an assistant message.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub tool_calls: Vec<Value>,
     /// Further fields.
@@ -21,7 +21,7 @@
 }
 
 impl Message {
-    /// A user's message.
+    /// Creates a message with the role `user`.
     pub fn user(content: impl Into<String>) -> Message {
         Message {
             role: "user".to_owned(),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A system's message.
+    /// Creates a message with the role `system`.
     pub fn system(content: impl Into<String>) -> Message {
         Message {
             role: "system".to_owned(),
@@ -42,20 +42,20 @@
 /// A chat request.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct ChatRequest {
-    /// The model.
+    /// Name of the model.
     pub model: String,
     /// The conversation so far.
     pub messages: Vec<Message>,
-    /// The most tokens of the response.
+    /// Maximum number of tokens of the response.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_completion_tokens: Option<u64>,
-    /// Further fields: `temperature`, `tools` and so on.
+    /// Further fields, such as `temperature` and `tools`.
     #[serde(flatten)]
     pub extra: Map<String, Value>,
 }
 
 impl ChatRequest {
-    /// A request.
+    /// Creates a request with the fields that the API requires.
     pub fn new(model: impl Into<String>, messages: Vec<Message>) -> ChatRequest {
         ChatRequest {
             model: model.into(),
@@ -68,12 +68,12 @@
 /// A complete chat response.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct ChatResponse {
-    /// Its id.
+    /// Id of the response.
     #[serde(default)]
     pub id: String,
-    /// The choices.
+    /// The choices, of which each is an alternative response.
     pub choices: Vec<Choice>,
-    /// The tokens used.
+    /// Number of tokens used.
     #[serde(default)]
     pub usage: Option<Usage>,
     /// Further fields.
@@ -81,15 +81,15 @@
     pub extra: Map<String, Value>,
 }
 
-/// One choice of a response.
+/// One choice of a chat response.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Choice {
-    /// Its index.
+    /// Index of the choice.
     #[serde(default)]
     pub index: u64,
-    /// The message.
+    /// The generated message.
     pub message: Message,
-    /// Why it ended, as the API has it.
+    /// Why the generation ended, as a value of the API such as `stop`.
     #[serde(default)]
     pub finish_reason: Option<String>,
 }
@@ -97,16 +97,16 @@
 /// One event of a chat stream.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct ChatChunk {
-    /// What it adds to the choices.
+    /// The additions to the choices.
     #[serde(default)]
     pub choices: Vec<Value>,
-    /// The tokens used, in the last event if they were requested.
+    /// Number of tokens used, in the last event if the request asked for it.
     #[serde(default)]
     pub usage: Option<Usage>,
 }
 
 impl ChatChunk {
-    /// The text that it adds to the first choice.
+    /// Returns the text that this event adds to the first choice.
     pub fn text(&self) -> &str {
         let first = self
             .choices
@@ -118,26 +118,26 @@
     }
 }
 
-/// The tokens used.
+/// Numbers of tokens used.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Usage {
-    /// Of the prompt, inputs or documents.
+    /// Tokens of the prompt, the inputs or the documents.
     pub prompt_tokens: u64,
-    /// Of the response.
+    /// Tokens of the response.
     pub completion_tokens: u64,
-    /// Of both together.
+    /// Tokens of the prompt and the response together.
     pub total_tokens: u64,
 }
 
-/// A request for vectors.
+/// An embeddings request.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct EmbeddingsRequest {
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The texts.
+    /// Texts to embed.
     pub input: Vec<String>,
-    /// The length of vectors that is wanted.
+    /// Requested length of the vectors.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub dimensions: Option<u64>,
     /// Further fields.
@@ -145,35 +145,35 @@
     pub extra: Map<String, Value>,
 }
 
-/// The vectors, in the order of the texts.
+/// An embeddings response.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct EmbeddingsResponse {
-    /// The vectors.
+    /// Embeddings in the order of the texts.
     pub data: Vec<Embedding>,
-    /// The tokens used.
+    /// Number of tokens used.
     #[serde(default)]
     pub usage: Usage,
 }
 
-/// A vector.
+/// The embedding of a text.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Embedding {
-    /// The index of its text.
+    /// Index of the text in the request.
     pub index: usize,
-    /// The vector.
+    /// Vector of the text.
     pub embedding: Vec<f32>,
 }
 
-/// A request for scores.
+/// A rerank request.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct RerankRequest {
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The query.
+    /// Query that the documents are compared with.
     pub query: String,
-    /// The documents.
+    /// Documents to score.
     pub documents: Vec<String>,
-    /// How many results are wanted.
+    /// Maximum number of results.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub top_n: Option<usize>,
     /// Further fields.
@@ -181,52 +181,52 @@
     pub extra: Map<String, Value>,
 }
 
-/// The scores, highest first.
+/// A rerank response.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct RerankResponse {
-    /// The results.
+    /// Results in descending order of their scores.
     pub results: Vec<RerankResult>,
-    /// The tokens used.
+    /// Number of tokens used.
     #[serde(default)]
     pub usage: Usage,
 }
 
-/// A score.
+/// The score of a document.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct RerankResult {
-    /// The index of its document.
+    /// Index of the document in the request.
     pub index: usize,
-    /// The score.
+    /// Relevance of the document to the query.
     pub relevance_score: f64,
 }
 
-/// A model.
+/// A model that the service offers.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Model {
-    /// Its name.
+    /// Name of the model.
     pub id: String,
     /// Further fields.
     #[serde(flatten)]
     pub extra: Map<String, Value>,
 }
 
-/// All models.
+/// The models that the service offers.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct ModelList {
     /// The models.
     pub data: Vec<Model>,
 }
 
-/// An error of the service.
+/// An error that the service reports.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct ApiErrorBody {
-    /// The message for people.
+    /// Human-readable description of the error.
     pub message: String,
-    /// The code for programs.
+    /// Machine-readable error code.
     pub code: Option<String>,
-    /// The field or header that is wrong.
+    /// Name of the invalid field or header.
     pub param: Option<String>,
-    /// The kind of error.
+    /// Category of the error.
     pub r#type: Option<String>,
 }
--- a/crates/inference-client/src/write_progress.rs
+++ b/crates/inference-client/src/write_progress.rs
@@ -1,4 +1,4 @@
-//! How much of a request has been written to its connection.
+//! Detection of whether a request has been written to its connection completely.
 
 use std::io;
 use std::pin::Pin;
@@ -11,54 +11,56 @@
 
 const HEAD_END: &[u8; 4] = b"\r\n\r\n";
 
-/// Follows a request to its last byte as it is written.
+/// Progress of writing a request, from its first byte to its last.
 #[derive(Debug, Default)]
 pub(crate) struct WriteProgress {
-    /// How many bytes of the head's end the last written bytes match; all if the head is written.
+    /// Number of bytes of `HEAD_END` that the last written bytes match; all of them once the head
+    /// has been written.
     matched: AtomicU8,
+    /// Number of bytes of the body that have not been written yet.
     body_remaining: AtomicUsize,
 }
 
 impl WriteProgress {
-    /// Begins a request with a body of so many bytes.
+    /// Begins a request whose body has `body_length` bytes.
     pub(crate) fn begin(&self, body_length: usize) {
         self.matched.store(0, Ordering::Relaxed);
         self.body_remaining.store(body_length, Ordering::Relaxed);
     }
 
-    /// Notes bytes that were written.
+    /// Records bytes that were written.
     fn record(&self, written: &[u8]) {
         let mut matched = usize::from(self.matched.load(Ordering::Relaxed));
-        let mut at = 0;
-        while at < written.len() && matched < HEAD_END.len() {
-            matched = match written[at] {
+        let mut position = 0;
+        while position < written.len() && matched < HEAD_END.len() {
+            matched = match written[position] {
                 byte if byte == HEAD_END[matched] => matched + 1,
                 b'\r' => 1,
                 _ => 0,
             };
-            at += 1;
+            position += 1;
         }
         self.matched.store(matched as u8, Ordering::Relaxed);
         let remaining = self.body_remaining.load(Ordering::Relaxed);
-        let remaining = remaining.saturating_sub(written.len() - at);
+        let remaining = remaining.saturating_sub(written.len() - position);
         self.body_remaining.store(remaining, Ordering::Relaxed);
     }
 
-    /// Whether the last byte has been written: from then on the request may be executed.
+    /// Returns whether the last byte has been written. From then on the request may be executed.
     pub(crate) fn is_complete(&self) -> bool {
         usize::from(self.matched.load(Ordering::Relaxed)) == HEAD_END.len()
             && self.body_remaining.load(Ordering::Relaxed) == 0
     }
 }
 
-/// A stream that records what is written to it.
+/// A TCP stream that records the progress of writing to it.
 pub(crate) struct RecordedStream {
     stream: TcpStream,
     progress: Arc<WriteProgress>,
 }
 
 impl RecordedStream {
-    /// Records the writes to `stream` in `progress`.
+    /// Wraps `stream` and records in `progress` what is written to it.
     pub(crate) fn new(stream: TcpStream, progress: Arc<WriteProgress>) -> RecordedStream {
         RecordedStream { stream, progress }
     }
--- a/crates/inference-client/src/write_progress/tests.rs
+++ b/crates/inference-client/src/write_progress/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of following a request as it is written.
+//! Tests of detecting the last byte of a request.
 
 use super::*;
 
--- a/crates/inference-client/tests/client.rs
+++ b/crates/inference-client/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client against a scripted service: what it sends, retries and cancels.
+//! Tests of what the client sends, retries and cancels, against a scripted service.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -14,35 +14,40 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// What the service does with one request.
+/// What the service does with a request.
 #[derive(Clone)]
 enum Step {
+    /// Sends this response.
     Respond(String),
-    /// Ends the connection after this much of a response.
-    Break(String),
-    /// Does not respond.
+    /// Sends this part of a response and closes the connection.
+    CloseAfter(String),
+    /// Sends no response and leaves the connection open.
     Hang,
-    /// Reads no more than the head, and ends the connection.
-    DoNotRead,
+    /// Closes the connection after the head of the request, without reading all of the body.
+    CloseBeforeBody,
 }
 
+/// A service that responds to requests according to a script.
 struct Service {
     base: String,
-    heads: RefCell<Vec<String>>,
-    closed: Cell<usize>,
+    /// Heads of the requests received so far.
+    request_heads: RefCell<Vec<String>>,
+    /// Number of connections that were closed.
+    closed_connections: Cell<usize>,
+    /// Notified when a request is received or a connection is closed.
     changed: Notify,
 }
 
 impl Service {
-    /// A service that plays one step after the other for each request, and the last one for all
-    /// further ones.
+    /// Starts a service that performs the steps of `script` in order, one for each request, and the
+    /// last step for all further requests.
     async fn start(script: Vec<Step>) -> Rc<Service> {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let base = format!("http://{}", listener.local_addr().unwrap());
         let service = Rc::new(Service {
             base,
-            heads: RefCell::default(),
-            closed: Cell::default(),
+            request_heads: RefCell::default(),
+            closed_connections: Cell::default(),
             changed: Notify::new(),
         });
         let service_of_task = service.clone();
@@ -52,7 +57,9 @@
                 let (service, script) = (service_of_task.clone(), script.clone());
                 spawn_local(async move {
                     service.serve(stream, &script).await;
-                    service.closed.set(service.closed.get() + 1);
+                    service
+                        .closed_connections
+                        .set(service.closed_connections.get() + 1);
                     service.changed.notify_waiters();
                 });
             }
@@ -67,24 +74,24 @@
             let Some((head, body)) = text.split_once("\r\n\r\n") else {
                 continue;
             };
-            let next = script[self.heads.borrow().len().min(script.len() - 1)].clone();
+            let next = script[self.request_heads.borrow().len().min(script.len() - 1)].clone();
             let length = head
                 .split_once("content-length: ")
                 .and_then(|(_, l)| l.lines().next());
-            if !matches!(next, Step::DoNotRead)
+            if !matches!(next, Step::CloseBeforeBody)
                 && body.len() < length.map_or(0, |l| l.parse().unwrap())
             {
                 continue;
             }
-            self.heads.borrow_mut().push(head.to_owned());
+            self.request_heads.borrow_mut().push(head.to_owned());
             self.changed.notify_waiters();
             match next {
                 Step::Respond(response) => stream.write_all(response.as_bytes()).await.unwrap(),
-                Step::Break(part) => {
+                Step::CloseAfter(part) => {
                     stream.write_all(part.as_bytes()).await.unwrap();
                     return;
                 }
-                Step::DoNotRead => return,
+                Step::CloseBeforeBody => return,
                 Step::Hang => {}
             }
             request.clear();
@@ -92,7 +99,7 @@
     }
 
     fn attempts(&self) -> usize {
-        self.heads.borrow().len()
+        self.request_heads.borrow().len()
     }
 }
 
@@ -103,7 +110,7 @@
     )
 }
 
-fn ok() -> Step {
+fn ok_response() -> Step {
     Step::Respond(response(
         200,
         "",
@@ -111,13 +118,17 @@
     ))
 }
 
-fn overloaded(after: &str) -> Step {
+fn overloaded_response(retry_after: &str) -> Step {
     let body =
         r#"{"error":{"message":"full","code":"overloaded","type":"server_error","param":null}}"#;
-    Step::Respond(response(503, &format!("retry-after: {after}\r\n"), body))
+    Step::Respond(response(
+        503,
+        &format!("retry-after: {retry_after}\r\n"),
+        body,
+    ))
 }
 
-fn chat() -> ChatRequest {
+fn chat_request() -> ChatRequest {
     ChatRequest::new("m", vec![Message::user("hello")])
 }
 
@@ -131,21 +142,26 @@
 fn a_request_that_may_have_been_executed_is_retried_only_if_idempotent() {
     run(async {
         for (step, idempotency, attempts, served) in [
-            (Step::Break(String::new()), Idempotency::Idempotent, 2, true),
             (
-                Step::Break(String::new()),
+                Step::CloseAfter(String::new()),
+                Idempotency::Idempotent,
+                2,
+                true,
+            ),
+            (
+                Step::CloseAfter(String::new()),
                 Idempotency::NonIdempotent,
                 1,
                 false,
             ),
             (
-                Step::Break("HTTP/1.1 200 X\r\ncontent-length: 9\r\n\r\n{".into()),
+                Step::CloseAfter("HTTP/1.1 200 X\r\ncontent-length: 9\r\n\r\n{".into()),
                 Idempotency::Idempotent,
                 2,
                 true,
             ),
             (
-                Step::Break("HTTP/1.1 200 X\r\ncontent-length: 9\r\n\r\n{".into()),
+                Step::CloseAfter("HTTP/1.1 200 X\r\ncontent-length: 9\r\n\r\n{".into()),
                 Idempotency::NonIdempotent,
                 1,
                 false,
@@ -162,7 +178,12 @@
                 1,
                 false,
             ),
-            (overloaded("0.01"), Idempotency::NonIdempotent, 2, true),
+            (
+                overloaded_response("0.01"),
+                Idempotency::NonIdempotent,
+                2,
+                true,
+            ),
             (
                 Step::Respond(response(400, "", "{}")),
                 Idempotency::Idempotent,
@@ -170,9 +191,9 @@
                 false,
             ),
         ] {
-            let service = Service::start(vec![step, ok()]).await;
+            let service = Service::start(vec![step, ok_response()]).await;
             let client = client(&service, |options| options.idempotency = idempotency);
-            let result = client.chat(&chat()).await;
+            let result = client.chat(&chat_request()).await;
             assert_eq!(
                 (service.attempts(), result.is_ok()),
                 (attempts, served),
@@ -182,43 +203,49 @@
     });
 }
 
-/// A request whose last byte was never written cannot have been executed: it is retried even if it
-/// is not idempotent.
+/// A request whose last byte was not written cannot have been executed, so it is retried even if it
+/// is non-idempotent.
 #[test]
 fn a_request_that_was_not_written_completely_is_retried() {
     run(async {
-        let service = Service::start(vec![Step::DoNotRead, ok()]).await;
+        let service = Service::start(vec![Step::CloseBeforeBody, ok_response()]).await;
         let client = client(&service, |options| {
             options.idempotency = Idempotency::NonIdempotent
         });
         let large = ChatRequest::new("m", vec![Message::user("x".repeat(20_000_000))]);
         assert!(client.chat(&large).await.is_ok());
         assert_eq!(service.attempts(), 2);
-        // No one listens at this address.
-        let nobody = TcpListener::bind("127.0.0.1:0")
+        // Nothing listens at this address: its listener is dropped at once.
+        let unused_address = TcpListener::bind("127.0.0.1:0")
             .await
             .unwrap()
             .local_addr()
             .unwrap();
-        let client = Client::new(&format!("http://{nobody}")).unwrap();
-        assert!(matches!(client.chat(&chat()).await, Err(Error::NotSent(_))));
+        let client = Client::new(&format!("http://{unused_address}")).unwrap();
+        assert!(matches!(
+            client.chat(&chat_request()).await,
+            Err(Error::NotSent(_))
+        ));
     });
 }
 
 #[test]
-fn retry_after_is_obeyed_and_the_deadline_is_kept() {
+fn retry_after_is_obeyed_and_the_deadline_is_not_exceeded() {
     run(async {
-        let service = Service::start(vec![overloaded("0.3"), ok()]).await;
+        let service = Service::start(vec![overloaded_response("0.3"), ok_response()]).await;
         let start = tokio::time::Instant::now();
-        client(&service, |_| ()).chat(&chat()).await.unwrap();
+        client(&service, |_| ())
+            .chat(&chat_request())
+            .await
+            .unwrap();
         assert!(start.elapsed() >= Duration::from_millis(300));
         // If the delay exceeds the deadline, the rejection is returned at once.
-        let service = Service::start(vec![overloaded("3"), ok()]).await;
+        let service = Service::start(vec![overloaded_response("3"), ok_response()]).await;
         let start = tokio::time::Instant::now();
         let rejected = client(&service, |options| {
             options.deadline = Duration::from_secs(2)
         })
-        .chat(&chat())
+        .chat(&chat_request())
         .await;
         assert!(
             matches!(
@@ -233,20 +260,20 @@
         );
         assert!(start.elapsed() < Duration::from_secs(1) && service.attempts() == 1);
         let service = Service::start(vec![Step::Hang]).await;
-        let late = client(&service, |options| {
+        let timed_out = client(&service, |options| {
             options.deadline = Duration::from_millis(50)
         })
-        .chat(&chat())
+        .chat(&chat_request())
         .await;
-        assert!(matches!(late, Err(Error::DeadlineExceeded)));
+        assert!(matches!(timed_out, Err(Error::DeadlineExceeded)));
     });
 }
 
-/// Retries must not add to an outage: all calls of a client share one budget.
+/// Retries must add little load during an outage, so all calls of a client share one retry budget.
 #[test]
-fn in_an_outage_retries_end_with_the_budget() {
+fn in_an_outage_retries_stop_when_the_budget_is_used_up() {
     run_paused(async {
-        let service = Service::start(vec![overloaded("0.01")]).await;
+        let service = Service::start(vec![overloaded_response("0.01")]).await;
         let client = client(&service, |options| {
             options.retry_policy = RetryPolicy {
                 max_saved: 5.0,
@@ -254,7 +281,7 @@
             }
         });
         for _ in 0..30 {
-            assert!(client.chat(&chat()).await.is_err());
+            assert!(client.chat(&chat_request()).await.is_err());
         }
         assert_eq!(service.attempts(), 30 + 5);
     });
@@ -263,55 +290,55 @@
 #[test]
 fn a_dropped_call_or_stream_closes_its_connection() {
     run(async {
-        let begun = format!(
+        let incomplete_stream = format!(
             "HTTP/1.1 200 X\r\ntransfer-encoding: chunked\r\n\r\n{:x}\r\n{EVENT}\r\n",
             EVENT.len()
         );
-        let service = Service::start(vec![Step::Hang, Step::Respond(begun)]).await;
+        let service = Service::start(vec![Step::Hang, Step::Respond(incomplete_stream)]).await;
         let client = client(&service, |_| ());
         let call = {
             let client = client.clone();
-            spawn_local(async move { client.chat(&chat()).await })
+            spawn_local(async move { client.chat(&chat_request()).await })
         };
         while service.attempts() == 0 {
             service.changed.notified().await;
         }
         call.abort();
-        while service.closed.get() == 0 {
+        while service.closed_connections.get() == 0 {
             service.changed.notified().await;
         }
-        let mut stream = client.chat_stream(&chat()).await.unwrap();
+        let mut stream = client.chat_stream(&chat_request()).await.unwrap();
         assert_eq!(stream.next().await.unwrap().unwrap().text(), "oqvh");
         drop(stream);
-        while service.closed.get() == 1 {
+        while service.closed_connections.get() == 1 {
             service.changed.notified().await;
         }
     });
 }
 
 #[test]
-fn a_stream_ends_complete_with_an_error_event_or_broken() {
+fn a_stream_ends_complete_with_an_error_event_or_interrupted() {
     run(async {
-        let part = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
+        let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
         let head = "HTTP/1.1 200 X\r\ncontent-type: text/event-stream\r\n\
             transfer-encoding: chunked\r\n\r\n";
         let error = "data: {\"error\":{\"message\":\"broke\",\"code\":\"upstream_failed\"}}\n\n";
-        let whole = format!(
+        let complete_stream = format!(
             "{head}{}{}{}0\r\n\r\n",
-            part(EVENT),
-            part(FINISH),
-            part(DONE)
+            chunk(EVENT),
+            chunk(FINISH),
+            chunk(DONE)
         );
         let service = Service::start(vec![
-            Step::Respond(whole),
-            Step::Break(format!("{head}{}{}", part(EVENT), part(error))),
-            Step::Break(format!("{head}{}", part(EVENT))),
+            Step::Respond(complete_stream),
+            Step::CloseAfter(format!("{head}{}{}", chunk(EVENT), chunk(error))),
+            Step::CloseAfter(format!("{head}{}", chunk(EVENT))),
         ])
         .await;
         let client = client(&service, |_| ());
         assert_eq!(
             client
-                .chat_stream(&chat())
+                .chat_stream(&chat_request())
                 .await
                 .unwrap()
                 .text()
@@ -319,28 +346,38 @@
                 .unwrap(),
             "oqvh"
         );
-        let failed = client.chat_stream(&chat()).await.unwrap().text().await;
+        let failed = client
+            .chat_stream(&chat_request())
+            .await
+            .unwrap()
+            .text()
+            .await;
         assert!(matches!(
             failed,
             Err(Error::Api { status: 200, error, .. })
                 if error.code.as_deref() == Some("upstream_failed")
         ));
-        let broken = client.chat_stream(&chat()).await.unwrap().text().await;
-        assert!(matches!(broken, Err(Error::StreamBroken)));
-        // A part of a stream may have been used: it is not retried.
+        let interrupted = client
+            .chat_stream(&chat_request())
+            .await
+            .unwrap()
+            .text()
+            .await;
+        assert!(matches!(interrupted, Err(Error::StreamBroken)));
+        // The caller may have used a part of the stream, so the request is not retried.
         assert_eq!(service.attempts(), 3);
     });
 }
 
 #[test]
-fn calls_carry_their_options_and_unique_request_ids() {
+fn requests_contain_the_options_and_unique_request_ids() {
     run(async {
-        let vectors = r#"{"data":[{"index":0,"embedding":[0.5,1]}],"usage":{"total_tokens":3}}"#;
+        let embeddings = r#"{"data":[{"index":0,"embedding":[0.5,1]}],"usage":{"total_tokens":3}}"#;
         let scores = r#"{"results":[{"index":1,"relevance_score":0.5}]}"#;
         let models = r#"{"object":"list","data":[{"id":"a/b"}]}"#;
-        let all = [vectors, scores, models, r#"{"id":"a/b"}"#]
+        let responses = [embeddings, scores, models, r#"{"id":"a/b"}"#]
             .map(|body| Step::Respond(response(200, "", body)));
-        let service = Service::start(all.to_vec()).await;
+        let service = Service::start(responses.to_vec()).await;
         let client = client(&service, |options| {
             options.api_key = Some("k".into());
             options.session = Some("s".into());
@@ -361,7 +398,7 @@
         assert_eq!(ranked.results[0].index, 1);
         assert_eq!(client.models().await.unwrap().data[0].id, "a/b");
         assert_eq!(client.model("a/b").await.unwrap().id, "a/b");
-        let heads = service.heads.borrow();
+        let heads = service.request_heads.borrow();
         let mut ids: Vec<&str> = Vec::new();
         for head in heads.iter() {
             assert!(head.contains("authorization: Bearer k\r\n") && head.contains("x-key: s"));
