--- a/crates/conformance/src/answer.rs
+++ b/crates/conformance/src/answer.rs
@@ -1,16 +1,16 @@
-//! What a service answers.
+//! The response of the service under test.
 
 use http::HeaderMap;
 
-/// An answer as it was received.
+/// A response as it was received.
 #[derive(Debug, Clone)]
-pub struct Answer {
-    /// Its status.
+pub struct Response {
+    /// HTTP status code.
     pub status: u16,
-    /// Its headers.
+    /// Headers of the response.
     pub headers: HeaderMap,
-    /// Its body, as far as it was received.
+    /// The part of the body that was received.
     pub body: Vec<u8>,
-    /// Whether the connection ended before the body was complete.
+    /// Whether the connection was closed before the body was complete.
     pub truncated: bool,
 }
--- a/crates/conformance/src/case.rs
+++ b/crates/conformance/src/case.rs
@@ -1,33 +1,33 @@
-//! The form of a case, and the decoder of a file of cases.
+//! Cases of the suite, and the decoder of a file of cases.
 
 use std::collections::{BTreeMap, HashSet};
 
 use serde::Deserialize;
 use serde_json::Value;
 
-/// A request and what is expected of its answer.
+/// A test case: a request and the response that is expected.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Case {
-    /// Its name, unique in its file.
+    /// Name of the case, which is unique in the file.
     pub name: String,
-    /// The method.
+    /// HTTP method of the request; `POST` if the case has none.
     #[serde(default = "default_method")]
     pub method: String,
-    /// Path and query.
+    /// Path and query of the request.
     pub path: String,
-    /// Headers. `Content-Type: application/json` is added unless one is given.
+    /// Headers of the request. A `POST` request without a `Content-Type` gets `application/json`.
     #[serde(default)]
     pub headers: BTreeMap<String, String>,
-    /// The body.
+    /// Body of the request.
     #[serde(default)]
     pub body: String,
-    /// The text that replaces each `@` of the body.
+    /// Repeated text that replaces each `@` in the body.
     pub fill: Option<Fill>,
-    /// Whether the body is sent compressed.
+    /// Whether the body is sent gzip-compressed.
     #[serde(default)]
     pub gzip: bool,
-    /// What is expected.
+    /// The expected response.
     pub expect: Expect,
 }
 
@@ -35,37 +35,37 @@
     "POST".to_owned()
 }
 
-/// A repeated text.
+/// A text that is repeated to make a large body.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fill {
-    /// The text.
+    /// The text to repeat.
     pub text: String,
-    /// How often it is repeated.
+    /// Number of repetitions.
     pub times: usize,
 }
 
-/// What is expected of an answer.
+/// Conditions that the response must meet.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expect {
-    /// The accepted statuses.
+    /// Accepted status codes.
     pub status: Vec<u16>,
-    /// Headers: a value, or `*` for any.
+    /// Required headers, each with its value or `*` for any value.
     #[serde(default)]
     pub headers: BTreeMap<String, String>,
-    /// JSON pointers into the body, and the values expected there. `<text>`, `<number>`, `<list>`,
-    /// `<object>`, `<null>` and `<absent>` stand for any such value; a pointer that ends in `/#` is
-    /// the length of the list before it.
+    /// JSON pointers into the body, with the expected values. `<text>`, `<number>`, `<list>`,
+    /// `<object>` and `<null>` match any value of that type, and `<absent>` requires that there is
+    /// none. A pointer that ends in `/#` refers to the length of the list before it.
     #[serde(default)]
     pub json: BTreeMap<String, Value>,
-    /// Texts that the body contains.
+    /// Texts that the body must contain.
     #[serde(default, rename = "holds")]
     pub contains: Vec<String>,
-    /// Texts that the body does not contain.
+    /// Texts that the body must not contain.
     #[serde(default, rename = "lacks")]
     pub excludes: Vec<String>,
-    /// Whether the connection ends before the body is complete.
+    /// Whether the connection must be closed before the body is complete.
     #[serde(default, rename = "broken")]
     pub truncated: bool,
 }
@@ -78,31 +78,31 @@
     cases: Vec<Case>,
 }
 
-/// Why a file of cases cannot be used.
+/// Why a file of cases is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum CasesError {
-    /// It is not TOML.
+    /// The file is not valid TOML.
     #[error("cases: line {line}: {message}")]
     Syntax {
-        /// The line.
+        /// Line of the error.
         line: usize,
-        /// What is wrong there.
+        /// Description of the error.
         message: String,
     },
-    /// A case does not have the form of a case.
+    /// A case has a missing, unknown or invalid field.
     #[error("cases: {path}: {message}")]
     Form {
-        /// Where it is, such as `case[0].path`.
+        /// Path of the field, such as `case[0].path`.
         path: String,
-        /// What is wrong there.
+        /// Description of the error.
         message: String,
     },
-    /// Two cases have one name.
-    #[error("cases: {0:?} stands twice")]
+    /// Two cases have the same name.
+    #[error("cases: the name {0:?} is used twice")]
     DuplicateName(String),
 }
 
-/// Decodes a file of cases.
+/// Decodes the text of a file of cases.
 pub fn cases(text: &str) -> Result<Vec<Case>, CasesError> {
     let line_of = |error: &toml::de::Error| {
         error
--- a/crates/conformance/src/check.rs
+++ b/crates/conformance/src/check.rs
@@ -1,83 +1,89 @@
-//! Whether an answer is as expected. No I/O.
+//! Comparison of a response with the expected one, without I/O.
 
 use serde_json::Value;
 
-use crate::answer::Answer;
+use crate::answer::Response;
 use crate::case::Expect;
 
-/// The most characters of a body that a problem shows.
-const SHOWN_LENGTH: usize = 200;
+/// Maximum number of characters of the body that a problem description shows.
+const MAX_EXCERPT_LENGTH: usize = 200;
 
-/// All that is not as expected.
-pub fn check(expect: &Expect, answer: &Answer) -> Vec<String> {
-    let body = String::from_utf8_lossy(&answer.body);
-    let shown: String = body.chars().take(SHOWN_LENGTH).collect();
+/// Returns a description of each difference between `response` and what is expected.
+pub fn check(expect: &Expect, response: &Response) -> Vec<String> {
+    let body = String::from_utf8_lossy(&response.body);
+    let excerpt: String = body.chars().take(MAX_EXCERPT_LENGTH).collect();
     let mut problems = Vec::new();
-    if !expect.status.contains(&answer.status) {
-        let status = answer.status;
-        problems.push(format!("status {status}, not {:?}: {shown}", expect.status));
+    if !expect.status.contains(&response.status) {
+        let status = response.status;
+        problems.push(format!(
+            "status is {status}, expected one of {:?}: {excerpt}",
+            expect.status
+        ));
     }
-    check_headers(expect, answer, &mut problems);
-    check_json(expect, &body, &shown, &mut problems);
-    check_texts(expect, &body, &shown, &mut problems);
-    if expect.truncated != answer.truncated {
-        let end = if answer.truncated {
-            "broke off"
+    check_headers(expect, response, &mut problems);
+    check_json(expect, &body, &excerpt, &mut problems);
+    check_texts(expect, &body, &excerpt, &mut problems);
+    if expect.truncated != response.truncated {
+        let state = if response.truncated {
+            "was closed before its end"
         } else {
-            "ended as if whole"
+            "is complete, but expected to be closed before its end"
         };
-        problems.push(format!("the answer {end}"));
+        problems.push(format!("the response {state}"));
     }
     problems
 }
 
-fn check_headers(expect: &Expect, answer: &Answer, problems: &mut Vec<String>) {
+fn check_headers(expect: &Expect, response: &Response, problems: &mut Vec<String>) {
     for (name, expected) in &expect.headers {
-        let Some(value) = answer.headers.get(name) else {
-            problems.push(format!("no header {name}"));
+        let Some(value) = response.headers.get(name) else {
+            problems.push(format!("the header {name} is missing"));
             continue;
         };
         let value = String::from_utf8_lossy(value.as_bytes());
         if expected != "*" && value != expected.as_str() {
-            problems.push(format!("header {name} is {value:?}, not {expected:?}"));
+            problems.push(format!(
+                "the header {name} is {value:?}, expected {expected:?}"
+            ));
         }
     }
 }
 
-fn check_json(expect: &Expect, body: &str, shown: &str, problems: &mut Vec<String>) {
+fn check_json(expect: &Expect, body: &str, excerpt: &str, problems: &mut Vec<String>) {
     if expect.json.is_empty() {
         return;
     }
     let json: Value = match serde_json::from_str(body) {
         Ok(json) => json,
         Err(error) => {
-            problems.push(format!("not JSON ({error}): {shown}"));
+            problems.push(format!("the body is not JSON ({error}): {excerpt}"));
             return;
         }
     };
     for (pointer, expected) in &expect.json {
         let found = look_up(&json, pointer);
-        if !is_expected(found.as_ref(), expected) {
-            let found = found.map_or("nothing".to_owned(), |value| value.to_string());
-            problems.push(format!("{pointer} is {found}, not {expected}"));
+        if !matches_expected(found.as_ref(), expected) {
+            let found = found.map_or("absent".to_owned(), |value| value.to_string());
+            problems.push(format!("{pointer} is {found}, expected {expected}"));
         }
     }
 }
 
-fn check_texts(expect: &Expect, body: &str, shown: &str, problems: &mut Vec<String>) {
+fn check_texts(expect: &Expect, body: &str, excerpt: &str, problems: &mut Vec<String>) {
     for text in &expect.contains {
         if !body.contains(text.as_str()) {
-            problems.push(format!("{text:?} is not in it: {shown}"));
+            problems.push(format!("the body does not contain {text:?}: {excerpt}"));
         }
     }
     for text in &expect.excludes {
         if body.contains(text.as_str()) {
-            problems.push(format!("{text:?} is in it"));
+            problems.push(format!("the body contains {text:?}"));
         }
     }
 }
 
-/// The value at a JSON pointer or, where the pointer ends in `/#`, the length of the list there.
+/// Returns the value at a JSON pointer or, if the pointer ends in `/#`, the length of the list
+/// there.
 fn look_up(json: &Value, pointer: &str) -> Option<Value> {
     match pointer.strip_suffix("/#") {
         Some(list) => {
@@ -88,7 +94,7 @@
     }
 }
 
-fn is_expected(found: Option<&Value>, expected: &Value) -> bool {
+fn matches_expected(found: Option<&Value>, expected: &Value) -> bool {
     if expected == "<absent>" {
         return found.is_none();
     }
@@ -105,7 +111,7 @@
     }
 }
 
-/// Whether two values are equal. Numbers are equal whichever way they are written.
+/// Returns whether two values are equal. Numbers are compared by value, so 1 equals 1.0.
 fn are_equal(found: &Value, expected: &Value) -> bool {
     if let (Some(found), Some(expected)) = (found.as_f64(), expected.as_f64()) {
         return found == expected;
--- a/crates/conformance/src/check/tests.rs
+++ b/crates/conformance/src/check/tests.rs
@@ -5,22 +5,22 @@
 
 use super::*;
 
-/// The problems of an answer with status 503 and a header `Retry-After: 1`.
+/// Checks a response with status 503 and the header `Retry-After: 1`, and returns the problems.
 fn problems(expect: Value, body: &str, truncated: bool) -> Vec<String> {
     let expect: Expect = serde_json::from_value(expect).unwrap();
     let mut headers = HeaderMap::new();
     headers.insert("retry-after", "1".parse().unwrap());
-    let answer = Answer {
+    let response = Response {
         status: 503,
         headers,
         body: body.into(),
         truncated,
     };
-    check(&expect, &answer)
+    check(&expect, &response)
 }
 
 #[test]
-fn an_expected_answer_has_no_problem_and_each_difference_is_one() {
+fn an_expected_response_has_no_problems_and_each_difference_is_one_problem() {
     let body = r#"{"a": [1, {"b": "x"}], "n": null}"#;
     let expected = json!({
         "status": [503],
--- a/crates/conformance/src/lib.rs
+++ b/crates/conformance/src/lib.rs
@@ -1,7 +1,7 @@
-//! The conformance suite of the inference API: cases as data (`cases.toml`), and what runs them
-//! against a service. A case is a request and what is expected of its answer. Where a case needs
-//! servers that fail, its body says so in a field `toy`, which the service passes on and the fake
-//! servers obey.
+//! The conformance suite of the inference API: cases as data (`cases.toml`), and the code that runs
+//! them against a service. A case is a request with the response that is expected. A case that
+//! needs failing model servers says so in the field `toy` of its request body, which the service
+//! passes on and the fake servers obey.
 
 mod answer;
 mod case;
@@ -9,13 +9,13 @@
 mod run;
 mod send;
 
-pub use answer::Answer;
+pub use answer::Response;
 pub use case::{cases, Case, CasesError, Expect, Fill};
 pub use check::check;
 pub use run::{run, Outcome};
 pub use send::{send, Base, SendError};
 
-/// The suite as it is shipped.
+/// The cases that are shipped with the program.
 pub const CASES: &str = include_str!("../cases.toml");
 
 #[cfg(test)]
--- a/crates/conformance/src/run.rs
+++ b/crates/conformance/src/run.rs
@@ -6,16 +6,16 @@
 use crate::check::check;
 use crate::send::{send, Base};
 
-/// The outcome of a case.
+/// The result of running a case.
 #[derive(Debug, Clone, Serialize)]
 pub struct Outcome {
-    /// The name of the case.
+    /// Name of the case.
     pub name: String,
-    /// What is not as expected; empty where the case passed.
+    /// Differences from the expected response; empty if the case passed.
     pub problems: Vec<String>,
 }
 
-/// Runs cases one after another, and calls `on_outcome` after each.
+/// Runs cases one after another and calls `on_outcome` after each of them.
 pub async fn run(
     base: &Base,
     cases: &[Case],
@@ -24,7 +24,7 @@
     let mut outcomes = Vec::new();
     for case in cases {
         let problems = match send(base, case).await {
-            Ok(answer) => check(&case.expect, &answer),
+            Ok(response) => check(&case.expect, &response),
             Err(error) => vec![error.to_string()],
         };
         let outcome = Outcome {
--- a/crates/conformance/src/send.rs
+++ b/crates/conformance/src/send.rs
@@ -1,4 +1,4 @@
-//! Sends the request of a case over a connection of its own.
+//! Sending the request of a case, over a separate connection for each case.
 
 use std::io::Write;
 use std::time::Duration;
@@ -14,43 +14,45 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-use crate::answer::Answer;
+use crate::answer::Response;
 use crate::case::Case;
 
-/// The longest that a case may take.
+/// Maximum duration of a case.
 const CASE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The port of an address that names none.
+/// Port of an address without one.
 const DEFAULT_PORT: u16 = 80;
 
-/// The address of the service, and the key that each request carries.
+/// The service under test: its address, and the API key that is sent with each request.
 #[derive(Debug, Clone)]
 pub struct Base {
+    /// Host and port of the service.
     authority: String,
     key: Option<String>,
 }
 
-/// Why there is no answer.
+/// Why a case got no response.
 #[derive(Debug, thiserror::Error)]
 pub enum SendError {
-    /// The address is not valid.
-    #[error("{0:?} is not an address such as http://host:port")]
+    /// The address of the service is invalid.
+    #[error("invalid service address {0:?}: expected http://host:port")]
     Address(String),
     /// The service cannot be reached.
-    #[error("cannot be reached: {0}")]
+    #[error("the service cannot be reached: {0}")]
     Unreachable(#[from] std::io::Error),
-    /// The case does not make a valid request.
-    #[error("the request cannot be made: {0}")]
+    /// The request of the case is invalid.
+    #[error("the request of the case is invalid: {0}")]
     Request(#[from] http::Error),
-    /// The connection ended before the answer.
-    #[error("no answer: {0}")]
-    NoAnswer(#[from] hyper::Error),
-    /// The case took too long.
-    #[error("no answer within {} s", CASE_TIMEOUT.as_secs())]
+    /// The connection failed before a response was received.
+    #[error("the connection failed before a response was received: {0}")]
+    NoResponse(#[from] hyper::Error),
+    /// The case took longer than its timeout.
+    #[error("no complete response within {} s", CASE_TIMEOUT.as_secs())]
     Timeout(#[from] tokio::time::error::Elapsed),
 }
 
 impl Base {
-    /// The service at an address such as `http://127.0.0.1:8090`, and a tenant's key for it.
+    /// Creates the description of the service at an address such as `http://127.0.0.1:8090`, with
+    /// the API key of a tenant.
     pub fn new(base: &str, key: Option<String>) -> Result<Base, SendError> {
         let invalid = || SendError::Address(base.to_owned());
         let authority = base
@@ -73,8 +75,8 @@
     }
 }
 
-/// Sends the request of a case and reads all of the answer.
-pub async fn send(base: &Base, case: &Case) -> Result<Answer, SendError> {
+/// Sends the request of a case and reads the complete response.
+pub async fn send(base: &Base, case: &Case) -> Result<Response, SendError> {
     let request = build_request(base, case)?;
     timeout(CASE_TIMEOUT, exchange(base, request)).await?
 }
@@ -113,35 +115,35 @@
     Ok(encoder.finish()?)
 }
 
-async fn exchange(base: &Base, request: Request<Full<Bytes>>) -> Result<Answer, SendError> {
+async fn exchange(base: &Base, request: Request<Full<Bytes>>) -> Result<Response, SendError> {
     let stream = TcpStream::connect(&base.authority).await?;
     let (mut sender, connection) =
         hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
     let driver = tokio::spawn(async move { drop(connection.await) });
     let _driver = AbortOnDrop(driver);
     let (head, body) = sender.send_request(request).await?.into_parts();
-    let mut answer = Answer {
+    let mut response = Response {
         status: head.status.as_u16(),
         headers: head.headers,
         body: Vec::new(),
         truncated: false,
     };
-    read_body(body, &mut answer).await;
-    Ok(answer)
+    read_body(body, &mut response).await;
+    Ok(response)
 }
 
-async fn read_body(mut body: Incoming, answer: &mut Answer) {
+async fn read_body(mut body: Incoming, response: &mut Response) {
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
-            answer.truncated = true;
+            response.truncated = true;
             return;
         };
         let data = frame.into_data().unwrap_or_default();
-        answer.body.extend_from_slice(&data);
+        response.body.extend_from_slice(&data);
     }
 }
 
-/// Ends the task that drives a connection, however the exchange ends.
+/// Aborts the task that drives a connection when dropped, however the exchange ends.
 struct AbortOnDrop(JoinHandle<()>);
 
 impl Drop for AbortOnDrop {
