--- a/crates/bench/src/environment.rs
+++ b/crates/bench/src/environment.rs
@@ -1,4 +1,4 @@
-//! The test environment: a router between clients and fake servers.
+//! The environment of a measurement: a router process with fake model servers and fake discovery.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -8,12 +8,12 @@
 
 use crate::router_process::RouterProcess;
 
-/// The number of fake servers.
-const SERVERS: usize = 2;
-/// Requests that a fake server processes at once.
+/// Number of fake model servers.
+const SERVER_COUNT: usize = 2;
+/// Number of requests that a fake server processes at the same time.
 const SLOTS_PER_SERVER: usize = 2;
 
-/// A router and its fake servers.
+/// A router process and its fake model servers.
 pub(crate) struct TestEnvironment {
     pub(crate) servers: Vec<Rc<FakeServer>>,
     pub(crate) router: RouterProcess,
@@ -21,14 +21,15 @@
 }
 
 impl TestEnvironment {
-    /// Starts the router of the version in a folder, with its inference file after an edit.
+    /// Starts the router that was built in `folder`, with the inference file of that version as
+    /// changed by `edit`.
     pub(crate) async fn start(
         name: &str,
         folder: &Path,
         edit: impl Fn(String) -> String,
     ) -> std::io::Result<TestEnvironment> {
         let mut servers = Vec::new();
-        for _ in 0..SERVERS {
+        for _ in 0..SERVER_COUNT {
             let server = FakeServer::start(SLOTS_PER_SERVER, Behaviour::Answer).await;
             server.recording_disabled.set(true);
             server.event_interval.set(Duration::ZERO);
@@ -54,7 +55,8 @@
         })
     }
 
-    /// How long the servers take for a request: a fixed time, and a time for each KiB of its body.
+    /// Sets the service time of a request at all servers: a fixed time, plus a time for each KiB of
+    /// its body.
     pub(crate) fn set_service_time(&self, fixed: Duration, per_kib: Duration) {
         for server in &self.servers {
             server.service_time.set(fixed);
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Lets every `interval`th request at each server fail; 0 for none.
+    /// Makes one request out of `interval` fail at each server; 0 for none.
     pub(crate) fn set_failure_interval(&self, interval: usize) {
         for server in &self.servers {
             server.failure_interval.set(interval);
--- a/crates/bench/src/latency.rs
+++ b/crates/bench/src/latency.rs
@@ -1,4 +1,4 @@
-//! Recorded latencies, shared among tasks.
+//! Histograms of latencies that several tasks record.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -6,16 +6,17 @@
 
 use hdrhistogram::Histogram;
 
-/// Significant digits of the recorded values.
-const PRECISION: u8 = 3;
+/// Number of significant decimal digits of the recorded values.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// A histogram of latencies. Its clones share one histogram.
+/// A histogram of latencies, recorded in microseconds. Clones share the same data.
 #[derive(Clone)]
 pub(crate) struct LatencyHistogram(Rc<RefCell<Histogram<u64>>>);
 
 impl LatencyHistogram {
     pub(crate) fn new() -> LatencyHistogram {
-        let histogram = Histogram::new(PRECISION).expect("a precision up to 5 is valid");
+        let histogram = Histogram::new(SIGNIFICANT_DIGITS)
+            .expect("the histogram accepts up to 5 significant digits");
         LatencyHistogram(Rc::new(RefCell::new(histogram)))
     }
 
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,6 +1,6 @@
-//! `make measure-front`: the inference API beside an earlier version of it, with fake servers. The
-//! router is a process of its own; fake servers and clients share this one. All figures are
-//! measured in this run.
+//! `make measure-front`: measures the inference API of the current version and of an earlier one,
+//! with fake model servers. Each router runs as a separate process; the fake servers and the
+//! clients run in this process. All figures are measured in this run.
 
 mod environment;
 mod latency;
@@ -24,61 +24,61 @@
     large_bodies, rerank_interference,
 };
 
-/// The folder of the version under measurement.
-const PRESENT_VERSION: &str = ".";
+/// Folder of the current version.
+const CURRENT_VERSION: &str = ".";
 
-/// Measures the inference API.
+/// Measures the inference API beside an earlier version.
 #[derive(Parser)]
 struct Arguments {
-    /// The folder of an earlier version, built.
+    /// Folder of an earlier version that has been built.
     #[arg(long)]
     baseline: PathBuf,
-    /// For the random numbers.
+    /// Seed of the random numbers.
     #[arg(long, default_value_t = 7)]
     seed: u64,
 }
 
-/// Prints what is being measured, with the time since the start.
-struct Progress(Instant);
+/// Prints the scenario that is being measured, with the time since the start.
+struct ProgressLog(Instant);
 
-impl Progress {
+impl ProgressLog {
     fn report(&self, scenario: &str) {
         eprintln!("{:4.1} s  {scenario}", self.0.elapsed().as_secs_f64());
     }
 }
 
-async fn start_present(name: &str) -> std::io::Result<TestEnvironment> {
-    TestEnvironment::start(name, Path::new(PRESENT_VERSION), |file| file).await
+async fn start_current(name: &str) -> std::io::Result<TestEnvironment> {
+    TestEnvironment::start(name, Path::new(CURRENT_VERSION), |file| file).await
 }
 
 async fn measure(arguments: &Arguments) -> std::io::Result<Report> {
     let mut random = Pcg64::seed_from_u64(arguments.seed);
-    let progress = Progress(Instant::now());
+    let progress = ProgressLog(Instant::now());
     let baseline = TestEnvironment::start("before", &arguments.baseline, |file| file).await?;
-    let present = start_present("after").await?;
-    progress.report("chat beside reranks");
+    let current = start_current("after").await?;
+    progress.report("chat latency beside reranks");
     let interference_before = rerank_interference::measure(&baseline).await;
-    let interference = rerank_interference::measure(&present).await;
-    progress.report("failing servers");
+    let interference = rerank_interference::measure(&current).await;
+    progress.report("batches while servers fail");
     let served_share_before = failing_servers::measure(&baseline).await;
-    let served_share = failing_servers::measure(&present).await;
+    let served_share = failing_servers::measure(&current).await;
     let duplicates = duplicate_execution::measure().await?;
     progress.report("cancellation");
-    let cancellation = cancellation::measure(&present, &mut random).await;
+    let cancellation = cancellation::measure(&current, &mut random).await;
     progress.report("chat latency without the router");
-    present.set_service_time(Duration::ZERO, Duration::ZERO);
-    let direct = chat_latency::measure(present.servers[0].address).await;
+    current.set_service_time(Duration::ZERO, Duration::ZERO);
+    let direct = chat_latency::measure(current.servers[0].address).await;
     progress.report("chat latency through the router");
-    let routed = chat_latency::measure(present.router.inference_address).await;
-    progress.report("throughput by core");
+    let routed = chat_latency::measure(current.router.inference_address).await;
+    progress.report("chat throughput per core");
     let throughput_before = chat_throughput::measure(&baseline).await;
-    let throughput = chat_throughput::measure(&present).await;
+    let throughput = chat_throughput::measure(&current).await;
     progress.report("large bodies");
-    // A router of its own: the other one has learnt service times by which these requests could
-    // not end in time.
-    drop((baseline, present));
-    let large = start_present("large").await?;
-    let large_bodies = large_bodies::measure(&large).await;
+    // The large bodies need a new router: the other one has learnt service times according to which
+    // these requests could not meet their deadline.
+    drop((baseline, current));
+    let environment = start_current("large").await?;
+    let large_bodies = large_bodies::measure(&environment).await;
     Ok(Report {
         interference_before,
         interference,
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -1,4 +1,5 @@
-//! The figures of a run, printed as one line. Its keys stay the same, so that runs can be compared.
+//! The figures of a run, printed as one line. The keys must not change, so that runs of different
+//! versions can be compared.
 
 use std::fmt;
 
@@ -7,24 +8,26 @@
 use crate::scenarios::large_bodies::LargeBodies;
 use crate::scenarios::rerank_interference::Interference;
 
-/// All figures, of the present version where the name does not say otherwise.
+/// All figures. Fields that end in `_before` are of the baseline, the others of the current
+/// version.
 pub(crate) struct Report {
     pub(crate) interference_before: Interference,
     pub(crate) interference: Interference,
     pub(crate) cancellation: Cancellation,
-    /// The share of batches that the baseline served in full while servers failed.
+    /// Share of batches that the baseline served completely while servers failed.
     pub(crate) served_share_before: f64,
-    /// The same of the present version.
+    /// Share of batches that the current version served completely while servers failed.
     pub(crate) served_share: f64,
+    /// Number of documents that were sent more than once, plus servers with concurrent attempts.
     pub(crate) duplicates: usize,
     pub(crate) large_bodies: LargeBodies,
     /// Chat latency without the router.
     pub(crate) direct: ChatLatency,
     /// Chat latency through the router.
     pub(crate) routed: ChatLatency,
-    /// Chats for each second of processor time of the baseline.
+    /// Chats served per second of processor time by the baseline.
     pub(crate) throughput_before: f64,
-    /// The same of the present version.
+    /// Chats served per second of processor time by the current version.
     pub(crate) throughput: f64,
 }
 
--- a/crates/bench/src/report/tests.rs
+++ b/crates/bench/src/report/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the report's line.
+//! Tests of the printed report.
 
 use super::*;
 
 #[test]
-fn the_line_has_these_keys_in_this_order() {
+fn the_report_line_keeps_its_keys_and_their_order() {
     let report = Report {
         interference_before: Interference {
             chat_p99_ratio: 1.5,
--- a/crates/bench/src/requests.rs
+++ b/crates/bench/src/requests.rs
@@ -1,4 +1,4 @@
-//! The requests of the measurements, and how they are sent.
+//! Requests of the measurements, and sending them.
 
 use std::net::SocketAddr;
 
@@ -9,10 +9,10 @@
 pub(crate) const CHAT_PATH: &str = "/v1/chat/completions";
 pub(crate) const RERANK_PATH: &str = "/v1/rerank";
 
-/// Characters of a document.
+/// Length in characters of the text of a document.
 const DOCUMENT_LENGTH: usize = 200;
 
-/// A streamed chat.
+/// Builds the body of a streamed chat request.
 pub(crate) fn chat_body() -> Value {
     json!({
         "model": "m",
@@ -21,52 +21,52 @@
     })
 }
 
-/// A rerank of so many documents.
-pub(crate) fn rerank_body(documents: usize) -> Value {
-    let documents: Vec<String> = (0..documents)
+/// Builds the body of a rerank request with `document_count` documents.
+pub(crate) fn rerank_body(document_count: usize) -> Value {
+    let documents: Vec<String> = (0..document_count)
         .map(|index| format!("{index} {}", document_text()))
         .collect();
     json!({"model": "m", "query": "gasket", "documents": documents, "top_n": 5})
 }
 
-/// A rerank whose third slice never ends at the fake servers.
-pub(crate) fn hanging_rerank_body(documents: usize) -> Value {
-    let mut body = rerank_body(documents);
+/// Builds the body of a rerank request whose third slice gets no response from the fake servers.
+pub(crate) fn hanging_rerank_body(document_count: usize) -> Value {
+    let mut body = rerank_body(document_count);
     body["toy"] = json!({"does": "hang", "on": 2});
     body
 }
 
-/// The text of a document.
+/// Returns the text of a document.
 pub(crate) fn document_text() -> String {
     "x".repeat(DOCUMENT_LENGTH)
 }
 
-/// A chat request.
+/// Builds a chat request with this id.
 pub(crate) fn chat_request<Body: From<String>>(id: &str) -> Request<Body> {
     Request::post(CHAT_PATH)
         .header("host", "app")
         .header("x-request-id", id)
         .body(chat_body().to_string().into())
-        .expect("the request is valid")
+        .expect("the parts of the request are valid")
 }
 
-/// What came of a request.
+/// The outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Response {
-    /// The status, or 0 where the body broke off.
+    /// The HTTP status code, or 0 if the connection was closed before the body was complete.
     pub(crate) status: u16,
-    /// The number of results of a rerank.
+    /// Number of results of a rerank; 0 for other requests.
     pub(crate) results: usize,
 }
 
-/// Posts a body over a connection of its own.
+/// Sends a POST request over a new connection.
 pub(crate) async fn post(address: SocketAddr, path: &str, id: &str, body: String) -> Response {
     let request = Request::post(path)
         .header("host", "app")
         .header("x-request-id", id)
         .header("content-type", "application/json")
         .body(body.into())
-        .expect("the request is valid");
+        .expect("the parts of the request are valid");
     let (status, _, body) = Client::connect(address).await.send(request).await;
     let Some(body) = body else {
         return Response {
@@ -74,9 +74,9 @@
             results: 0,
         };
     };
-    let answer: Value = serde_json::from_slice(&body).unwrap_or_default();
+    let response: Value = serde_json::from_slice(&body).unwrap_or_default();
     Response {
         status,
-        results: answer["results"].as_array().map_or(0, Vec::len),
+        results: response["results"].as_array().map_or(0, Vec::len),
     }
 }
--- a/crates/bench/src/router_process.rs
+++ b/crates/bench/src/router_process.rs
@@ -1,4 +1,4 @@
-//! A router as a process of its own, with what the system reports of it.
+//! A router that runs as a separate process, with its processor time and its memory use.
 
 use std::fs;
 use std::io;
@@ -10,25 +10,28 @@
 use cranetack_testkit::{settings, Client};
 use serde_json::{json, Value};
 
-/// Clock ticks a second in the system's figures on processes.
+/// Clock ticks per second in the processor times of `/proc/PID/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Where user and system time stand in `/proc/PID/stat`, counted after the name of the process.
-const CPU_TIME_FIELD: usize = 11;
-/// The deadline of all request classes.
+/// Index of the user time in `/proc/PID/stat`, counted from the field after the process name. The
+/// system time follows it.
+const USER_TIME_INDEX: usize = 11;
+/// Deadline of all request classes.
 const DEADLINE: Duration = Duration::from_secs(30);
-/// How often a starting router is asked whether it is ready, and how long between.
-const READINESS_POLLS: usize = 1_000;
+/// Maximum number of readiness checks of a starting router, made at `READINESS_POLL_INTERVAL`.
+const MAX_READINESS_POLLS: usize = 1_000;
+/// Time between two readiness checks.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The comment that begins the part on models of an inference file.
-const NAMED_MODELS_COMMENT: &str = "# Without any model";
-/// The address of the inference API in an inference file.
+/// Beginning of the comment after which an inference file lists the models.
+const MODELS_SECTION_COMMENT: &str = "# Without any model";
+/// Address of the inference API in the inference file that is shipped.
 const SHIPPED_INFERENCE_ADDRESS: &str = "127.0.0.1:8090";
 
-/// A router. Dropping it ends the process and removes its files.
+/// A router process. Dropping it kills the process and removes its files.
 pub(crate) struct RouterProcess {
     child: Child,
+    /// Folder of the files of this router.
     folder: PathBuf,
-    /// Where its inference API listens.
+    /// The address on which the inference API listens.
     pub(crate) inference_address: SocketAddr,
 }
 
@@ -40,12 +43,12 @@
     }
 }
 
-/// An address on which nothing listens now.
+/// Returns an address on which nothing listens at present.
 fn free_address() -> io::Result<SocketAddr> {
     TcpListener::bind("127.0.0.1:0")?.local_addr()
 }
 
-/// The settings of the tests, with longer deadlines.
+/// Returns the settings that tests use, with longer deadlines.
 fn router_settings() -> Value {
     let mut settings = settings();
     let classes = settings["classes"].as_array_mut();
@@ -56,7 +59,7 @@
 }
 
 impl RouterProcess {
-    /// Starts a program with an inference file, and waits until it is ready.
+    /// Starts the router program with an inference file, and waits until it is ready.
     pub(crate) async fn start(
         name: &str,
         program: &Path,
@@ -78,9 +81,10 @@
         });
         let config_path = folder.join("config.json");
         fs::write(&config_path, config.to_string())?;
-        // Earlier versions know no names of models, so that any name has to be served.
+        // Earlier versions do not know named models. Without the models section, each version
+        // serves any model name.
         let inference_file = inference_file
-            .split(NAMED_MODELS_COMMENT)
+            .split(MODELS_SECTION_COMMENT)
             .next()
             .unwrap_or_default()
             .replace(SHIPPED_INFERENCE_ADDRESS, &inference_address.to_string());
@@ -109,20 +113,20 @@
         fs::read_to_string(path).unwrap_or_default()
     }
 
-    /// The processor time that it has used, in seconds.
+    /// Returns the processor time that the process has used, in seconds.
     pub(crate) fn cpu_time_s(&self) -> f64 {
         let stat = self.read_proc("stat");
         let after_name = stat.rsplit(')').next().unwrap_or_default();
         let ticks: f64 = after_name
             .split_whitespace()
-            .skip(CPU_TIME_FIELD)
+            .skip(USER_TIME_INDEX)
             .take(2)
             .filter_map(|field| field.parse::<f64>().ok())
             .sum();
         ticks / TICKS_PER_SECOND
     }
 
-    /// The most memory that it has used, in MiB.
+    /// Returns the peak memory use of the process, in MiB.
     pub(crate) fn peak_memory_mb(&self) -> f64 {
         let status = self.read_proc("status");
         let peak = status
@@ -135,13 +139,15 @@
 }
 
 async fn wait_until_ready(name: &str, address: SocketAddr) -> io::Result<()> {
-    for _ in 0..READINESS_POLLS {
+    for _ in 0..MAX_READINESS_POLLS {
         if is_ready(address).await {
             return Ok(());
         }
         tokio::time::sleep(READINESS_POLL_INTERVAL).await;
     }
-    Err(io::Error::other(format!("{name} does not become ready")))
+    Err(io::Error::other(format!(
+        "the router '{name}' did not become ready in time"
+    )))
 }
 
 async fn is_ready(address: SocketAddr) -> bool {
--- a/crates/bench/src/scenarios/cancellation.rs
+++ b/crates/bench/src/scenarios/cancellation.rs
@@ -1,4 +1,4 @@
-//! How long cancelled requests keep slots at the servers.
+//! Measures how long cancelled requests keep slots at the servers.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -18,34 +18,38 @@
 
 const ROUNDS: usize = 25;
 const REQUESTS_PER_ROUND: usize = 20;
-/// The time between two rounds.
+/// Pause after each round.
 const ROUND_INTERVAL: Duration = Duration::from_millis(40);
-/// The latest moment at which a request is cancelled (microseconds).
-const LATEST_CANCEL_US: u64 = 80_000;
-/// A request that still has a slot so long after its cancellation is recorded with that time.
-const RELEASE_BOUND: Duration = Duration::from_millis(600);
-/// How long the last round needs until all of its figures are recorded.
-const LAST_ROUND_SETTLE: Duration = Duration::from_millis(700);
+/// Maximum time between the start of a request and its cancellation, in microseconds.
+const MAX_CANCEL_DELAY_US: u64 = 80_000;
+/// Maximum time to wait for the release of a slot. If a request still has a slot after this time,
+/// this time is recorded.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(600);
+/// Time after which the releases of the last round have been recorded. It is longer than
+/// `RELEASE_TIMEOUT`.
+const LAST_ROUND_SETTLE_TIME: Duration = Duration::from_millis(700);
 
-/// How cancellation behaves.
+/// The result of this scenario.
 pub(crate) struct Cancellation {
-    /// The 99th percentile of the time from a cancellation until no slot is occupied.
+    /// 99th percentile of the time from a cancellation until the request has no slot, in
+    /// milliseconds.
     pub(crate) release_p99_ms: f64,
-    /// Requests that were cancelled.
+    /// Number of requests that were cancelled.
     pub(crate) cancelled: f64,
 }
 
-/// The slots that requests occupy at the servers, as the servers report them. Its clones share one
-/// record.
+/// Record of the slots that requests occupy at the servers, kept by callbacks of the servers.
+/// Clones share the same data.
 #[derive(Clone, Default)]
 struct SlotRecord {
-    /// When a slot of a request was last released, by the id of the client's request.
+    /// Instant of the last release of a slot, by the id of the client's request.
     released_at: Rc<RefCell<HashMap<String, Instant>>>,
-    /// Ids of attempts that occupy a slot.
+    /// Number of occupied slots, by the id of the attempt.
     occupied: Rc<RefCell<HashMap<String, usize>>>,
 }
 
 impl SlotRecord {
+    /// Records the slots of a server from now on.
     fn observe(&self, server: &FakeServer) {
         let record = self.clone();
         *server.on_request_started.borrow_mut() = Some(Box::new(move |id, _| {
@@ -57,7 +61,7 @@
         }));
         let record = self.clone();
         *server.on_slot_released.borrow_mut() = Some(Box::new(move |id| {
-            let request = request_of(id).to_owned();
+            let request = request_id_of(id).to_owned();
             record
                 .released_at
                 .borrow_mut()
@@ -66,20 +70,21 @@
         }));
     }
 
+    /// Returns whether an attempt at this request occupies a slot.
     fn occupies_slot(&self, request: &str) -> bool {
         self.occupied
             .borrow()
             .keys()
-            .any(|attempt| request_of(attempt) == request)
+            .any(|attempt| request_id_of(attempt) == request)
     }
 }
 
-/// The client's request to which the id of an attempt belongs.
-fn request_of(attempt: &str) -> &str {
+/// Returns the id of the client's request to which an attempt belongs.
+fn request_id_of(attempt: &str) -> &str {
     attempt.split('.').next().unwrap_or(attempt)
 }
 
-/// Cancels batches and chats at random moments.
+/// Cancels batches and chats after random times.
 pub(crate) async fn measure(environment: &TestEnvironment, random: &mut Pcg64) -> Cancellation {
     environment.set_service_time(Duration::from_millis(10), Duration::from_millis(1));
     let record = SlotRecord::default();
@@ -98,7 +103,7 @@
         }
         sleep(ROUND_INTERVAL).await;
     }
-    sleep(LAST_ROUND_SETTLE).await;
+    sleep(LAST_ROUND_SETTLE_TIME).await;
     for server in &environment.servers {
         *server.on_request_started.borrow_mut() = None;
         *server.on_slot_released.borrow_mut() = None;
@@ -115,9 +120,10 @@
     cancelled_at: Instant,
 }
 
-/// Path and body of a request: a chat, a short batch, or twice as often a batch that hangs in its
-/// third slice, so that only its cancellation releases the slots.
-fn draw_body(index: usize) -> (&'static str, Value) {
+/// Returns the path and body of a request. Out of four requests, one is a chat, one is a short
+/// batch, and two are batches whose third slice gets no response, so that only the cancellation
+/// releases their slots.
+fn path_and_body(index: usize) -> (&'static str, Value) {
     match index % 4 {
         0 => (CHAT_PATH, chat_body()),
         1 => (RERANK_PATH, rerank_body(20)),
@@ -125,8 +131,8 @@
     }
 }
 
-/// Sends a request and cancels it at a random moment: while it is sent, while it waits, or after
-/// it was served.
+/// Sends a request and cancels it after a random time: while it is being sent, while it waits, or
+/// after it has been served.
 fn spawn_cancelled_request(
     environment: &TestEnvironment,
     random: &mut Pcg64,
@@ -135,8 +141,8 @@
 ) -> JoinHandle<CancelledRequest> {
     let address = environment.router.inference_address;
     let id = format!("x{round}-{index}");
-    let (path, body) = draw_body(index);
-    let cancelled_after = Duration::from_micros(random.random_range(0..LATEST_CANCEL_US));
+    let (path, body) = path_and_body(index);
+    let cancelled_after = Duration::from_micros(random.random_range(0..MAX_CANCEL_DELAY_US));
     let sent_id = id.clone();
     let response =
         spawn_local(async move { post(address, path, &sent_id, body.to_string()).await });
@@ -150,14 +156,15 @@
     })
 }
 
-/// Records the release time of a cancelled request, once its bound has passed.
+/// Records the time until the release of a cancelled request, after `RELEASE_TIMEOUT`.
 async fn record_release(
     record: &SlotRecord,
     latencies: &LatencyHistogram,
     cancelled: CancelledRequest,
 ) {
     let CancelledRequest { id, cancelled_at } = cancelled;
-    // A slot that is still occupied is released after this, or later than the bound.
+    // Without a release so far, the request counts as released at its cancellation, unless a later
+    // release replaces this instant or the request still has a slot after the timeout.
     sleep(Duration::from_millis(1)).await;
     record
         .released_at
@@ -167,7 +174,7 @@
     let record = record.clone();
     let latencies = latencies.clone();
     spawn_local(async move {
-        sleep(RELEASE_BOUND).await;
+        sleep(RELEASE_TIMEOUT).await;
         if record.occupies_slot(&id) {
             let mut released_at = record.released_at.borrow_mut();
             released_at.insert(id.clone(), Instant::now());
--- a/crates/bench/src/scenarios/chat_latency.rs
+++ b/crates/bench/src/scenarios/chat_latency.rs
@@ -1,4 +1,4 @@
-//! The latency of one chat after another over one connection.
+//! Measures the latency of sequential chats over one connection.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -10,13 +10,13 @@
 
 const CHATS: usize = 1_000;
 
-/// The latency of chats.
+/// Quantiles of the latency of chats.
 pub(crate) struct ChatLatency {
     pub(crate) p50_ms: f64,
     pub(crate) p99_ms: f64,
 }
 
-/// Sends chats to a router, or to a server without a router between.
+/// Sends chats to a router, or directly to a fake server.
 pub(crate) async fn measure(address: SocketAddr) -> ChatLatency {
     let latencies = LatencyHistogram::new();
     let mut client = Client::connect(address).await;
--- a/crates/bench/src/scenarios/failing_servers.rs
+++ b/crates/bench/src/scenarios/failing_servers.rs
@@ -1,4 +1,4 @@
-//! How many batches are served in full while servers fail.
+//! Measures how many batches are served completely while servers fail.
 
 use std::time::Duration;
 
@@ -8,29 +8,29 @@
 use crate::environment::TestEnvironment;
 use crate::requests::{post, rerank_body, Response, RERANK_PATH};
 
-/// One slice in so many fails at each server: in turn by a closed connection, and by a response
-/// that leaves an item out.
+/// One slice out of this many fails at each server. The failures alternate between a closed
+/// connection and a response without the last item.
 const FAILURE_INTERVAL: usize = 10;
 const ROUNDS: usize = 10;
 const BATCHES_PER_ROUND: usize = 20;
-/// Documents of a batch.
-const DOCUMENTS: usize = 100;
+/// Number of documents in a batch.
+const DOCUMENTS_PER_BATCH: usize = 100;
 
-/// The share of batches that are served with a result for each document.
+/// Returns the share of batches that are served with a result for each document.
 pub(crate) async fn measure(environment: &TestEnvironment) -> f64 {
     environment.set_service_time(Duration::from_millis(2), Duration::from_millis(1));
     environment.set_failure_interval(FAILURE_INTERVAL);
     let address = environment.router.inference_address;
     let complete = Response {
         status: 200,
-        results: DOCUMENTS,
+        results: DOCUMENTS_PER_BATCH,
     };
     let mut served = 0_u32;
     for round in 0..ROUNDS {
         let batches: Vec<_> = (0..BATCHES_PER_ROUND)
             .map(|index| {
-                let mut body = rerank_body(DOCUMENTS);
-                body["top_n"] = json!(DOCUMENTS);
+                let mut body = rerank_body(DOCUMENTS_PER_BATCH);
+                body["top_n"] = json!(DOCUMENTS_PER_BATCH);
                 let body = body.to_string();
                 let id = format!("f{round}-{index}");
                 spawn_local(async move { post(address, RERANK_PATH, &id, body).await })
--- a/crates/bench/src/scenarios/large_bodies.rs
+++ b/crates/bench/src/scenarios/large_bodies.rs
@@ -1,4 +1,4 @@
-//! How much memory a router needs for many large bodies at once.
+//! Measures how much memory a router uses for many concurrent requests with large bodies.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,31 +11,33 @@
 use crate::environment::TestEnvironment;
 use crate::requests::RERANK_PATH;
 
-/// Requests that are sent at once.
-const REQUESTS: usize = 64;
-/// Documents of a request; with their length, 16 MiB of body.
-const DOCUMENTS: usize = 16;
+/// Number of requests that are sent at the same time.
+const CONCURRENT_REQUESTS: usize = 64;
+/// Number of documents in a request. With `DOCUMENT_LENGTH`, a body has about 16 MiB.
+const DOCUMENTS_PER_REQUEST: usize = 16;
+/// Length of a document in bytes.
 const DOCUMENT_LENGTH: usize = 1_023 * 1_024;
 
-/// What became of the large bodies.
+/// The result of this scenario.
 pub(crate) struct LargeBodies {
-    /// The most memory that the router used, in MiB.
+    /// Peak memory use of the router, in MiB.
     pub(crate) peak_memory_mb: f64,
+    /// Number of requests that were served.
     pub(crate) served: usize,
-    /// Requests that were rejected with status 503.
+    /// Number of requests that were rejected with status 503.
     pub(crate) rejected: usize,
 }
 
-/// Sends all large bodies at once.
+/// Sends all requests at the same time.
 pub(crate) async fn measure(environment: &TestEnvironment) -> LargeBodies {
     environment.set_service_time(Duration::from_millis(5), Duration::ZERO);
     let address = environment.router.inference_address;
     let document = "x".repeat(DOCUMENT_LENGTH);
-    let documents = vec![document.as_str(); DOCUMENTS];
+    let documents = vec![document.as_str(); DOCUMENTS_PER_REQUEST];
     let body: Rc<str> = json!({"model": "m", "query": "q", "documents": documents})
         .to_string()
         .into();
-    let requests: Vec<_> = (0..REQUESTS)
+    let requests: Vec<_> = (0..CONCURRENT_REQUESTS)
         .map(|index| spawn_local(send(address, index, body.clone())))
         .collect();
     let mut served = 0;
@@ -54,8 +56,8 @@
     }
 }
 
-/// Sends one body and returns the status, or 0 without one. A router that rejects the body may
-/// close the connection before all of it is sent.
+/// Sends a request and returns the status of the response, or 0 if there is none. A router that
+/// rejects the request may close the connection before all of the body is sent.
 async fn send(address: SocketAddr, index: usize, body: Rc<str>) -> u16 {
     let mut client = RawClient::connect(address).await;
     let head = format!(
--- a/crates/bench/src/scenarios/mod.rs
+++ b/crates/bench/src/scenarios/mod.rs
@@ -1,4 +1,4 @@
-//! What is measured, one module a measurement.
+//! Scenarios of the measurement, one in each module.
 
 pub(crate) mod cancellation;
 pub(crate) mod chat_latency;
--- a/crates/bench/src/scenarios/rerank_interference.rs
+++ b/crates/bench/src/scenarios/rerank_interference.rs
@@ -1,4 +1,4 @@
-//! How much slower chats are beside large reranks.
+//! Measures how much large reranks increase the latency of concurrent chats.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -12,54 +12,54 @@
 use crate::latency::LatencyHistogram;
 use crate::requests::{chat_body, post, rerank_body, CHAT_PATH, RERANK_PATH};
 
-/// How long chats are sent for each figure.
-const MEASURED_SPAN: Duration = Duration::from_secs(8);
-/// The time between the beginnings of two chats.
+/// Time during which chats are sent for each of the two measurements.
+const MEASUREMENT_DURATION: Duration = Duration::from_secs(8);
+/// Time between the starts of two chats.
 const CHAT_INTERVAL: Duration = Duration::from_millis(20);
-/// The latency that counts for a chat that is not served.
+/// Latency that is recorded for a chat that is not served.
 const FAILED_CHAT_LATENCY: Duration = Duration::from_secs(30);
-/// Reranks under way at once.
+/// Number of reranks in flight at the same time.
 const CONCURRENT_RERANKS: usize = 3;
-/// Documents of a rerank.
-const RERANK_DOCUMENTS: usize = 1_000;
-/// How long reranks run before chats are measured beside them.
-const RERANK_LEAD: Duration = Duration::from_millis(300);
-/// How long the router has to notice that the reranks are cancelled.
-const CANCEL_SETTLE: Duration = Duration::from_millis(200);
+/// Number of documents in a rerank.
+const DOCUMENTS_PER_RERANK: usize = 1_000;
+/// Time between the start of the reranks and the first chat beside them.
+const RERANK_LEAD_TIME: Duration = Duration::from_millis(300);
+/// Time in which the router notices that the reranks are cancelled.
+const CANCEL_SETTLE_TIME: Duration = Duration::from_millis(200);
 
-/// The effect of reranks on chats.
+/// The result of this scenario.
 pub(crate) struct Interference {
-    /// Chat p99 beside reranks over chat p99 alone.
+    /// 99th percentile of the chat latency beside reranks, divided by that without reranks.
     pub(crate) chat_p99_ratio: f64,
-    /// Reranks that were served.
+    /// Number of reranks that were served.
     pub(crate) reranks_served: usize,
 }
 
-/// Measures chats alone, then beside reranks.
+/// Measures the latency of chats without reranks, then beside reranks.
 pub(crate) async fn measure(environment: &TestEnvironment) -> Interference {
     environment.set_service_time(Duration::from_millis(10), Duration::from_millis(4));
     let address = environment.router.inference_address;
-    let alone = send_chats(address).await;
+    let without_reranks = send_chats(address).await;
     let served = Rc::new(Cell::new(0));
     let reranks: Vec<_> = (0..CONCURRENT_RERANKS)
         .map(|client| spawn_reranks(address, client, served.clone()))
         .collect();
-    sleep(RERANK_LEAD).await;
-    let beside = send_chats(address).await;
+    sleep(RERANK_LEAD_TIME).await;
+    let beside_reranks = send_chats(address).await;
     for rerank in &reranks {
         rerank.abort();
     }
-    sleep(CANCEL_SETTLE).await;
+    sleep(CANCEL_SETTLE_TIME).await;
     Interference {
-        chat_p99_ratio: beside.quantile_ms(0.99) / alone.quantile_ms(0.99),
+        chat_p99_ratio: beside_reranks.quantile_ms(0.99) / without_reranks.quantile_ms(0.99),
         reranks_served: served.get(),
     }
 }
 
-/// Sends one rerank after another until it is aborted.
+/// Spawns a task that sends one rerank after another until it is aborted.
 fn spawn_reranks(address: SocketAddr, client: usize, served: Rc<Cell<usize>>) -> JoinHandle<()> {
     spawn_local(async move {
-        let body = rerank_body(RERANK_DOCUMENTS).to_string();
+        let body = rerank_body(DOCUMENTS_PER_RERANK).to_string();
         for round in 0.. {
             let id = format!("r{client}-{round}");
             if post(address, RERANK_PATH, &id, body.clone()).await.status == 200 {
@@ -69,10 +69,10 @@
     })
 }
 
-/// Sends chats at a fixed pace, whatever becomes of the earlier ones, and waits for all of them.
+/// Sends chats at a fixed interval, without waiting for earlier ones, then waits for all responses.
 async fn send_chats(address: SocketAddr) -> LatencyHistogram {
     let latencies = LatencyHistogram::new();
-    let end = Instant::now() + MEASURED_SPAN;
+    let end = Instant::now() + MEASUREMENT_DURATION;
     let mut chats = Vec::new();
     while Instant::now() < end {
         let id = format!("c{}", chats.len());
--- a/examples/example_servers.rs
+++ b/examples/example_servers.rs
@@ -1,17 +1,17 @@
-//! Example servers on loopback, to try the router with: discovery on 127.0.0.1:8500 and two servers
-//! that process prompts and generate answers. They serve until the program is stopped.
+//! Example servers on loopback for trying out the router: discovery on 127.0.0.1:8500 and two model
+//! servers for prefill and decode. They run until the program is stopped.
 
 use std::time::Duration;
 
 use cranetack_testkit::{endpoint_entry, Behaviour, FakeDiscovery, FakeServer};
 
-/// Where the example configuration expects discovery.
+/// The address at which the example configuration expects discovery.
 const DISCOVERY_ADDRESS: &str = "127.0.0.1:8500";
-/// The number of servers.
-const SERVERS: usize = 2;
-/// Requests that a server processes at once.
+/// Number of model servers.
+const SERVER_COUNT: usize = 2;
+/// Number of requests that a model server processes at the same time.
 const SLOTS_PER_SERVER: usize = 4;
-/// How long a request takes.
+/// Time that a model server takes for a request.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
 
 fn main() -> std::io::Result<()> {
@@ -20,10 +20,10 @@
         .build()?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let mut entries = Vec::new();
-        for _ in 0..SERVERS {
+        for _ in 0..SERVER_COUNT {
             let server = FakeServer::start(SLOTS_PER_SERVER, Behaviour::Answer).await;
             server.service_time.set(SERVICE_TIME);
-            println!("a server on {}", server.address);
+            println!("model server on {}", server.address);
             entries.push(endpoint_entry(&server, "mixed", "up"));
         }
         let discovery = FakeDiscovery::start_at(DISCOVERY_ADDRESS, entries).await;
