--- a/crates/conformance/src/check/tests.rs
+++ b/crates/conformance/src/check/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `check`.
+//! Tests of comparing a response with the expected one.
 
 use http::HeaderMap;
 use serde_json::{json, Value};
--- a/crates/inference-client/src/options.rs
+++ b/crates/inference-client/src/options.rs
@@ -1,10 +1,10 @@
-//! The options of a client.
+//! Options of a client.
 
 use std::time::Duration;
 
 use crate::retry::{Idempotency, RetryPolicy};
 
-/// How a client makes its calls.
+/// Options of the calls of a client.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
     /// Time within which a call must be complete, including all its attempts. For a stream, the
--- a/crates/inference-client/src/types.rs
+++ b/crates/inference-client/src/types.rs
@@ -15,7 +15,7 @@
     /// Tool calls of an assistant message.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub tool_calls: Vec<Value>,
-    /// Further fields.
+    /// Fields that this type does not list.
     #[serde(flatten)]
     pub extra: Map<String, Value>,
 }
@@ -49,7 +49,7 @@
     /// Maximum number of tokens of the response.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_completion_tokens: Option<u64>,
-    /// Further fields, such as `temperature` and `tools`.
+    /// Fields that this type does not list, such as `temperature` and `tools`.
     #[serde(flatten)]
     pub extra: Map<String, Value>,
 }
@@ -76,7 +76,7 @@
     /// Number of tokens used.
     #[serde(default)]
     pub usage: Option<Usage>,
-    /// Further fields.
+    /// Fields that this type does not list.
     #[serde(flatten)]
     pub extra: Map<String, Value>,
 }
@@ -140,7 +140,7 @@
     /// Requested length of the vectors.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub dimensions: Option<u64>,
-    /// Further fields.
+    /// Fields that this type does not list.
     #[serde(flatten)]
     pub extra: Map<String, Value>,
 }
@@ -176,7 +176,7 @@
     /// Maximum number of results.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub top_n: Option<usize>,
-    /// Further fields.
+    /// Fields that this type does not list.
     #[serde(flatten)]
     pub extra: Map<String, Value>,
 }
@@ -205,7 +205,7 @@
 pub struct Model {
     /// Name of the model.
     pub id: String,
-    /// Further fields.
+    /// Fields that this type does not list.
     #[serde(flatten)]
     pub extra: Map<String, Value>,
 }
--- a/crates/inference-client/tests/client.rs
+++ b/crates/inference-client/tests/client.rs
@@ -20,7 +20,7 @@
     /// Sends this response.
     Respond(String),
     /// Sends this part of a response and closes the connection.
-    CloseAfter(String),
+    Close(String),
     /// Sends no response and leaves the connection open.
     Hang,
     /// Closes the connection after the head of the request, without reading all of the body.
@@ -87,7 +87,7 @@
             self.changed.notify_waiters();
             match next {
                 Step::Respond(response) => stream.write_all(response.as_bytes()).await.unwrap(),
-                Step::CloseAfter(part) => {
+                Step::Close(part) => {
                     stream.write_all(part.as_bytes()).await.unwrap();
                     return;
                 }
@@ -118,7 +118,7 @@
     ))
 }
 
-fn overloaded_response(retry_after: &str) -> Step {
+fn rejection(retry_after: &str) -> Step {
     let body =
         r#"{"error":{"message":"full","code":"overloaded","type":"server_error","param":null}}"#;
     Step::Respond(response(
@@ -142,26 +142,21 @@
 fn a_request_that_may_have_been_executed_is_retried_only_if_idempotent() {
     run(async {
         for (step, idempotency, attempts, served) in [
+            (Step::Close(String::new()), Idempotency::Idempotent, 2, true),
             (
-                Step::CloseAfter(String::new()),
-                Idempotency::Idempotent,
-                2,
-                true,
-            ),
-            (
-                Step::CloseAfter(String::new()),
+                Step::Close(String::new()),
                 Idempotency::NonIdempotent,
                 1,
                 false,
             ),
             (
-                Step::CloseAfter("HTTP/1.1 200 X\r\ncontent-length: 9\r\n\r\n{".into()),
+                Step::Close("HTTP/1.1 200 X\r\ncontent-length: 9\r\n\r\n{".into()),
                 Idempotency::Idempotent,
                 2,
                 true,
             ),
             (
-                Step::CloseAfter("HTTP/1.1 200 X\r\ncontent-length: 9\r\n\r\n{".into()),
+                Step::Close("HTTP/1.1 200 X\r\ncontent-length: 9\r\n\r\n{".into()),
                 Idempotency::NonIdempotent,
                 1,
                 false,
@@ -178,12 +173,7 @@
                 1,
                 false,
             ),
-            (
-                overloaded_response("0.01"),
-                Idempotency::NonIdempotent,
-                2,
-                true,
-            ),
+            (rejection("0.01"), Idempotency::NonIdempotent, 2, true),
             (
                 Step::Respond(response(400, "", "{}")),
                 Idempotency::Idempotent,
@@ -232,7 +222,7 @@
 #[test]
 fn retry_after_is_obeyed_and_the_deadline_is_not_exceeded() {
     run(async {
-        let service = Service::start(vec![overloaded_response("0.3"), ok_response()]).await;
+        let service = Service::start(vec![rejection("0.3"), ok_response()]).await;
         let start = tokio::time::Instant::now();
         client(&service, |_| ())
             .chat(&chat_request())
@@ -240,7 +230,7 @@
             .unwrap();
         assert!(start.elapsed() >= Duration::from_millis(300));
         // If the delay exceeds the deadline, the rejection is returned at once.
-        let service = Service::start(vec![overloaded_response("3"), ok_response()]).await;
+        let service = Service::start(vec![rejection("3"), ok_response()]).await;
         let start = tokio::time::Instant::now();
         let rejected = client(&service, |options| {
             options.deadline = Duration::from_secs(2)
@@ -273,7 +263,7 @@
 #[test]
 fn in_an_outage_retries_stop_when_the_budget_is_used_up() {
     run_paused(async {
-        let service = Service::start(vec![overloaded_response("0.01")]).await;
+        let service = Service::start(vec![rejection("0.01")]).await;
         let client = client(&service, |options| {
             options.retry_policy = RetryPolicy {
                 max_saved: 5.0,
@@ -331,8 +321,8 @@
         );
         let service = Service::start(vec![
             Step::Respond(complete_stream),
-            Step::CloseAfter(format!("{head}{}{}", chunk(EVENT), chunk(error))),
-            Step::CloseAfter(format!("{head}{}", chunk(EVENT))),
+            Step::Close(format!("{head}{}{}", chunk(EVENT), chunk(error))),
+            Step::Close(format!("{head}{}", chunk(EVENT))),
         ])
         .await;
         let client = client(&service, |_| ());
--- a/crates/testkit/src/endpoint_entry.rs
+++ b/crates/testkit/src/endpoint_entry.rs
@@ -1,4 +1,4 @@
-//! Entries of the endpoint list.
+//! Endpoint list entries of fake servers.
 
 use std::net::SocketAddr;
 
--- a/crates/testkit/src/fake_server/fault.rs
+++ b/crates/testkit/src/fake_server/fault.rs
@@ -67,7 +67,8 @@
     /// Number of the slice to which the fault is limited.
     #[serde(rename = "on")]
     slice: Option<u64>,
-    /// Number of attempts at the request to which the fault applies; later attempts have no fault.
+    /// Number of attempts with the same request id at this server to which the fault applies;
+    /// further ones have no fault. Without it, the fault applies to all of them.
     #[serde(rename = "times")]
     pub(super) repetitions: Option<usize>,
 }
