--- a/crates/routing-policy/src/concurrency.rs
+++ b/crates/routing-policy/src/concurrency.rs
@@ -230,7 +230,7 @@
             if !resource.is_used_by(attempt.role) {
                 continue;
             }
-            let endpoint_count = self.count_listed_endpoints(resource);
+            let endpoint_count = self.count_active_endpoints(resource);
             let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) else {
                 continue;
             };
@@ -279,10 +279,10 @@
         self.requests.values().filter(waits_at_endpoint).count() as f64
     }
 
-    /// Counts the listed endpoints that use a resource.
-    fn count_listed_endpoints(&self, resource: Resource) -> f64 {
+    /// Counts the active endpoints that use a resource.
+    fn count_active_endpoints(&self, resource: Resource) -> f64 {
         let uses = |endpoint: &&Endpoint| {
-            endpoint.is_listed && resource.is_used_by(self.role_of(endpoint))
+            endpoint.is_active && resource.is_used_by(self.role_of(endpoint))
         };
         self.endpoints.entries.values().filter(uses).count() as f64
     }
--- a/crates/routing-policy/src/dispatch.rs
+++ b/crates/routing-policy/src/dispatch.rs
@@ -61,7 +61,7 @@
 
     fn some_endpoint_serves_alone(&self) -> bool {
         let serves_alone = |endpoint: &Endpoint| {
-            endpoint.is_listed
+            endpoint.is_active
                 && (self.parameters.decode_can_prefill || self.role_of(endpoint) == Role::Mixed)
         };
         self.endpoints.entries.values().any(serves_alone)
--- a/crates/routing-policy/src/endpoints.rs
+++ b/crates/routing-policy/src/endpoints.rs
@@ -71,7 +71,7 @@
 pub(crate) struct Endpoint {
     pub(crate) spec: EndpointSpec,
     /// Whether the endpoint is on the endpoint list and takes requests.
-    pub(crate) is_listed: bool,
+    pub(crate) is_active: bool,
     pub(crate) in_flight: InFlight,
     pub(crate) limits: EndpointLimits,
     pub(crate) load: Option<ReceivedLoad>,
@@ -91,7 +91,7 @@
     fn new(spec: EndpointSpec) -> Endpoint {
         Endpoint {
             spec,
-            is_listed: false,
+            is_active: false,
             in_flight: InFlight::default(),
             limits: EndpointLimits::new(),
             load: None,
@@ -155,7 +155,7 @@
 
     fn mark_all_removed(&mut self) {
         for endpoint in self.entries.values_mut() {
-            endpoint.is_listed = false;
+            endpoint.is_active = false;
             endpoint.spec.state = EndpointState::Removed;
         }
     }
@@ -180,7 +180,7 @@
                 .entry(spec.id)
                 .or_insert_with(|| Endpoint::new(spec));
             endpoint.spec = spec;
-            endpoint.is_listed = spec.state == EndpointState::Active;
+            endpoint.is_active = spec.state == EndpointState::Active;
             if known_start != Some(spec.started_at) {
                 endpoint.reset_after_start(now, uniform(rng.next_u64()));
             }
@@ -238,13 +238,13 @@
         self.parameters.role(endpoint.spec.kind)
     }
 
-    /// Stores the load report that came with a response, if any, for a listed endpoint.
+    /// Stores the load report that came with a response, if any, for an active endpoint.
     pub(crate) fn receive_load(&mut self, id: EndpointId, load: Option<LoadReport>) {
         let now = self.now;
         let (Some(endpoint), Some(report)) = (self.endpoints.get_mut(id), load) else {
             return;
         };
-        if endpoint.is_listed {
+        if endpoint.is_active {
             endpoint.load = Some(ReceivedLoad { at: now, report });
         }
     }
--- a/crates/routing-policy/src/health_check.rs
+++ b/crates/routing-policy/src/health_check.rs
@@ -63,14 +63,14 @@
         true
     }
 
-    /// Checks the listed endpoint with the earliest last health check, unless that is recent.
+    /// Checks the active endpoint with the earliest last health check, unless that is recent.
     pub(crate) fn check_next_endpoint(&mut self) {
-        let listed = self
+        let active = self
             .endpoints
             .entries
             .iter()
-            .filter(|(_, endpoint)| endpoint.is_listed);
-        let next = listed.min_by_key(|(_, endpoint)| endpoint.last_health_check);
+            .filter(|(_, endpoint)| endpoint.is_active);
+        let next = active.min_by_key(|(_, endpoint)| endpoint.last_health_check);
         let Some((id, endpoint)) = next else {
             return;
         };
--- a/crates/routing-policy/src/lane_selection/affinity.rs
+++ b/crates/routing-policy/src/lane_selection/affinity.rs
@@ -197,13 +197,13 @@
         uniform(!mix(session.0)) < cold_excess.max(excess_late_share * CROSS_ZONE_GAIN)
     }
 
-    /// Returns the mean warm fraction of the listed endpoints that process prompts and that
+    /// Returns the mean warm fraction of the active endpoints that process prompts and that
     /// `includes` selects.
     fn mean_warm_fraction(&self, includes: impl Fn(&Endpoint) -> bool) -> f64 {
         let mut sum = 0.0;
         let mut count = 0_usize;
         for endpoint in self.endpoints.entries.values() {
-            if endpoint.is_listed && self.role_of(endpoint) != Role::Decode && includes(endpoint) {
+            if endpoint.is_active && self.role_of(endpoint) != Role::Decode && includes(endpoint) {
                 sum += self.warm_fraction(endpoint);
                 count += 1;
             }
--- a/crates/routing-policy/src/lane_selection/fleet_view.rs
+++ b/crates/routing-policy/src/lane_selection/fleet_view.rs
@@ -104,7 +104,7 @@
         for (id, endpoint) in &self.endpoints.entries {
             fleet.max_streams = fleet.max_streams.max(endpoint.in_flight.streams);
             let role = self.role_of(endpoint);
-            if endpoint.is_listed {
+            if endpoint.is_active {
                 let load = self.reported_load(endpoint);
                 memory.get_mut(role).add(load.memory);
                 slots.get_mut(role).add(load.slots);
--- a/crates/routing-policy/src/slow_start.rs
+++ b/crates/routing-policy/src/slow_start.rs
@@ -78,13 +78,13 @@
 }
 
 impl Policy {
-    /// Returns whether an endpoint is open: it is listed, and if it is in slow start, this router's
+    /// Returns whether an endpoint is open: it is active, and if it is in slow start, this router's
     /// turn to send to it has come.
     pub(crate) fn is_open(&self, id: EndpointId, kind: SendKind) -> bool {
         let Some(endpoint) = self.endpoints.get(id) else {
             return false;
         };
-        endpoint.is_listed
+        endpoint.is_active
             && (self.warm_fraction(endpoint) >= 1.0 || self.next_send(endpoint, kind) <= self.now)
     }
 
@@ -120,7 +120,7 @@
     /// Recalculates how much of this router's work each warm endpoint of a role completes.
     pub(crate) fn update_completion_rate(&mut self, role: Role) {
         let is_warm = |endpoint: &&Endpoint| {
-            endpoint.is_listed
+            endpoint.is_active
                 && self.role_of(endpoint) == role
                 && self.warm_fraction(endpoint) >= 1.0
         };
