--- a/crates/routing-policy/src/concurrency.rs
+++ b/crates/routing-policy/src/concurrency.rs
@@ -344,7 +344,7 @@
     /// Returns whether an endpoint has lost an attempt that was sent to it at `sent_at`.
     fn has_lost(&self, endpoint: EndpointId, sent_at: Micros) -> bool {
         self.endpoints.get(endpoint).is_some_and(|endpoint| {
-            endpoint.last_answered_send > sent_at + OVERTAKEN_AFTER
+            endpoint.latest_responded_send > sent_at + OVERTAKEN_AFTER
                 || self.now - UNRESPONSIVE_AFTER > endpoint.unresponsive_since
         })
     }
--- a/crates/routing-policy/src/endpoints.rs
+++ b/crates/routing-policy/src/endpoints.rs
@@ -81,7 +81,7 @@
     pub(crate) last_health_check: Micros,
     pub(crate) slot_refused_at: Micros,
     /// The latest send time among the attempts that the endpoint has responded to.
-    pub(crate) last_answered_send: Micros,
+    pub(crate) latest_responded_send: Micros,
     /// The time at which the oldest health check that waits for a response was sent; `Micros::MAX`
     /// if none waits. A successful health check or a response to an attempt clears it.
     pub(crate) unresponsive_since: Micros,
@@ -100,14 +100,14 @@
             send_turns: SendTurns::default(),
             last_health_check: LONG_AGO,
             slot_refused_at: LONG_AGO,
-            last_answered_send: Micros::MIN,
+            latest_responded_send: Micros::MIN,
             unresponsive_since: Micros::MAX,
         }
     }
 
     /// Records that the endpoint has responded to an attempt that was sent at `sent_at`.
     pub(crate) fn mark_responsive(&mut self, sent_at: Micros) {
-        self.last_answered_send = self.last_answered_send.max(sent_at);
+        self.latest_responded_send = self.latest_responded_send.max(sent_at);
         self.unresponsive_since = Micros::MAX;
     }
 
