--- a/crates/routing-policy/src/endpoints.rs
+++ b/crates/routing-policy/src/endpoints.rs
@@ -38,7 +38,7 @@
 
 impl InFlight {
     /// The number of streams at the endpoint, including those that are expected from prefills.
-    pub(crate) fn all_streams(&self) -> f64 {
+    pub(crate) fn current_and_expected_streams(&self) -> f64 {
         self.streams + self.expected_decodes
     }
 }
--- a/crates/routing-policy/src/lane_selection/candidates.rs
+++ b/crates/routing-policy/src/lane_selection/candidates.rs
@@ -111,5 +111,5 @@
 fn has_capacity(endpoint: &Endpoint) -> bool {
     let in_flight = &endpoint.in_flight;
     in_flight.prefill_weight < endpoint.limits.prefill.value()
-        && in_flight.all_streams() < endpoint.limits.streams.value()
+        && in_flight.current_and_expected_streams() < endpoint.limits.streams.value()
 }
