--- a/crates/routing-policy/src/dispatch.rs
+++ b/crates/routing-policy/src/dispatch.rs
@@ -136,7 +136,7 @@
             request.holds_state = true;
             request.released_while_fetching = false;
             // The lane's decode endpoint is kept even if no slot can be reserved there.
-            request.reserved_slot = decode_endpoint.or(request.reserved_slot);
+            request.planned_decode_endpoint = decode_endpoint.or(request.planned_decode_endpoint);
         }
         self.queue.remove(&id);
         if role == Role::Decode {
@@ -180,7 +180,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.reserved_slot = Some(decode);
+        request.planned_decode_endpoint = Some(decode);
         request.slot_reservations += 1;
         request.holds_state = true;
         self.actions.push(Action::ReserveSlot {
@@ -199,7 +199,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let refused = request.reserved_slot.take();
+        let refused = request.planned_decode_endpoint.take();
         if let Some(endpoint) = refused.and_then(|id| self.endpoints.get_mut(id)) {
             endpoint.slot_refused_at = now;
         }
--- a/crates/routing-policy/src/kv_lease.rs
+++ b/crates/routing-policy/src/kv_lease.rs
@@ -46,7 +46,7 @@
             return;
         }
         request.holds_state = false;
-        request.reserved_slot = None;
+        request.planned_decode_endpoint = None;
         if matches!(request.state, RequestState::Prefilled(_)) {
             request.state = RequestState::Queued;
         }
--- a/crates/routing-policy/src/lane_selection/mod.rs
+++ b/crates/routing-policy/src/lane_selection/mod.rs
@@ -54,7 +54,7 @@
         let salt = self.rng.next_u64();
         let request = self.requests.get(&id)?;
         let prefill_endpoint = self.endpoints.get(prefill)?;
-        let reserved = request.reserved_slot;
+        let reserved = request.planned_decode_endpoint;
         if let Some(reserved) = reserved.filter(|id| self.accepts(*id, request, SendKind::Any)) {
             return Some(reserved);
         }
--- a/crates/routing-policy/src/requests.rs
+++ b/crates/routing-policy/src/requests.rs
@@ -115,7 +115,7 @@
     pub(crate) first_sent_at: Option<Micros>,
     pub(crate) attempts: u32,
     /// The decode endpoint at which a slot is reserved, or that of the lane if none is.
-    pub(crate) reserved_slot: Option<EndpointId>,
+    pub(crate) planned_decode_endpoint: Option<EndpointId>,
     pub(crate) slot_reservations: u32,
     pub(crate) health_checks: u32,
     /// Whether endpoints may hold KV state or a slot for the request.
@@ -135,7 +135,7 @@
             is_closed: false,
             first_sent_at: None,
             attempts: 0,
-            reserved_slot: None,
+            planned_decode_endpoint: None,
             slot_reservations: 0,
             health_checks: 0,
             holds_state: false,
