--- a/crates/routing-policy/src/admission.rs
+++ b/crates/routing-policy/src/admission.rs
@@ -43,7 +43,7 @@
         self.queue.insert(spec.id);
         self.traffic.request_arrived(now);
         self.prefix_popularity.record(spec.shared_prefix, now);
-        self.check_budget.request_arrived();
+        self.health_check_budget.request_arrived();
         let respond_by = self.parameters.respond_by(spec.deadline);
         self.set_timer(respond_by, TimerKey::Request(spec.id));
         self.advance_queue();
--- a/crates/routing-policy/src/health_check.rs
+++ b/crates/routing-policy/src/health_check.rs
@@ -27,9 +27,9 @@
 
 /// The number of health checks that may be sent now. It grows with each request.
 #[derive(Debug, Default)]
-pub(crate) struct CheckBudget(f64);
+pub(crate) struct HealthCheckBudget(f64);
 
-impl CheckBudget {
+impl HealthCheckBudget {
     pub(crate) fn request_arrived(&mut self) {
         let max = MAX_SAVED_REQUESTS * CHECKS_PER_REQUEST;
         self.0 = (self.0 + CHECKS_PER_REQUEST).min(max);
@@ -82,7 +82,7 @@
     /// Sends a health check if health checks contain load reports and the budget allows it. Returns
     /// whether it was sent.
     fn send_health_check(&mut self, id: EndpointId) -> bool {
-        if !self.parameters.health_checks_report_load || self.check_budget.is_empty() {
+        if !self.parameters.health_checks_report_load || self.health_check_budget.is_empty() {
             return false;
         }
         let now = self.now;
@@ -91,7 +91,7 @@
         };
         endpoint.last_health_check = now;
         endpoint.unresponsive_since = endpoint.unresponsive_since.min(now);
-        self.check_budget.spend();
+        self.health_check_budget.spend();
         self.actions.push(Action::HealthCheck(id));
         true
     }
--- a/crates/routing-policy/src/policy.rs
+++ b/crates/routing-policy/src/policy.rs
@@ -11,7 +11,7 @@
 use crate::estimators::{CompletedWork, TrafficEstimates, WorkEstimates};
 use crate::events::Event;
 use crate::gossip::{PeerTable, ANNOUNCEMENT_COUNT};
-use crate::health_check::CheckBudget;
+use crate::health_check::HealthCheckBudget;
 use crate::ids::{Micros, RequestId, TimerKey};
 use crate::lane_selection::affinity::{LateShares, PrefixPopularity};
 use crate::parameters::{Parameters, TICK};
@@ -33,7 +33,7 @@
     /// The requests that wait for their next attempt.
     pub(crate) queue: BTreeSet<RequestId>,
     pub(crate) total_limits: TotalLimits,
-    pub(crate) check_budget: CheckBudget,
+    pub(crate) health_check_budget: HealthCheckBudget,
     pub(crate) work: WorkEstimates,
     pub(crate) completed_work: CompletedWork,
     pub(crate) traffic: TrafficEstimates,
@@ -56,7 +56,7 @@
             requests: BTreeMap::new(),
             queue: BTreeSet::new(),
             total_limits: TotalLimits::new(),
-            check_budget: CheckBudget::default(),
+            health_check_budget: HealthCheckBudget::default(),
             work: WorkEstimates::default(),
             completed_work: CompletedWork::new(now),
             traffic: TrafficEstimates::new(now),
