--- a/crates/routing-policy/src/admission.rs
+++ b/crates/routing-policy/src/admission.rs
@@ -37,11 +37,11 @@
         }
         let now = self.now;
         if self.queue.is_empty() {
-            self.traffic.queue_begins(now);
+            self.traffic_estimates.queue_begins(now);
         }
         self.requests.insert(spec.id, Request::new(spec, now));
         self.queue.insert(spec.id);
-        self.traffic.request_arrived(now);
+        self.traffic_estimates.request_arrived(now);
         self.prefix_popularity.record(spec.shared_prefix, now);
         self.health_check_budget.request_arrived();
         let respond_by = self.parameters.respond_by(spec.deadline);
@@ -80,7 +80,7 @@
         let spec = &request.spec;
         let class = self.parameters.class(spec.class);
         let first_token_due = request.arrived_at + class.latency_objective(spec.prompt_tokens);
-        let first_token_at = self.now + self.traffic.likely_time_to_first_token();
+        let first_token_at = self.now + self.traffic_estimates.likely_time_to_first_token();
         let is_late = first_token_at > spec.deadline.min(first_token_due);
         let arrival_order = i64::from(id.0);
         QueueRank {
@@ -99,8 +99,9 @@
     /// Whether a request at a position of the queue, counted from 1, can still be served before its
     /// deadline. If not, an early rejection lets its client try elsewhere.
     fn can_respond_in_time(&self, spec: &RequestSpec, position: usize) -> bool {
-        let queue_wait = self.traffic.queue_wait(position, self.now) as f64;
-        let service_time = self.traffic.mean_time_to_first_token() * MIN_FIRST_TOKEN_SHARE;
+        let queue_wait = self.traffic_estimates.queue_wait(position, self.now) as f64;
+        let service_time =
+            self.traffic_estimates.mean_time_to_first_token() * MIN_FIRST_TOKEN_SHARE;
         let respond_by = self.parameters.respond_by(spec.deadline);
         self.now as f64 + (queue_wait + service_time) < respond_by as f64
     }
@@ -130,7 +131,9 @@
     /// The time that a rejected client should wait: until the present queue has been served.
     fn retry_after(&self) -> Micros {
         let max = self.parameters.max_retry_after;
-        let queue_wait = self.traffic.queue_wait(self.queue.len().max(1), self.now);
+        let queue_wait = self
+            .traffic_estimates
+            .queue_wait(self.queue.len().max(1), self.now);
         queue_wait.clamp(TICK.min(max), max)
     }
 }
--- a/crates/routing-policy/src/dispatch.rs
+++ b/crates/routing-policy/src/dispatch.rs
@@ -119,8 +119,8 @@
             execution: PossibleExecution::at(&endpoint.spec, now),
             overdue: Overdue::No,
         };
-        let relative_work =
-            self.work.of_class(role, spec.class, 1.0) / self.work.overall(role, 1.0);
+        let relative_work = self.work_estimates.of_class(role, spec.class, 1.0)
+            / self.work_estimates.overall(role, 1.0);
         self.add_to_in_flight(&attempt, relative_work);
         let write_by = match lease {
             Some(lease) => retry_deadline.min(self.midpoint_to_lease_end(lease)),
@@ -142,7 +142,7 @@
         if role == Role::Decode {
             self.set_timer(now + self.parameters.kv_lease, TimerKey::Request(id));
         } else {
-            self.traffic.request_dequeued(now);
+            self.traffic_estimates.request_dequeued(now);
         }
         self.actions.push(Action::Send {
             id,
--- a/crates/routing-policy/src/lane_selection/score.rs
+++ b/crates/routing-policy/src/lane_selection/score.rs
@@ -157,7 +157,7 @@
     /// Returns whether the load report of an endpoint, if it has one, is recent enough and no
     /// health check has waited for a response longer than [`CHECK_TIMEOUT`].
     fn is_fresh(&self, endpoint: &Endpoint) -> bool {
-        let stale_intervals = STALE_SEND_INTERVALS * self.traffic.arrival_interval();
+        let stale_intervals = STALE_SEND_INTERVALS * self.traffic_estimates.arrival_interval();
         let stale_after = STALE_AFTER.max(stale_intervals * self.endpoints.entries.len() as f64);
         let is_recent = endpoint
             .load
@@ -171,7 +171,7 @@
         let cached = self.cached_share(spec, endpoint, false);
         let uncached = spec.prompt_tokens as f64 * (1.0 - cached);
         let mean = self
-            .work
+            .work_estimates
             .overall(crate::config::Role::Prefill, uncached)
             .max(1.0);
         MIN_PREFILL_WEIGHT + (1.0 - MIN_PREFILL_WEIGHT) * uncached / mean
--- a/crates/routing-policy/src/load_report.rs
+++ b/crates/routing-policy/src/load_report.rs
@@ -35,7 +35,9 @@
         let Some(load) = endpoint.load else {
             return ReportedLoad::default();
         };
-        let mean_prefill = self.work.overall(Role::Prefill, DEFAULT_PREFILL_TOKENS);
+        let mean_prefill = self
+            .work_estimates
+            .overall(Role::Prefill, DEFAULT_PREFILL_TOKENS);
         let full_queue = mean_prefill / TOKENS_PER_KILOTOKEN * FULL_QUEUE_PREFILLS;
         ReportedLoad {
             memory: clamp_reported(load.report.memory_utilization, 1.0),
--- a/crates/routing-policy/src/outlier.rs
+++ b/crates/routing-policy/src/outlier.rs
@@ -84,8 +84,8 @@
         outcome: Outcome,
     ) {
         let now = self.now;
-        let interval_per_endpoint =
-            self.traffic.arrival_interval() as Micros * self.endpoints.entries.len() as Micros;
+        let interval_per_endpoint = self.traffic_estimates.arrival_interval() as Micros
+            * self.endpoints.entries.len() as Micros;
         let Some(endpoint) = self.endpoints.get_mut(id) else {
             return;
         };
--- a/crates/routing-policy/src/requests.rs
+++ b/crates/routing-policy/src/requests.rs
@@ -187,7 +187,7 @@
         request.holds_state = false;
         let class = request.spec.class;
         let since_first_send = now - request.first_sent_at.unwrap_or(now);
-        self.traffic.stream_started(since_first_send);
+        self.traffic_estimates.stream_started(since_first_send);
         if attempt.role == Role::Mixed {
             self.subtract_prefill_weight(endpoint, attempt.prefill_weight);
         }
@@ -278,9 +278,9 @@
         let endpoint = self.endpoints.get(attempt.endpoint);
         let role = endpoint.map_or(attempt.role, |endpoint| self.role_of(endpoint));
         let is_warm = endpoint.is_some_and(|endpoint| self.warm_fraction(endpoint) >= 1.0);
-        self.work.record(role, spec.class, work);
+        self.work_estimates.record(role, spec.class, work);
         if is_warm {
-            let mean = self.work.of_class(role, spec.class, work);
+            let mean = self.work_estimates.of_class(role, spec.class, work);
             self.completed_work.record(role, mean, self.now);
         }
     }
--- a/crates/routing-policy/src/slow_start.rs
+++ b/crates/routing-policy/src/slow_start.rs
@@ -114,7 +114,7 @@
             * BUDGET_SHARE
             * self.completed_work.rate(role);
         let max_interval = slow_start.overload_window * self.parameters.router_count;
-        (self.work.overall(role, 1.0) / rate).min(max_interval)
+        (self.work_estimates.overall(role, 1.0) / rate).min(max_interval)
     }
 
     /// Recalculates how much of this router's work each warm endpoint of a role completes.
