--- a/crates/routing-policy/src/dispatch.rs
+++ b/crates/routing-policy/src/dispatch.rs
@@ -140,7 +140,10 @@
         }
         self.queue.remove(&id);
         if role == Role::Decode {
-            self.set_timer(now + self.parameters.kv_lease, TimerKey::Request(id));
+            self.set_timer(
+                now + self.parameters.kv_lease_duration,
+                TimerKey::Request(id),
+            );
         } else {
             self.traffic_estimates.request_dequeued(now);
         }
@@ -156,7 +159,7 @@
     /// The point in time halfway from now to the end of a lease. An attempt that is not written by
     /// then leaves the other half for an attempt at another endpoint.
     fn midpoint_to_lease_end(&self, lease: KvLease) -> Micros {
-        self.now + (lease.since + self.parameters.kv_lease - self.now) / 2
+        self.now + (lease.since + self.parameters.kv_lease_duration - self.now) / 2
     }
 
     fn add_to_in_flight(&mut self, attempt: &Attempt, relative_work: f64) {
--- a/crates/routing-policy/src/kv_lease.rs
+++ b/crates/routing-policy/src/kv_lease.rs
@@ -18,7 +18,7 @@
 impl Policy {
     /// Whether KV state that has waited since `since` is due for release.
     pub(crate) fn is_lease_over(&self, since: Micros) -> bool {
-        self.now >= since + self.parameters.kv_lease
+        self.now >= since + self.parameters.kv_lease_duration
     }
 
     /// Releases the KV state of a request if its lease has ended.
--- a/crates/routing-policy/src/parameters.rs
+++ b/crates/routing-policy/src/parameters.rs
@@ -87,7 +87,7 @@
     /// Time before a client's deadline at which a queued request gets its final response.
     response_margin: Micros,
     /// Time after which KV state that is held for a request is released.
-    pub(crate) kv_lease: Micros,
+    pub(crate) kv_lease_duration: Micros,
     /// Longest `Retry-After` that a rejected client is given; 0 if none may be given.
     pub(crate) max_retry_after: Micros,
     pub(crate) slow_start: SlowStartParameters,
@@ -119,7 +119,7 @@
             zone: settings.zone,
             max_attempts: settings.max_attempts.unwrap_or(DEFAULT_MAX_ATTEMPTS),
             response_margin: response_margin(settings),
-            kv_lease: kv_lease(settings),
+            kv_lease_duration: kv_lease_duration(settings),
             max_retry_after: max_retry_after(settings),
             slow_start: slow_start(settings),
             slot_reservations: settings.slot_reservations,
@@ -168,7 +168,7 @@
     }
 }
 
-fn kv_lease(settings: &Settings) -> Micros {
+fn kv_lease_duration(settings: &Settings) -> Micros {
     let timeout = settings
         .kv_lease_timeout
         .unwrap_or(DEFAULT_KV_LEASE_TIMEOUT);
--- a/crates/routing-policy/src/requests.rs
+++ b/crates/routing-policy/src/requests.rs
@@ -295,7 +295,7 @@
         let lease_end = request
             .state
             .lease()
-            .map(|lease| lease.since + self.parameters.kv_lease)
+            .map(|lease| lease.since + self.parameters.kv_lease_duration)
             .filter(|end| self.now < *end);
         if lease_end.is_none() {
             self.release_state(id);
