--- a/crates/routing-policy/src/concurrency.rs
+++ b/crates/routing-policy/src/concurrency.rs
@@ -115,7 +115,7 @@
 }
 
 impl ConcurrencyLimit {
-    pub(crate) fn at_most(limit: f64) -> ConcurrencyLimit {
+    pub(crate) fn starting_at(limit: f64) -> ConcurrencyLimit {
         ConcurrencyLimit {
             limit,
             last_decrease: Micros::MIN,
@@ -154,7 +154,7 @@
 impl TotalLimit {
     fn unlimited() -> TotalLimit {
         TotalLimit {
-            limit: ConcurrencyLimit::at_most(f64::MAX),
+            limit: ConcurrencyLimit::starting_at(f64::MAX),
             late_share: 0.0,
         }
     }
--- a/crates/routing-policy/src/endpoints.rs
+++ b/crates/routing-policy/src/endpoints.rs
@@ -53,8 +53,8 @@
 impl EndpointLimits {
     fn new() -> EndpointLimits {
         EndpointLimits {
-            prefill: ConcurrencyLimit::at_most(Resource::Prefill.max_endpoint_limit()),
-            streams: ConcurrencyLimit::at_most(Resource::Streams.max_endpoint_limit()),
+            prefill: ConcurrencyLimit::starting_at(Resource::Prefill.max_endpoint_limit()),
+            streams: ConcurrencyLimit::starting_at(Resource::Streams.max_endpoint_limit()),
         }
     }
 }
