--- a/crates/routing-policy/src/admission.rs
+++ b/crates/routing-policy/src/admission.rs
@@ -37,7 +37,7 @@
         }
         let now = self.now;
         if self.queue.is_empty() {
-            self.traffic_estimates.queue_begins(now);
+            self.traffic_estimates.queue_became_nonempty(now);
         }
         self.requests.insert(spec.id, Request::new(spec, now));
         self.queue.insert(spec.id);
--- a/crates/routing-policy/src/estimators.rs
+++ b/crates/routing-policy/src/estimators.rs
@@ -196,7 +196,7 @@
     }
 
     /// Records that the queue was empty until now: the time to the next dequeued request starts.
-    pub(crate) fn queue_begins(&mut self, now: Micros) {
+    pub(crate) fn queue_became_nonempty(&mut self, now: Micros) {
         self.last_dequeue = now;
     }
 
