--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -134,7 +134,7 @@
 
 impl AttemptReport {
     /// Returns the report with this reason for the end of the attempt.
-    pub fn because(mut self, reason: EndReason) -> AttemptReport {
+    pub fn with_reason(mut self, reason: EndReason) -> AttemptReport {
         self.wire.reason = reason;
         self
     }
--- a/crates/router/src/upstream/attempt.rs
+++ b/crates/router/src/upstream/attempt.rs
@@ -128,9 +128,9 @@
                     self.shared.pool.release(connection).await;
                 }
                 tail.report(&options.report)
-                    .because(EndReason::StreamCompleted)
+                    .with_reason(EndReason::StreamCompleted)
             }
-            Err(outcome) => AttemptReport::from(outcome).because(EndReason::StreamBroken),
+            Err(outcome) => AttemptReport::from(outcome).with_reason(EndReason::StreamBroken),
         }
     }
 
--- a/crates/router/src/upstream/attempt/start.rs
+++ b/crates/router/src/upstream/attempt/start.rs
@@ -44,7 +44,7 @@
 impl ResponseStart {
     /// Creates the result of an attempt that has ended without a stream.
     pub(super) fn ended(outcome: Outcome, reason: EndReason) -> ResponseStart {
-        ResponseStart::Ended(AttemptReport::from(outcome).because(reason))
+        ResponseStart::Ended(AttemptReport::from(outcome).with_reason(reason))
     }
 }
 
