--- a/crates/router/src/core/dispatch.rs
+++ b/crates/router/src/core/dispatch.rs
@@ -76,7 +76,7 @@
                 .clock
                 .instant_of(limit_or_deadline(expires_at, deadline)),
             write_by: self.clock.instant_of(limit_or_deadline(write_by, deadline)),
-            is_live: request.is_live.clone(),
+            needs_response: request.needs_response.clone(),
             prefill_only,
             non_idempotent: is_non_idempotent && !prefill_only,
             message: request.incoming.message.clone(),
@@ -152,7 +152,7 @@
             return self.finish(id, Some(rejection));
         };
         request.pending_rejection = Some(rejection);
-        request.is_live.set(false);
+        request.needs_response.set(false);
         request.trace.record(now, Step::Cancelled { attempt });
         let attempt = AttemptId {
             request: id,
--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -260,7 +260,7 @@
     /// The time at which the attempt is abandoned unless it has a connection.
     pub write_by: Instant,
     /// Whether the request still needs a response.
-    pub is_live: Rc<Cell<bool>>,
+    pub needs_response: Rc<Cell<bool>>,
     /// Whether the endpoint only processes the prompt and keeps the KV state. Otherwise it serves
     /// the response.
     pub prefill_only: bool,
--- a/crates/router/src/core/requests.rs
+++ b/crates/router/src/core/requests.rs
@@ -34,7 +34,7 @@
     pub(super) is_finished: bool,
     /// Whether the request still needs a response. The attempt in flight shares it, as it may have
     /// to be abandoned before it is written.
-    pub(super) is_live: Rc<Cell<bool>>,
+    pub(super) needs_response: Rc<Cell<bool>>,
     pub(super) executions: ExecutionRecord,
     pub(super) trace: Trace,
 }
@@ -64,7 +64,7 @@
             in_flight: None,
             is_state_released: false,
             is_finished: false,
-            is_live: Rc::new(Cell::new(true)),
+            needs_response: Rc::new(Cell::new(true)),
             executions: ExecutionRecord::default(),
             trace: Trace::default(),
         }
@@ -291,7 +291,7 @@
             return;
         };
         request.is_finished = true;
-        request.is_live.set(false);
+        request.needs_response.set(false);
         let name = response.as_ref().map_or("none", FinalResponse::name);
         request
             .trace
--- a/crates/router/src/upstream/attempt/start.rs
+++ b/crates/router/src/upstream/attempt/start.rs
@@ -154,7 +154,7 @@
     let connection = acquired?;
     // While the connection was established, the endpoint may have begun to drain, or the client may
     // have disconnected.
-    if !spec.endpoint.is_active() || !spec.is_live.get() {
+    if !spec.endpoint.is_active() || !spec.needs_response.get() {
         shared.pool.release(connection).await;
         return Err(StartError::NotNeeded);
     }
--- a/crates/router/src/upstream/tests.rs
+++ b/crates/router/src/upstream/tests.rs
@@ -48,7 +48,7 @@
             endpoint,
             expires_at,
             write_by,
-            is_live: Rc::new(Cell::new(true)),
+            needs_response: Rc::new(Cell::new(true)),
             prefill_only: false,
             non_idempotent: true,
             message: Rc::default(),
--- a/crates/router/tests/core.rs
+++ b/crates/router/tests/core.rs
@@ -38,10 +38,10 @@
 async fn an_attempt_that_is_not_written_yet_sees_that_its_request_has_ended() {
     let mut harness = CoreHarness::new(Idempotency::Idempotent);
     let response = harness.submit();
-    assert!(harness.outbound.is_live.borrow().get());
+    assert!(harness.outbound.needs_response.borrow().get());
     drop(response);
     harness.handle_pending_events();
-    assert!(!harness.outbound.is_live.borrow().get());
+    assert!(!harness.outbound.needs_response.borrow().get());
 }
 
 /// Connections to the previous process are dead, and if its machine failed they were never closed
--- a/crates/router/tests/core/harness.rs
+++ b/crates/router/tests/core/harness.rs
@@ -33,7 +33,7 @@
     /// The time by which the latest attempt must have a connection.
     pub(crate) write_by: Rc<Cell<Option<Instant>>>,
     /// Whether the request of the latest attempt still needs a response.
-    pub(crate) is_live: Rc<RefCell<Rc<Cell<bool>>>>,
+    pub(crate) needs_response: Rc<RefCell<Rc<Cell<bool>>>>,
     /// The endpoints of the latest release of state, in the order in which they are to be tried.
     pub(crate) release_endpoints: Rc<RefCell<Vec<String>>>,
 }
@@ -52,7 +52,7 @@
     fn send(&mut self, spec: AttemptSpec) {
         assert!(!self.panics_on_next_send.take(), "an intentional panic");
         self.write_by.set(Some(spec.write_by));
-        self.is_live.replace(spec.is_live.clone());
+        self.needs_response.replace(spec.needs_response.clone());
         self.record(Call::Send(spec.attempt, spec.endpoint.name.clone()));
     }
     fn cancel(&mut self, attempt: AttemptId, _streaming: bool) {
