--- a/crates/router/src/upstream/attempt/start.rs
+++ b/crates/router/src/upstream/attempt/start.rs
@@ -44,7 +44,7 @@
 impl ResponseStart {
     /// Creates the result of an attempt that has ended without a stream.
     pub(super) fn ended(outcome: Outcome, reason: EndReason) -> ResponseStart {
-        ResponseStart::Ended(AttemptReport::from(outcome).because(reason))
+        ResponseStart::Ended(AttemptReport::from(outcome).with_reason(reason))
     }
 }
 
@@ -154,7 +154,7 @@
     let connection = acquired?;
     // While the connection was established, the endpoint may have begun to drain, or the client may
     // have disconnected.
-    if !spec.endpoint.is_active() || !spec.is_live.get() {
+    if !spec.endpoint.is_active() || !spec.needs_response.get() {
         shared.pool.release(connection).await;
         return Err(StartError::NotNeeded);
     }
--- a/crates/routing-policy/src/concurrency.rs
+++ b/crates/routing-policy/src/concurrency.rs
@@ -115,7 +115,7 @@
 }
 
 impl ConcurrencyLimit {
-    pub(crate) fn at_most(limit: f64) -> ConcurrencyLimit {
+    pub(crate) fn starting_at(limit: f64) -> ConcurrencyLimit {
         ConcurrencyLimit {
             limit,
             last_decrease: Micros::MIN,
@@ -154,7 +154,7 @@
 impl TotalLimit {
     fn unlimited() -> TotalLimit {
         TotalLimit {
-            limit: ConcurrencyLimit::at_most(f64::MAX),
+            limit: ConcurrencyLimit::starting_at(f64::MAX),
             late_share: 0.0,
         }
     }
@@ -230,7 +230,7 @@
             if !resource.is_used_by(attempt.role) {
                 continue;
             }
-            let endpoint_count = self.count_listed_endpoints(resource);
+            let endpoint_count = self.count_active_endpoints(resource);
             let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) else {
                 continue;
             };
@@ -279,10 +279,10 @@
         self.requests.values().filter(waits_at_endpoint).count() as f64
     }
 
-    /// Counts the listed endpoints that use a resource.
-    fn count_listed_endpoints(&self, resource: Resource) -> f64 {
+    /// Counts the active endpoints that use a resource.
+    fn count_active_endpoints(&self, resource: Resource) -> f64 {
         let uses = |endpoint: &&Endpoint| {
-            endpoint.is_listed && resource.is_used_by(self.role_of(endpoint))
+            endpoint.is_active && resource.is_used_by(self.role_of(endpoint))
         };
         self.endpoints.entries.values().filter(uses).count() as f64
     }
@@ -344,7 +344,7 @@
     /// Returns whether an endpoint has lost an attempt that was sent to it at `sent_at`.
     fn has_lost(&self, endpoint: EndpointId, sent_at: Micros) -> bool {
         self.endpoints.get(endpoint).is_some_and(|endpoint| {
-            endpoint.last_answered_send > sent_at + OVERTAKEN_AFTER
+            endpoint.latest_responded_send > sent_at + OVERTAKEN_AFTER
                 || self.now - UNRESPONSIVE_AFTER > endpoint.unresponsive_since
         })
     }
--- a/crates/routing-policy/src/dispatch.rs
+++ b/crates/routing-policy/src/dispatch.rs
@@ -61,7 +61,7 @@
 
     fn some_endpoint_serves_alone(&self) -> bool {
         let serves_alone = |endpoint: &Endpoint| {
-            endpoint.is_listed
+            endpoint.is_active
                 && (self.parameters.decode_can_prefill || self.role_of(endpoint) == Role::Mixed)
         };
         self.endpoints.entries.values().any(serves_alone)
@@ -119,8 +119,8 @@
             execution: PossibleExecution::at(&endpoint.spec, now),
             overdue: Overdue::No,
         };
-        let relative_work =
-            self.work.of_class(role, spec.class, 1.0) / self.work.overall(role, 1.0);
+        let relative_work = self.work_estimates.of_class(role, spec.class, 1.0)
+            / self.work_estimates.overall(role, 1.0);
         self.add_to_in_flight(&attempt, relative_work);
         let write_by = match lease {
             Some(lease) => retry_deadline.min(self.midpoint_to_lease_end(lease)),
@@ -136,13 +136,16 @@
             request.holds_state = true;
             request.released_while_fetching = false;
             // The lane's decode endpoint is kept even if no slot can be reserved there.
-            request.reserved_slot = decode_endpoint.or(request.reserved_slot);
+            request.planned_decode_endpoint = decode_endpoint.or(request.planned_decode_endpoint);
         }
         self.queue.remove(&id);
         if role == Role::Decode {
-            self.set_timer(now + self.parameters.kv_lease, TimerKey::Request(id));
+            self.set_timer(
+                now + self.parameters.kv_lease_duration,
+                TimerKey::Request(id),
+            );
         } else {
-            self.traffic.request_dequeued(now);
+            self.traffic_estimates.request_dequeued(now);
         }
         self.actions.push(Action::Send {
             id,
@@ -156,7 +159,7 @@
     /// The point in time halfway from now to the end of a lease. An attempt that is not written by
     /// then leaves the other half for an attempt at another endpoint.
     fn midpoint_to_lease_end(&self, lease: KvLease) -> Micros {
-        self.now + (lease.since + self.parameters.kv_lease - self.now) / 2
+        self.now + (lease.since + self.parameters.kv_lease_duration - self.now) / 2
     }
 
     fn add_to_in_flight(&mut self, attempt: &Attempt, relative_work: f64) {
@@ -180,7 +183,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.reserved_slot = Some(decode);
+        request.planned_decode_endpoint = Some(decode);
         request.slot_reservations += 1;
         request.holds_state = true;
         self.actions.push(Action::ReserveSlot {
@@ -199,7 +202,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let refused = request.reserved_slot.take();
+        let refused = request.planned_decode_endpoint.take();
         if let Some(endpoint) = refused.and_then(|id| self.endpoints.get_mut(id)) {
             endpoint.slot_refused_at = now;
         }
--- a/crates/routing-policy/src/endpoints.rs
+++ b/crates/routing-policy/src/endpoints.rs
@@ -38,7 +38,7 @@
 
 impl InFlight {
     /// The number of streams at the endpoint, including those that are expected from prefills.
-    pub(crate) fn all_streams(&self) -> f64 {
+    pub(crate) fn current_and_expected_streams(&self) -> f64 {
         self.streams + self.expected_decodes
     }
 }
@@ -53,8 +53,8 @@
 impl EndpointLimits {
     fn new() -> EndpointLimits {
         EndpointLimits {
-            prefill: ConcurrencyLimit::at_most(Resource::Prefill.max_endpoint_limit()),
-            streams: ConcurrencyLimit::at_most(Resource::Streams.max_endpoint_limit()),
+            prefill: ConcurrencyLimit::starting_at(Resource::Prefill.max_endpoint_limit()),
+            streams: ConcurrencyLimit::starting_at(Resource::Streams.max_endpoint_limit()),
         }
     }
 }
@@ -71,7 +71,7 @@
 pub(crate) struct Endpoint {
     pub(crate) spec: EndpointSpec,
     /// Whether the endpoint is on the endpoint list and takes requests.
-    pub(crate) is_listed: bool,
+    pub(crate) is_active: bool,
     pub(crate) in_flight: InFlight,
     pub(crate) limits: EndpointLimits,
     pub(crate) load: Option<ReceivedLoad>,
@@ -81,7 +81,7 @@
     pub(crate) last_health_check: Micros,
     pub(crate) slot_refused_at: Micros,
     /// The latest send time among the attempts that the endpoint has responded to.
-    pub(crate) last_answered_send: Micros,
+    pub(crate) latest_responded_send: Micros,
     /// The time at which the oldest health check that waits for a response was sent; `Micros::MAX`
     /// if none waits. A successful health check or a response to an attempt clears it.
     pub(crate) unresponsive_since: Micros,
@@ -91,7 +91,7 @@
     fn new(spec: EndpointSpec) -> Endpoint {
         Endpoint {
             spec,
-            is_listed: false,
+            is_active: false,
             in_flight: InFlight::default(),
             limits: EndpointLimits::new(),
             load: None,
@@ -100,14 +100,14 @@
             send_turns: SendTurns::default(),
             last_health_check: LONG_AGO,
             slot_refused_at: LONG_AGO,
-            last_answered_send: Micros::MIN,
+            latest_responded_send: Micros::MIN,
             unresponsive_since: Micros::MAX,
         }
     }
 
     /// Records that the endpoint has responded to an attempt that was sent at `sent_at`.
     pub(crate) fn mark_responsive(&mut self, sent_at: Micros) {
-        self.last_answered_send = self.last_answered_send.max(sent_at);
+        self.latest_responded_send = self.latest_responded_send.max(sent_at);
         self.unresponsive_since = Micros::MAX;
     }
 
@@ -155,7 +155,7 @@
 
     fn mark_all_removed(&mut self) {
         for endpoint in self.entries.values_mut() {
-            endpoint.is_listed = false;
+            endpoint.is_active = false;
             endpoint.spec.state = EndpointState::Removed;
         }
     }
@@ -180,7 +180,7 @@
                 .entry(spec.id)
                 .or_insert_with(|| Endpoint::new(spec));
             endpoint.spec = spec;
-            endpoint.is_listed = spec.state == EndpointState::Active;
+            endpoint.is_active = spec.state == EndpointState::Active;
             if known_start != Some(spec.started_at) {
                 endpoint.reset_after_start(now, uniform(rng.next_u64()));
             }
@@ -238,13 +238,13 @@
         self.parameters.role(endpoint.spec.kind)
     }
 
-    /// Stores the load report that came with a response, if any, for a listed endpoint.
+    /// Stores the load report that came with a response, if any, for an active endpoint.
     pub(crate) fn receive_load(&mut self, id: EndpointId, load: Option<LoadReport>) {
         let now = self.now;
         let (Some(endpoint), Some(report)) = (self.endpoints.get_mut(id), load) else {
             return;
         };
-        if endpoint.is_listed {
+        if endpoint.is_active {
             endpoint.load = Some(ReceivedLoad { at: now, report });
         }
     }
--- a/crates/routing-policy/src/kv_lease.rs
+++ b/crates/routing-policy/src/kv_lease.rs
@@ -18,7 +18,7 @@
 impl Policy {
     /// Whether KV state that has waited since `since` is due for release.
     pub(crate) fn is_lease_over(&self, since: Micros) -> bool {
-        self.now >= since + self.parameters.kv_lease
+        self.now >= since + self.parameters.kv_lease_duration
     }
 
     /// Releases the KV state of a request if its lease has ended.
@@ -46,7 +46,7 @@
             return;
         }
         request.holds_state = false;
-        request.reserved_slot = None;
+        request.planned_decode_endpoint = None;
         if matches!(request.state, RequestState::Prefilled(_)) {
             request.state = RequestState::Queued;
         }
--- a/crates/routing-policy/src/requests.rs
+++ b/crates/routing-policy/src/requests.rs
@@ -115,7 +115,7 @@
     pub(crate) first_sent_at: Option<Micros>,
     pub(crate) attempts: u32,
     /// The decode endpoint at which a slot is reserved, or that of the lane if none is.
-    pub(crate) reserved_slot: Option<EndpointId>,
+    pub(crate) planned_decode_endpoint: Option<EndpointId>,
     pub(crate) slot_reservations: u32,
     pub(crate) health_checks: u32,
     /// Whether endpoints may hold KV state or a slot for the request.
@@ -135,7 +135,7 @@
             is_closed: false,
             first_sent_at: None,
             attempts: 0,
-            reserved_slot: None,
+            planned_decode_endpoint: None,
             slot_reservations: 0,
             health_checks: 0,
             holds_state: false,
@@ -187,7 +187,7 @@
         request.holds_state = false;
         let class = request.spec.class;
         let since_first_send = now - request.first_sent_at.unwrap_or(now);
-        self.traffic.stream_started(since_first_send);
+        self.traffic_estimates.stream_started(since_first_send);
         if attempt.role == Role::Mixed {
             self.subtract_prefill_weight(endpoint, attempt.prefill_weight);
         }
@@ -278,9 +278,9 @@
         let endpoint = self.endpoints.get(attempt.endpoint);
         let role = endpoint.map_or(attempt.role, |endpoint| self.role_of(endpoint));
         let is_warm = endpoint.is_some_and(|endpoint| self.warm_fraction(endpoint) >= 1.0);
-        self.work.record(role, spec.class, work);
+        self.work_estimates.record(role, spec.class, work);
         if is_warm {
-            let mean = self.work.of_class(role, spec.class, work);
+            let mean = self.work_estimates.of_class(role, spec.class, work);
             self.completed_work.record(role, mean, self.now);
         }
     }
@@ -295,7 +295,7 @@
         let lease_end = request
             .state
             .lease()
-            .map(|lease| lease.since + self.parameters.kv_lease)
+            .map(|lease| lease.since + self.parameters.kv_lease_duration)
             .filter(|end| self.now < *end);
         if lease_end.is_none() {
             self.release_state(id);
