--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# What people do with this repository. `make test` is what CI runs.
+# The commands for work on this repository. CI runs `make test`.
 .PHONY: build test lint run example-servers conform measure-front soak
 
 build:
@@ -13,23 +13,24 @@
 test: lint build
 	.ci/test
 
-# A router with the example configuration; `make example-servers` in another terminal gives it servers.
+# Runs a router with the example configuration. Its endpoints are started by `make example-servers` in another terminal.
 run: build
 	target/release/cranetack serve --config examples/config.json --inference deploy/inference.toml
 
 example-servers:
 	cargo run --release --locked -p cranetack-router --example example_servers
 
-# The conformance suite, against `make example-servers` and `make run`.
+# Runs the conformance suite. `make example-servers` and `make run` must be running.
 conform: build
 	target/release/cranetack conform --base http://127.0.0.1:8090
 
-# The inference API beside an earlier version, which is built once under target/.
+# Measures the inference API and an earlier version of it, which is built once under target/.
 measure-front: build
 	cargo build --release --locked -p cranetack-bench
 	target/release/measure-front --baseline "$$(crates/bench/baseline.sh 3d14c4c)"
 
-# Real routers on loopback, through overlapping faults drawn from seeds; the rules are the oracle. Bounded: two minutes.
+# Runs real routers on loopback under overlapping faults, which are drawn from seeds. The oracle checks the rules. Takes two
+# minutes at most.
 soak: build
 	cargo build --release --locked -p cranetack-soak -p cranetack-syscall-fault-shim
 	target/release/soak --seeds 4
--- a/crates/bench/baseline.sh
+++ b/crates/bench/baseline.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Builds an earlier version of the router, for measurements beside the present one. Usage: baseline.sh COMMIT
+# Builds an earlier version of the router, for comparison with the present one, and prints its folder. Usage: baseline.sh COMMIT
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 commit=$(git rev-parse --short=12 "$1")
