--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -135,13 +135,13 @@
             CoreEvent::EndpointsDraining(names) => self.endpoints_draining(&names),
             CoreEvent::ShutdownStarted {
                 migrate_from,
-                answer_by,
+                respond_by,
             } => {
                 let migrate_from = self.clock.time_of(migrate_from);
-                let answer_by = self.clock.time_of(answer_by);
+                let respond_by = self.clock.time_of(respond_by);
                 self.handle_policy_event(Event::ShutdownStarted {
                     migrate_from,
-                    answer_by,
+                    respond_by,
                 });
             }
             CoreEvent::EndpointReportsRequested(reply) => {
--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -229,7 +229,7 @@
         /// The time from which a client that sends a request again reaches another router.
         migrate_from: Instant,
         /// The time by which all requests must have their final response.
-        answer_by: Instant,
+        respond_by: Instant,
     },
     /// A request for the policy's view of all endpoints.
     EndpointReportsRequested(oneshot::Sender<Vec<EndpointReport>>),
--- a/crates/router/src/router/parts.rs
+++ b/crates/router/src/router/parts.rs
@@ -166,7 +166,7 @@
             let now = Instant::now();
             handle.send(CoreEvent::ShutdownStarted {
                 migrate_from: now + schedule.migrate_after,
-                answer_by: now + schedule.respond_within,
+                respond_by: now + schedule.respond_within,
             });
         });
     }
--- a/crates/routing-policy/src/events.rs
+++ b/crates/routing-policy/src/events.rs
@@ -220,7 +220,7 @@
         /// The time from which clients that connect again reach another router, if there is one.
         migrate_from: Micros,
         /// The time by which all requests must have their final response.
-        answer_by: Micros,
+        respond_by: Micros,
     },
     /// A gossip message from another router has arrived.
     GossipReceived {
--- a/crates/routing-policy/src/policy.rs
+++ b/crates/routing-policy/src/policy.rs
@@ -103,9 +103,9 @@
             Event::ClientDisconnected(id) => self.on_client_disconnected(id),
             Event::ShutdownStarted {
                 migrate_from,
-                answer_by,
+                respond_by,
             } => {
-                self.shutdown = Some(Shutdown::new(migrate_from, answer_by, ANNOUNCEMENT_COUNT));
+                self.shutdown = Some(Shutdown::new(migrate_from, respond_by, ANNOUNCEMENT_COUNT));
             }
             Event::TimerFired(key) => self.on_timer(key),
             Event::HealthChecked {
--- a/crates/routing-policy/src/shutdown.rs
+++ b/crates/routing-policy/src/shutdown.rs
@@ -14,16 +14,16 @@
     /// The time from which clients that connect again reach another router.
     migrate_from: Micros,
     /// The time by which all requests must have their final response.
-    answer_by: Micros,
+    respond_by: Micros,
     /// The number of times that peers will still be notified.
     announcements_left: u32,
 }
 
 impl Shutdown {
-    pub(crate) fn new(migrate_from: Micros, answer_by: Micros, announcements: u32) -> Shutdown {
+    pub(crate) fn new(migrate_from: Micros, respond_by: Micros, announcements: u32) -> Shutdown {
         Shutdown {
             migrate_from,
-            answer_by,
+            respond_by,
             announcements_left: announcements,
         }
     }
@@ -32,7 +32,7 @@
 impl Policy {
     /// Advances a shutdown of this router at a tick. Announces the shutdown to peers, and from
     /// `migrate_from` on migrates some resumable streams, the newest first, unless all peers that
-    /// notify this router of their shutdown are shutting down too. From `answer_by` on, migrates
+    /// notify this router of their shutdown are shutting down too. From `respond_by` on, migrates
     /// all resumable streams and gives all requests without a stream their final response.
     pub(crate) fn continue_shutdown(&mut self) {
         let Some(shutdown) = self.shutdown.as_mut() else {
@@ -46,7 +46,7 @@
         if must_announce {
             self.announce_shutdown();
         }
-        let deadline_reached = self.now >= shutdown.answer_by;
+        let deadline_reached = self.now >= shutdown.respond_by;
         let peers_are_available = self.now >= shutdown.migrate_from && self.has_available_peer();
         let may_migrate =
             self.parameters.resumable_streams && (deadline_reached || peers_are_available);
--- a/crates/routing-policy/tests/decision_trace/course.rs
+++ b/crates/routing-policy/tests/decision_trace/course.rs
@@ -200,7 +200,7 @@
             Change::Shutdown { from, by } => {
                 self.deliver(Event::ShutdownStarted {
                     migrate_from: now + from,
-                    answer_by: now + by,
+                    respond_by: now + by,
                 });
             }
             Change::RecordStatuses => self.record_statuses(),
--- a/crates/routing-policy/tests/shutdown.rs
+++ b/crates/routing-policy/tests/shutdown.rs
@@ -10,7 +10,7 @@
 /// The time from the start of a shutdown until streams may be migrated.
 const MIGRATE_FROM: Micros = SECOND / 2;
 /// The time from the start of a shutdown until all requests must have their final response.
-const ANSWER_BY: Micros = 3 * SECOND;
+const RESPOND_BY: Micros = 3 * SECOND;
 
 /// Returns one of `router_count` routers, which has just begun its shutdown with `streams` running
 /// streams and one request whose prompt is being processed.
@@ -43,7 +43,7 @@
     );
     driver.deliver(Event::ShutdownStarted {
         migrate_from: driver.now + MIGRATE_FROM,
-        answer_by: driver.now + ANSWER_BY,
+        respond_by: driver.now + RESPOND_BY,
     });
     driver
 }
@@ -97,7 +97,7 @@
         from: 1,
         payload: vec![1],
     });
-    assert_eq!(migrated(&mut driver, ANSWER_BY - SECOND / 10), [0; 0]);
+    assert_eq!(migrated(&mut driver, RESPOND_BY - SECOND / 10), [0; 0]);
     assert_eq!(
         migrated(&mut driver, SECOND / 5).len(),
         3,
@@ -114,7 +114,7 @@
     });
     driver.deliver(Event::ShutdownStarted {
         migrate_from: driver.now + 6 * SECOND,
-        answer_by: driver.now + 9 * SECOND,
+        respond_by: driver.now + 9 * SECOND,
     });
     assert_eq!(migrated(&mut driver, 7 * SECOND).len(), 3);
 }
@@ -124,7 +124,7 @@
 #[test]
 fn requests_without_a_response_get_a_final_response_by_the_end() {
     let mut driver = driver(1, 0);
-    let before = driver.advance(ANSWER_BY - SECOND / 10);
+    let before = driver.advance(RESPOND_BY - SECOND / 10);
     assert!(before
         .iter()
         .all(|(_, a)| !matches!(a, Action::Reject { .. } | Action::CancelAttempt { .. })));
@@ -185,10 +185,10 @@
             );
             driver.deliver(Event::ShutdownStarted {
                 migrate_from: driver.now + MIGRATE_FROM,
-                answer_by: driver.now + ANSWER_BY,
+                respond_by: driver.now + RESPOND_BY,
             });
             let mut notified: Vec<u32> = Vec::new();
-            for (_, action) in driver.advance(ANSWER_BY) {
+            for (_, action) in driver.advance(RESPOND_BY) {
                 match action {
                     Action::Gossip { to: Some(to), .. } => notified.push(to),
                     Action::Gossip { to: None, .. } => panic!("gossip was sent to all routers"),
