--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -117,13 +117,13 @@
                 body,
             } => self.stream_started(attempt, media_type, body),
             CoreEvent::AttemptEnded { attempt, report } => self.attempt_ended(attempt, report),
-            CoreEvent::SlotReservationAnswered {
+            CoreEvent::SlotReservationCompleted {
                 prefill_attempt,
                 request_id,
                 endpoint,
                 reservation,
             } => {
-                self.slot_reservation_answered(prefill_attempt, request_id, endpoint, reservation);
+                self.slot_reservation_completed(prefill_attempt, request_id, endpoint, reservation);
             }
             CoreEvent::HealthChecked {
                 endpoint,
--- a/crates/router/src/core/dispatch.rs
+++ b/crates/router/src/core/dispatch.rs
@@ -215,7 +215,7 @@
     /// - The outcome is unknown while the prefill is in flight. The decode endpoint saw no attempt
     ///   in flight, so the prefill may have been written to an unresponsive connection, and the
     ///   slot would stay reserved without being used.
-    pub(super) fn slot_reservation_answered(
+    pub(super) fn slot_reservation_completed(
         &mut self,
         prefill_attempt: AttemptId,
         request_id: Rc<str>,
@@ -244,7 +244,7 @@
             let endpoints = self.endpoints_for_release();
             self.outbound.release_state(id, request_id, endpoints);
         } else if needs_slot && reservation != SlotReservation::Unknown && has_attempt {
-            self.handle_policy_event(Event::SlotReservationAnswered {
+            self.handle_policy_event(Event::SlotReservationCompleted {
                 id,
                 endpoint,
                 granted: reservation == SlotReservation::Granted,
--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -191,7 +191,7 @@
     },
     /// A slot reservation has ended: the decode endpoint responded, or it did not respond but may
     /// have received the reservation.
-    SlotReservationAnswered {
+    SlotReservationCompleted {
         /// The prefill attempt during which the slot was requested.
         prefill_attempt: AttemptId,
         /// The request's id on the wire.
--- a/crates/router/src/upstream/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -181,7 +181,7 @@
                 .request_reservation(prefill_written, &request_id, &decode)
                 .await;
             if let Some(reservation) = reservation {
-                shared.handle.send(CoreEvent::SlotReservationAnswered {
+                shared.handle.send(CoreEvent::SlotReservationCompleted {
                     prefill_attempt,
                     request_id,
                     endpoint: decode.id,
--- a/crates/router/tests/core/harness.rs
+++ b/crates/router/tests/core/harness.rs
@@ -178,7 +178,7 @@
 
     pub(crate) fn end_reservation(&mut self, reservation: SlotReservation) {
         let endpoint = Endpoint::new("decode", "127.0.0.1:1".parse().unwrap()).id;
-        self.core.handle(CoreEvent::SlotReservationAnswered {
+        self.core.handle(CoreEvent::SlotReservationCompleted {
             prefill_attempt: attempt_id(0),
             request_id: "q".into(),
             endpoint,
--- a/crates/routing-policy/src/dispatch.rs
+++ b/crates/routing-policy/src/dispatch.rs
@@ -194,7 +194,7 @@
 
     /// Records a decode endpoint that has refused a slot as full, and asks another one for a slot
     /// if the prompt is still being processed.
-    pub(crate) fn on_slot_reservation_answered(&mut self, id: RequestId, granted: bool) {
+    pub(crate) fn on_slot_reservation_completed(&mut self, id: RequestId, granted: bool) {
         if granted {
             return;
         }
--- a/crates/routing-policy/src/events.rs
+++ b/crates/routing-policy/src/events.rs
@@ -192,7 +192,7 @@
         load: Option<LoadReport>,
     },
     /// An endpoint has responded to a slot reservation.
-    SlotReservationAnswered {
+    SlotReservationCompleted {
         /// The request that the slot is for.
         id: RequestId,
         /// The endpoint of the prefill attempt during which the slot was requested.
--- a/crates/routing-policy/src/policy.rs
+++ b/crates/routing-policy/src/policy.rs
@@ -96,8 +96,8 @@
                 self.receive_load(endpoint, load);
                 self.on_attempt_ended(id, attempt, outcome, client_done);
             }
-            Event::SlotReservationAnswered { id, granted, .. } => {
-                self.on_slot_reservation_answered(id, granted);
+            Event::SlotReservationCompleted { id, granted, .. } => {
+                self.on_slot_reservation_completed(id, granted);
             }
             Event::GossipReceived { from, payload } => self.on_gossip(from, &payload),
             Event::ClientDisconnected(id) => self.on_client_disconnected(id),
--- a/crates/routing-policy/tests/attempts.rs
+++ b/crates/routing-policy/tests/attempts.rs
@@ -243,7 +243,7 @@
         payload: vec![0xff; 300],
     });
     driver.deliver(Event::TimerFired(TimerKey::Request(RequestId(u32::MAX))));
-    driver.deliver(Event::SlotReservationAnswered {
+    driver.deliver(Event::SlotReservationCompleted {
         id: RequestId(4),
         endpoint: EndpointId(77),
         granted: false,
--- a/crates/routing-policy/tests/decision_trace/course.rs
+++ b/crates/routing-policy/tests/decision_trace/course.rs
@@ -288,7 +288,7 @@
                 let after = self.random_millis(2, 12);
                 self.schedule(
                     after,
-                    Event::SlotReservationAnswered {
+                    Event::SlotReservationCompleted {
                         id,
                         endpoint,
                         granted: is_granted,
--- a/crates/routing-policy/tests/lane_choice.rs
+++ b/crates/routing-policy/tests/lane_choice.rs
@@ -68,7 +68,7 @@
         })
     };
     let first = reserved_at(&driver.arrive(request_spec(1, START))).expect("a slot is reserved");
-    let not_granted = Event::SlotReservationAnswered {
+    let not_granted = Event::SlotReservationCompleted {
         id: RequestId(1),
         endpoint: EndpointId(PREFILL),
         granted: false,
--- a/crates/routing-policy/tests/rules/model.rs
+++ b/crates/routing-policy/tests/rules/model.rs
@@ -378,7 +378,7 @@
     }
 
     pub(crate) fn respond_to_reservation(&self, id: u32, granted: bool) -> Event {
-        Event::SlotReservationAnswered {
+        Event::SlotReservationCompleted {
             id: RequestId(id),
             endpoint: EndpointId(self.in_flight[&id].endpoint),
             granted,
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -141,7 +141,7 @@
     }
 
     fn decode_slot_reservation(&mut self, fields: &Fields) -> Result<Event, WireError> {
-        Ok(Event::SlotReservationAnswered {
+        Ok(Event::SlotReservationCompleted {
             id: self.decode_request_id(fields, 0)?,
             granted: match fields.int(1)? {
                 1 => true,
