--- a/crates/router/src/shutdown.rs
+++ b/crates/router/src/shutdown.rs
@@ -10,7 +10,7 @@
 
 /// Time for which connections are accepted after the signal. Whoever directs clients to this router
 /// needs that time to notice the shutdown.
-pub const ACCEPT_SPAN: Duration = Duration::from_millis(700);
+pub const ACCEPT_WINDOW: Duration = Duration::from_millis(700);
 /// Longest time to the beginning of a response that the schedule allows for. Whoever ends the
 /// program does not wait for a response that may take longer to begin.
 const MAX_RESPONSE_WAIT: Duration = Duration::from_millis(3_000);
@@ -45,11 +45,12 @@
 impl ShutdownSchedule {
     /// Creates a schedule for clients that wait for at most `longest_deadline`.
     pub fn for_longest_deadline(longest_deadline: Duration) -> ShutdownSchedule {
-        let respond_within = longest_deadline.min(MAX_RESPONSE_WAIT) + ACCEPT_SPAN - SAFETY_MARGIN;
+        let respond_within =
+            longest_deadline.min(MAX_RESPONSE_WAIT) + ACCEPT_WINDOW - SAFETY_MARGIN;
         ShutdownSchedule {
             migrate_after: respond_within
                 .saturating_sub(MIGRATION_DURATION)
-                .max(ACCEPT_SPAN),
+                .max(ACCEPT_WINDOW),
             respond_within,
         }
     }
@@ -66,7 +67,7 @@
         signal.await;
         tracing::info!("shutdown started, finishing accepted requests");
         sender.send_replace(Phase::Draining);
-        tokio::time::sleep(ACCEPT_SPAN).await;
+        tokio::time::sleep(ACCEPT_WINDOW).await;
         sender.send_replace(Phase::Finishing);
         // The sender is kept until the last receiver is dropped, so that the phase stays
         // observable.
--- a/crates/router/tests/races.rs
+++ b/crates/router/tests/races.rs
@@ -222,7 +222,7 @@
             (String::new(), ConnectionEnd::Closed)
         );
         assert!(
-            stopped.elapsed() < shutdown::ACCEPT_SPAN + Duration::from_millis(100),
+            stopped.elapsed() < shutdown::ACCEPT_WINDOW + Duration::from_millis(100),
             "{:?}",
             stopped.elapsed()
         );
@@ -247,7 +247,7 @@
             clients.push(client);
         }
         router.stop.take().unwrap().send(()).unwrap();
-        let closing = Instant::now() + shutdown::ACCEPT_SPAN;
+        let closing = Instant::now() + shutdown::ACCEPT_WINDOW;
         let calls = clients.into_iter().enumerate().map(|(number, mut client)| {
             spawn_local(async move {
                 let offset = Duration::from_micros(500 * number as u64);
@@ -338,7 +338,7 @@
         router.stop.take().unwrap().send(()).unwrap();
         // The prefill succeeds and the decode fails once the router accepts no connections any
         // more, so that the last response is sent at once.
-        tokio::time::sleep(shutdown::ACCEPT_SPAN + Duration::from_millis(100)).await;
+        tokio::time::sleep(shutdown::ACCEPT_WINDOW + Duration::from_millis(100)).await;
         prefill.send(PREFILL_RESPONSE).await;
         let (decode, _) = decode_server.accept_request().await;
         // Gives the router time to make the idle connection to the prefill server available again.
