--- a/crates/router/src/router/parts.rs
+++ b/crates/router/src/router/parts.rs
@@ -103,7 +103,7 @@
         upstream::Options {
             connection_limit: self.connection_limit(),
             connect_timeout: allowed.connect_timeout().unwrap_or(DEFAULT_CONNECT_TIMEOUT),
-            server_idle_timeout: allowed
+            endpoint_idle_timeout: allowed
                 .idle_close()
                 .unwrap_or(DEFAULT_ENDPOINT_IDLE_TIMEOUT),
             stream_idle_timeout: if self.config.settings.resumable_streams {
--- a/crates/router/src/upstream/calls/tests.rs
+++ b/crates/router/src/upstream/calls/tests.rs
@@ -13,14 +13,14 @@
     let options = Options {
         connection_limit: 32,
         connect_timeout: 250 * MS,
-        server_idle_timeout: 15_000 * MS,
+        endpoint_idle_timeout: 15_000 * MS,
         stream_idle_timeout: 4_000 * MS,
         report: Report::default(),
     };
     let pool = ConnectionPool::new(
         options.connection_limit,
         options.connect_timeout,
-        options.server_idle_timeout,
+        options.endpoint_idle_timeout,
     );
     Rc::new(Shared {
         handle: Handle::new().0,
--- a/crates/router/src/upstream/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -41,7 +41,7 @@
     /// Timeout for establishing a connection.
     pub connect_timeout: Duration,
     /// Idle time after which endpoints close a connection.
-    pub server_idle_timeout: Duration,
+    pub endpoint_idle_timeout: Duration,
     /// Maximum time without data from a stream before it counts as broken.
     pub stream_idle_timeout: Duration,
     /// Names of the values in load reports.
@@ -89,7 +89,7 @@
         let pool = ConnectionPool::new(
             options.connection_limit,
             options.connect_timeout,
-            options.server_idle_timeout,
+            options.endpoint_idle_timeout,
         );
         let shared = Rc::new(Shared {
             handle,
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -44,14 +44,14 @@
     pub(crate) fn new(
         limit: usize,
         connect_timeout: Duration,
-        server_idle_timeout: Duration,
+        endpoint_idle_timeout: Duration,
     ) -> ConnectionPool {
         ConnectionPool {
             idle: RefCell::default(),
             next_number: Cell::default(),
             permits: Arc::new(Semaphore::new(limit)),
             connect_timeout,
-            idle_timeout: server_idle_timeout / 2,
+            idle_timeout: endpoint_idle_timeout / 2,
         }
     }
 
--- a/crates/router/src/upstream/tests.rs
+++ b/crates/router/src/upstream/tests.rs
@@ -23,7 +23,7 @@
         let options = Options {
             connection_limit: 1,
             connect_timeout: Duration::from_millis(250),
-            server_idle_timeout: LONG,
+            endpoint_idle_timeout: LONG,
             stream_idle_timeout: LONG,
             report: Report::default(),
         };
