--- a/crates/router/src/router/parts.rs
+++ b/crates/router/src/router/parts.rs
@@ -111,7 +111,7 @@
             } else {
                 STREAM_IDLE_TIMEOUT
             },
-            report: self.config.site.report.clone(),
+            load_report_columns: self.config.site.report.clone(),
         }
     }
 
--- a/crates/router/src/upstream/attempt.rs
+++ b/crates/router/src/upstream/attempt.rs
@@ -127,7 +127,7 @@
                 if let Some(connection) = held_connection.take() {
                     self.shared.pool.release(connection).await;
                 }
-                tail.report(&options.report)
+                tail.report(&options.load_report_columns)
                     .with_reason(EndReason::StreamCompleted)
             }
             Err(outcome) => AttemptReport::from(outcome).with_reason(EndReason::StreamBroken),
--- a/crates/router/src/upstream/attempt/start.rs
+++ b/crates/router/src/upstream/attempt/start.rs
@@ -228,7 +228,7 @@
             cached_tokens: response::cached_tokens(&body),
         }),
         cached_tokens: 0,
-        load: load_report::from_headers(&head.headers, &shared.options.report),
+        load: load_report::from_headers(&head.headers, &shared.options.load_report_columns),
         wire,
     })
 }
--- a/crates/router/src/upstream/calls.rs
+++ b/crates/router/src/upstream/calls.rs
@@ -108,7 +108,7 @@
         match self.call(connection, request, deadline).await {
             Ok((StatusCode::OK, body)) => {
                 let text = String::from_utf8_lossy(&body);
-                Ok(load_report::parse(&text, &self.options.report))
+                Ok(load_report::parse(&text, &self.options.load_report_columns))
             }
             Ok(_) => Err(Outcome::Rejected(RejectReason::Overloaded)),
             Err(CallError::NoResponse) => Err(Outcome::TimedOut),
--- a/crates/router/src/upstream/calls/tests.rs
+++ b/crates/router/src/upstream/calls/tests.rs
@@ -15,7 +15,7 @@
         connect_timeout: 250 * MS,
         endpoint_idle_timeout: 15_000 * MS,
         stream_idle_timeout: 4_000 * MS,
-        report: Report::default(),
+        load_report_columns: Report::default(),
     };
     let pool = ConnectionPool::new(
         options.connection_limit,
--- a/crates/router/src/upstream/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -45,7 +45,7 @@
     /// Maximum time without data from a stream before it counts as broken.
     pub stream_idle_timeout: Duration,
     /// Names of the values in load reports.
-    pub report: Report,
+    pub load_report_columns: Report,
 }
 
 /// Carries out the core's calls to endpoints, and sends its gossip to other routers.
