--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 use super::endpoint::{Endpoint, EndpointListUpdate};
-use crate::exchange::{BodyStream, Message, Responder};
+use crate::exchange::{BodyStream, ForwardedRequest, Responder};
 
 /// A request as a frontend has decoded it.
 #[derive(Debug, Clone)]
@@ -42,7 +42,7 @@
     /// The kinds of endpoint that may serve the request, one bit per kind; absent for all kinds.
     pub allowed_kinds: Option<u64>,
     /// The request that is forwarded to endpoints.
-    pub message: Rc<Message>,
+    pub message: Rc<ForwardedRequest>,
 }
 
 /// The outcome of a slot reservation at a decode endpoint.
@@ -268,7 +268,7 @@
     /// an idle one may break when it is used.
     pub non_idempotent: bool,
     /// The request that is forwarded to the endpoint.
-    pub message: Rc<Message>,
+    pub message: Rc<ForwardedRequest>,
 }
 
 /// The operations that other parts of the router carry out for the core. No method may block: each
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -20,7 +20,7 @@
 
 /// A request as it is forwarded to an endpoint.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Message {
+pub struct ForwardedRequest {
     /// The target of the request: its path and query.
     pub target: String,
     /// The media type of the body.
--- a/crates/router/src/frontend/inference/batches.rs
+++ b/crates/router/src/frontend/inference/batches.rs
@@ -194,7 +194,7 @@
                 retry_after: to_micros(MEMORY_RETRY_AFTER),
             }));
         };
-        let message = context.message(batch.form.endpoint_path(), body);
+        let message = context.forwarded_request(batch.form.endpoint_path(), body);
         let id = slice_request_id(context, dispatch);
         let incoming = context.incoming_request(id, *model, dispatch.tokens, message);
         // If the client disconnects, this future is dropped; the guard is dropped with it and
--- a/crates/router/src/frontend/inference/chat.rs
+++ b/crates/router/src/frontend/inference/chat.rs
@@ -73,7 +73,7 @@
     model: ServedModel<'_>,
     body: Bytes,
 ) -> IncomingRequest {
-    let mut message = context.message(CHAT_PATH, body);
+    let mut message = context.forwarded_request(CHAT_PATH, body);
     if let Some(key) = &context.idempotency_key {
         message.headers.insert(IDEMPOTENCY_KEY, key.clone());
     }
--- a/crates/router/src/frontend/inference/request.rs
+++ b/crates/router/src/frontend/inference/request.rs
@@ -14,7 +14,7 @@
 
 use super::error::RequestError;
 use crate::core::IncomingRequest;
-use crate::exchange::Message;
+use crate::exchange::ForwardedRequest;
 use crate::frontend::request_id::is_valid_request_id;
 
 const REQUEST_ID_HEADER: &str = "X-Request-Id";
@@ -132,9 +132,9 @@
         format!("{}/{name}", self.tenant.as_deref().unwrap_or(""))
     }
 
-    /// Builds the message that endpoints are sent at `path`.
-    pub(super) fn message(&self, path: &str, body: Bytes) -> Message {
-        Message {
+    /// Builds the request that is forwarded to endpoints at `path`.
+    pub(super) fn forwarded_request(&self, path: &str, body: Bytes) -> ForwardedRequest {
+        ForwardedRequest {
             target: format!("{path}{}", self.query),
             media_type: "application/json".to_owned(),
             headers: HeaderMap::new(),
@@ -148,7 +148,7 @@
         request_id: Rc<str>,
         model: ServedModel<'_>,
         prompt_tokens: u64,
-        message: Message,
+        message: ForwardedRequest,
     ) -> IncomingRequest {
         let session = self.session.as_ref();
         IncomingRequest {
--- a/crates/router/src/frontend/platform.rs
+++ b/crates/router/src/frontend/platform.rs
@@ -19,7 +19,7 @@
 use super::response::{set_retry_after, streaming_response};
 use super::{BodyError, Frontend, Readiness, RequestBody, ResponseBody};
 use crate::core::{Handle, IncomingRequest};
-use crate::exchange::{FinalResponse, Message};
+use crate::exchange::{FinalResponse, ForwardedRequest};
 
 const CHAT_PATH: &str = "/v1/chat/completions";
 const READINESS_PATH: &str = "/up";
@@ -197,7 +197,7 @@
         None => None,
     };
     let retry = optional_header(headers, RETRY)?;
-    let message = endpoint_message(head, body)?;
+    let message = forwarded_request(head, body)?;
     let session = optional_header(headers, SESSION)?;
     let extras = Extras::decode(optional_header(headers, EXTRAS)?.unwrap_or(""))?;
     Ok(IncomingRequest {
@@ -225,14 +225,14 @@
     }
 }
 
-/// Builds the message that is sent to an endpoint for a request.
-fn endpoint_message(head: &RequestHead, body: Bytes) -> Result<Message, RequestError> {
+/// Builds the request that is forwarded to an endpoint.
+fn forwarded_request(head: &RequestHead, body: Bytes) -> Result<ForwardedRequest, RequestError> {
     let target = match head.uri.path_and_query() {
         Some(target) => target.as_str(),
         None => CHAT_PATH,
     };
     let media_type = optional_header(&head.headers, "content-type")?.unwrap_or("application/json");
-    Ok(Message {
+    Ok(ForwardedRequest {
         target: target.to_owned(),
         media_type: media_type.to_owned(),
         headers: end_to_end_headers(&head.headers),
--- a/crates/router/tests/core.rs
+++ b/crates/router/tests/core.rs
@@ -11,7 +11,7 @@
 use cranetack_router::core::{
     CoreEvent, Endpoint, EndpointEntry, EndpointListUpdate, IncomingRequest, SlotReservation,
 };
-use cranetack_router::exchange::{self, FinalResponse, Message};
+use cranetack_router::exchange::{self, FinalResponse, ForwardedRequest};
 use cranetack_routing_policy::{ConnectFailure, EndpointState, Idempotency, Outcome, ResetCause};
 use tokio::time::Instant;
 
@@ -354,9 +354,9 @@
 #[tokio::test(start_paused = true)]
 async fn a_request_body_is_dropped_once_its_response_has_begun() {
     let mut harness = CoreHarness::new(Idempotency::Idempotent);
-    let message = Rc::new(Message {
+    let message = Rc::new(ForwardedRequest {
         target: "/x".to_owned(),
-        ..Message::default()
+        ..ForwardedRequest::default()
     });
     let _response = harness.handle.submit(IncomingRequest {
         message: message.clone(),
