--- a/crates/router/src/framing.rs
+++ b/crates/router/src/framing.rs
@@ -163,13 +163,13 @@
     }
 
     /// Returns whether no part of a message has arrived since the previous message ended.
-    pub(crate) fn is_between(&self) -> bool {
+    pub(crate) fn is_between_messages(&self) -> bool {
         self.position == Position::Head && self.head.status.is_none() && self.line.is_empty()
     }
 
     /// Returns whether a part of a head, but not all of it, has arrived.
     pub(crate) fn is_in_head(&self) -> bool {
-        self.position == Position::Head && !self.is_between()
+        self.position == Position::Head && !self.is_between_messages()
     }
 
     /// Returns whether a part of a response's chunk, or of the line with its size, has arrived, but
@@ -184,13 +184,13 @@
 
     /// Returns whether a message has arrived whose end is ambiguous: it has both a content length
     /// and a transfer encoding.
-    pub(crate) fn is_ambiguous(&self) -> bool {
+    pub(crate) fn has_ambiguous_length(&self) -> bool {
         self.ambiguous
     }
 
     /// Returns whether the current message ends when the connection is closed, or its end is not
     /// tracked.
-    pub(crate) fn is_last(&self) -> bool {
+    pub(crate) fn is_last_message(&self) -> bool {
         self.position == Position::LastMessage
     }
 
--- a/crates/router/src/framing/tests.rs
+++ b/crates/router/src/framing/tests.rs
@@ -32,7 +32,7 @@
 #[test]
 fn content_length_beside_transfer_encoding_is_ambiguous_and_a_body_is_not_a_head() {
     const BOTH: &str = "content-length: 3\r\ntransfer-encoding: chunked\r\n\r\n";
-    for (text, is_between, is_last, is_ambiguous) in [
+    for (text, is_between_messages, is_last_message, has_ambiguous_length) in [
         (format!("POST /x HTTP/1.1\r\n{BOTH}"), false, true, true),
         (
             "POST /x HTTP/1.1\nTRANSFER-Encoding:chunked\nContent-LENGTH:3\n\n".into(),
@@ -75,10 +75,16 @@
         ),
         ("GET /x HT".into(), false, false, false),
     ] {
-        let observe = |f: &Framing| (f.is_between(), f.is_last(), f.is_ambiguous());
+        let observe = |f: &Framing| {
+            (
+                f.is_between_messages(),
+                f.is_last_message(),
+                f.has_ambiguous_length(),
+            )
+        };
         assert_eq!(
             observe_at_end(Framing::of_requests, &text, observe),
-            (is_between, is_last, is_ambiguous),
+            (is_between_messages, is_last_message, has_ambiguous_length),
             "{text:?}"
         );
     }
@@ -90,7 +96,7 @@
     let early_hints = "HTTP/1.1 103 Early Hints\r\nlink: </x>\r\n\r\n";
     let observe = |f: &Framing| {
         (
-            f.is_between(),
+            f.is_between_messages(),
             f.is_in_head(),
             f.is_in_chunk(),
             f.is_invalid(),
--- a/crates/router/src/frontend/client_stream.rs
+++ b/crates/router/src/frontend/client_stream.rs
@@ -120,7 +120,8 @@
         let read = self.poll_next_bytes(cx, buf);
         let mut framing = self.state.framing.borrow_mut();
         framing.push(&buf.filled()[before..]);
-        if matches!(self.state.activity.get(), Activity::Idle(_)) && !framing.is_between() {
+        if matches!(self.state.activity.get(), Activity::Idle(_)) && !framing.is_between_messages()
+        {
             self.state.activity.set(Activity::Receiving(Instant::now()));
         }
         read
--- a/crates/router/src/frontend/connections.rs
+++ b/crates/router/src/frontend/connections.rs
@@ -155,8 +155,8 @@
 
     /// Returns whether bytes of a new request have arrived and none of them has been read yet.
     pub(crate) fn has_unread_request(&self, stream: &RefCell<Socket>) -> bool {
-        let between_requests =
-            self.state.framing.borrow().is_between() && self.state.read_ahead.borrow().is_empty();
+        let between_requests = self.state.framing.borrow().is_between_messages()
+            && self.state.read_ahead.borrow().is_empty();
         let is_write_blocked = self.state.blocked_since.get().is_some();
         between_requests && !is_write_blocked && stream.borrow().has_received()
     }
@@ -193,12 +193,12 @@
     /// Returns whether the connection has received a request with an ambiguous end, with both
     /// `Content-Length` and `Transfer-Encoding`.
     pub(crate) fn has_ambiguous_length(&self) -> bool {
-        self.0.framing.borrow().is_ambiguous()
+        self.0.framing.borrow().has_ambiguous_length()
     }
 
     /// Returns whether the connection must be closed after the current request.
     pub(crate) fn is_last_request(&self) -> bool {
-        self.0.framing.borrow().is_last() || self.0.discarded.get() > 0
+        self.0.framing.borrow().is_last_message() || self.0.discarded.get() > 0
     }
 }
 
@@ -218,7 +218,7 @@
 impl Drop for RequestGuard {
     fn drop(&mut self) {
         let now = Instant::now();
-        let between_requests = self.state.framing.borrow().is_between();
+        let between_requests = self.state.framing.borrow().is_between_messages();
         let activity = if between_requests {
             Activity::Idle(now)
         } else {
--- a/crates/router/src/upstream/progress.rs
+++ b/crates/router/src/upstream/progress.rs
@@ -110,7 +110,7 @@
         counts.read += bytes.len() as u64;
         self.bytes.set(counts);
         let mut responses = self.responses.borrow_mut();
-        let is_unsolicited = responses.is_between() && self.nothing_written();
+        let is_unsolicited = responses.is_between_messages() && self.nothing_written();
         responses.push(bytes);
         self.partial_since.set(match self.partial_since.get() {
             since @ Some(_) if responses.is_in_head() => since,
@@ -143,7 +143,7 @@
 
     /// Whether the bytes read so far end between two responses, not within one.
     pub(crate) fn is_between_responses(&self) -> bool {
-        self.responses.borrow().is_between()
+        self.responses.borrow().is_between_messages()
     }
 
     /// Whether the last byte of the request has been written.
