--- a/crates/router/src/closing.rs
+++ b/crates/router/src/closing.rs
@@ -16,7 +16,7 @@
 
 /// Shuts down the sending side of a connection and discards the data that still arrives, until the
 /// other side closes the connection or reading fails.
-pub(crate) async fn shut_down_and_drain(stream: &RefCell<Socket>) {
+pub(crate) async fn shut_down_and_discard(stream: &RefCell<Socket>) {
     // This fails if the other side has reset the connection. Then there is nothing to read either.
     let _ = poll_fn(|cx| Pin::new(&mut *stream.borrow_mut()).poll_shutdown(cx)).await;
     loop {
--- a/crates/router/src/frontend/connections.rs
+++ b/crates/router/src/frontend/connections.rs
@@ -16,7 +16,7 @@
 
 use super::client_stream::{ReadAhead, TrackedStream};
 use super::connection_state::{Activity, ClientLimits, ConnectionState};
-use crate::closing::{discard_received, shut_down_and_drain};
+use crate::closing::{discard_received, shut_down_and_discard};
 use crate::socket::Socket;
 
 /// Interval between two evictions while a new connection waits for a permit.
@@ -141,7 +141,7 @@
         }
         tokio::select! {
             biased;
-            _ = timeout(LINGER_TIMEOUT, shut_down_and_drain(&stream)) => {}
+            _ = timeout(LINGER_TIMEOUT, shut_down_and_discard(&stream)) => {}
             () = self.close_requested() => {}
         }
     }
--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -23,7 +23,7 @@
 
 use super::observed_stream::ObservedStream;
 use super::progress::WireProgress;
-use crate::closing::shut_down_and_drain;
+use crate::closing::shut_down_and_discard;
 use crate::core::{EndReason, Endpoint, UsedConnection, WireTrace, Written};
 use crate::socket::Socket;
 
@@ -196,7 +196,7 @@
     pub(crate) async fn abandon(mut self) {
         self.stop_driver().await;
         if !self.progress.nothing_written() {
-            let _ = timeout(CLOSE_TIMEOUT, shut_down_and_drain(&self.stream)).await;
+            let _ = timeout(CLOSE_TIMEOUT, shut_down_and_discard(&self.stream)).await;
         }
     }
 
