--- a/crates/router/src/frontend/connection_state.rs
+++ b/crates/router/src/frontend/connection_state.rs
@@ -43,7 +43,7 @@
     /// Maximum time for which a client may leave response data unread.
     pub unread_timeout: Duration,
     /// Maximum size of a request body, in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
 }
 
 impl Default for ClientLimits {
@@ -51,7 +51,7 @@
         ClientLimits {
             request_timeout: REQUEST_TIMEOUT,
             unread_timeout: UNREAD_TIMEOUT,
-            body_bytes: REQUEST_BODY_LIMIT,
+            max_body_bytes: REQUEST_BODY_LIMIT,
         }
     }
 }
@@ -122,7 +122,7 @@
     /// then buffers at most the size of a request, and all connections together at most their
     /// limit; otherwise, nothing is reserved.
     pub(super) fn reserve_read_ahead(&self, length: usize) -> bool {
-        let connection_limit = self.limits.body_bytes + 2 * READ_BUFFER_LIMIT;
+        let connection_limit = self.limits.max_body_bytes + 2 * READ_BUFFER_LIMIT;
         let connection_bytes = self.read_ahead.borrow().len() + length;
         let total_bytes = self.read_ahead_total.get() + length;
         let fits = connection_bytes <= connection_limit && total_bytes <= READ_AHEAD_TOTAL_LIMIT;
--- a/crates/router/src/frontend/inference/service.rs
+++ b/crates/router/src/frontend/inference/service.rs
@@ -133,7 +133,7 @@
         ClientLimits {
             request_timeout: limits.request_timeout(),
             unread_timeout: limits.unread_timeout(),
-            body_bytes: limits.body_bytes,
+            max_body_bytes: limits.body_bytes,
         }
     }
 
