--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -33,7 +33,7 @@
 
 use crate::config::Config;
 
-pub use router::{Extras, Router, StartError};
+pub use router::{Router, RouterOptions, StartError};
 
 /// Builds a runtime on which a router can run.
 pub fn runtime() -> Result<Runtime, StartError> {
@@ -44,15 +44,15 @@
 }
 
 /// Runs a router on this thread until `signal` completes and all accepted requests have their final
-/// response. `extras` is called within the runtime and a `LocalSet`.
+/// response. `options` is called within the runtime and a `LocalSet`.
 pub fn run(
     runtime: &Runtime,
     config: Config,
-    extras: impl FnOnce() -> Extras,
+    options: impl FnOnce() -> RouterOptions,
     signal: impl Future<Output = ()> + 'static,
 ) -> Result<(), StartError> {
     LocalSet::new().block_on(runtime, async {
-        Router::bind(config, extras()).await?.serve(signal).await;
+        Router::bind(config, options()).await?.serve(signal).await;
         Ok(())
     })
 }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -8,7 +8,7 @@
 use cranetack_router::config::{self, load_toml, Config, ConfigError};
 use cranetack_router::frontend::inference;
 use cranetack_router::signals::Signals;
-use cranetack_router::{control, tenants, Extras};
+use cranetack_router::{control, tenants, RouterOptions};
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
@@ -145,7 +145,7 @@
     };
     let loaded = files.load()?;
     let initial_discovery_address = loaded.config.discovery;
-    let extras = || Extras {
+    let options = || RouterOptions {
         inference: loaded.inference,
         tenants: loaded.tenants.map(tenants::Tenants::start),
         control: loaded.control,
@@ -156,7 +156,7 @@
         )),
     };
     let termination = signals.termination.requested();
-    cranetack_router::run(&runtime, loaded.config, extras, termination)?;
+    cranetack_router::run(&runtime, loaded.config, options, termination)?;
     Ok(())
 }
 
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -48,7 +48,7 @@
 /// The services that an operator may enable in addition to the platform API, and the source of
 /// discovery's address. Each is off by default.
 #[derive(Default)]
-pub struct Extras {
+pub struct RouterOptions {
     /// The inference API.
     pub inference: Option<inference::Setup>,
     /// The tenants whose keys the inference API accepts. Without them it is open to anybody.
--- a/crates/router/src/router/bind.rs
+++ b/crates/router/src/router/bind.rs
@@ -8,7 +8,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use super::{Extras, Router, StartError};
+use super::{Router, RouterOptions, StartError};
 use crate::config::Config;
 use crate::gossip::GossipSocket;
 
@@ -18,17 +18,17 @@
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl Router {
-    /// Binds the addresses in the configuration, and those of the enabled services in `extras`.
-    pub async fn bind(config: Config, extras: Extras) -> Result<Router, StartError> {
+    /// Binds the addresses in the configuration, and those of the enabled services in `options`.
+    pub async fn bind(config: Config, options: RouterOptions) -> Result<Router, StartError> {
         let platform = bind_listener("listen", config.listen).await?;
-        let inference = match extras.inference {
+        let inference = match options.inference {
             Some(setup) => Some((
                 bind_listener("inference listen", setup.listen).await?,
                 setup,
             )),
             None => None,
         };
-        let control = match extras.control {
+        let control = match options.control {
             Some(setup) => Some((bind_listener("control listen", setup.listen).await?, setup)),
             None => None,
         };
@@ -39,14 +39,14 @@
             }
             None => None,
         };
-        let discovery_address = extras
+        let discovery_address = options
             .discovery
             .unwrap_or_else(|| watch::channel(config.discovery).1);
         Ok(Router {
             config,
             platform,
             inference,
-            tenants: extras.tenants,
+            tenants: options.tenants,
             control,
             discovery_address,
             gossip,
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -9,7 +9,7 @@
 
 use cranetack_router::config::{parse_toml, Config};
 use cranetack_router::tenants::Tenants;
-use cranetack_router::{control, Extras, Router};
+use cranetack_router::{control, Router, RouterOptions};
 use serde_json::{json, Value};
 use tokio::sync::{oneshot, watch};
 use tokio::task::spawn_local;
@@ -108,13 +108,13 @@
         };
         let (discovery_address, address_changes) = watch::channel(discovery.address);
         let inference = Some(parse_toml(&file).unwrap());
-        let extras = Extras {
+        let options = RouterOptions {
             inference,
             tenants,
             control: Some(control),
             discovery: Some(address_changes),
         };
-        let router = Router::bind(config, extras).await.unwrap();
+        let router = Router::bind(config, options).await.unwrap();
         let control = router.control_address().unwrap().unwrap();
         let platform = router.address().unwrap();
         let inference = router.inference_address().unwrap().unwrap();
--- a/crates/router/tests/discovery.rs
+++ b/crates/router/tests/discovery.rs
@@ -8,7 +8,7 @@
     config_file, endpoint_entry, run, settings, Behaviour, Client, FakeDiscovery, FakeServer,
 };
 use cranetack_router::config::Config;
-use cranetack_router::{Extras, Router};
+use cranetack_router::{Router, RouterOptions};
 use serde_json::{json, Value};
 use tokio::task::spawn_local;
 
@@ -28,7 +28,7 @@
         let server = FakeServer::start(4, Behaviour::Answer).await;
         let discovery = FakeDiscovery::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
         let known = json!({"index": 1, "snapshot": true, "endpoints": [endpoint_entry(&server, "mixed", "up")]});
-        let router = Router::bind(config(&discovery, 100, &known), Extras::default())
+        let router = Router::bind(config(&discovery, 100, &known), RouterOptions::default())
             .await
             .unwrap();
         let address = router.address().unwrap();
@@ -57,9 +57,12 @@
     run(async {
         let discovery = FakeDiscovery::start(vec![]).await;
         discovery.overloaded.set(true);
-        let router = Router::bind(config(&discovery, 100, &Value::Null), Extras::default())
-            .await
-            .unwrap();
+        let router = Router::bind(
+            config(&discovery, 100, &Value::Null),
+            RouterOptions::default(),
+        )
+        .await
+        .unwrap();
         spawn_local(router.serve(std::future::pending()));
         tokio::time::sleep(Duration::from_millis(400)).await;
         assert_eq!(discovery.queries.borrow().len(), 1);
--- a/crates/router/tests/readiness.rs
+++ b/crates/router/tests/readiness.rs
@@ -10,7 +10,7 @@
     ManualServer, RawClient, TestRouter,
 };
 use cranetack_router::config::Config;
-use cranetack_router::{Extras, Router};
+use cranetack_router::{Router, RouterOptions};
 use serde_json::{json, Value};
 use tokio::task::spawn_local;
 use tokio::time::Instant;
@@ -62,7 +62,9 @@
             let mut config = config_file(discovery.address, settings());
             config["known"] = restored_list;
             let config = Config::parse(config.to_string().as_bytes()).unwrap();
-            let router = Router::bind(config, Extras::default()).await.unwrap();
+            let router = Router::bind(config, RouterOptions::default())
+                .await
+                .unwrap();
             let address = router.address().unwrap();
             let started = Instant::now();
             spawn_local(router.serve(std::future::pending()));
