--- a/crates/inference-api/src/lib.rs
+++ b/crates/inference-api/src/lib.rs
@@ -24,7 +24,7 @@
 pub use error::{ApiError, ErrorKind};
 pub use events::{EventSplitter, InvalidEventStream};
 pub use merge::merge_results;
-pub use models::{ApiEndpoint, CatalogError, Model, ModelCatalog, PerEndpoint, ResolvedModel};
+pub use models::{ApiEndpoint, CatalogError, Model, ModelCatalog, PerApiEndpoint, ResolvedModel};
 pub use slice_result::{ResultError, SliceResult};
 
 /// Number of characters that are counted as one token in estimates.
--- a/crates/inference-api/src/models.rs
+++ b/crates/inference-api/src/models.rs
@@ -42,7 +42,7 @@
 
 /// A value for each endpoint of the API.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct PerEndpoint<T> {
+pub struct PerApiEndpoint<T> {
     /// Value for [`ApiEndpoint::Chat`].
     pub chat: T,
     /// Value for [`ApiEndpoint::Embeddings`].
@@ -51,7 +51,7 @@
     pub rerank: T,
 }
 
-impl<T> PerEndpoint<T> {
+impl<T> PerApiEndpoint<T> {
     /// Returns the value for an endpoint of the API.
     pub fn get(&self, endpoint: ApiEndpoint) -> &T {
         match endpoint {
@@ -71,7 +71,7 @@
     pub aliases: Vec<String>,
     /// Index of the class of the requests at each endpoint of the API, or `None` if the endpoint
     /// does not serve the model.
-    pub classes: PerEndpoint<Option<usize>>,
+    pub classes: PerApiEndpoint<Option<usize>>,
     /// Kinds of model servers that have the model, as a bit set. `None` stands for all kinds.
     pub kinds: Option<u64>,
 }
--- a/crates/inference-api/src/models/tests.rs
+++ b/crates/inference-api/src/models/tests.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-const CHAT_ONLY: PerEndpoint<Option<usize>> = PerEndpoint {
+const CHAT_ONLY: PerApiEndpoint<Option<usize>> = PerApiEndpoint {
     chat: Some(0),
     embeddings: None,
     rerank: None,
 };
 
-fn model(name: &str, aliases: &[&str], classes: PerEndpoint<Option<usize>>) -> Model {
+fn model(name: &str, aliases: &[&str], classes: PerApiEndpoint<Option<usize>>) -> Model {
     Model {
         name: name.into(),
         aliases: aliases.iter().map(|a| (*a).to_owned()).collect(),
@@ -24,7 +24,7 @@
         model(
             "parts-embed",
             &[],
-            PerEndpoint {
+            PerApiEndpoint {
                 chat: None,
                 embeddings: Some(1),
                 rerank: Some(2),
@@ -68,7 +68,7 @@
         (vec![model("a", &["a"], CHAT_ONLY)], "models[0].aliases"),
         (vec![model("", &[], CHAT_ONLY)], "models[0].name"),
         (
-            vec![model("a", &[], PerEndpoint::default())],
+            vec![model("a", &[], PerApiEndpoint::default())],
             "models[0]: sets none of chat, embeddings and rerank",
         ),
     ] {
--- a/crates/router/src/frontend/inference/service.rs
+++ b/crates/router/src/frontend/inference/service.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cranetack_inference_api::{
-    ApiEndpoint, ApiError, Batch, BatchForm, ErrorKind, ModelCatalog, PerEndpoint, ResolvedModel,
+    ApiEndpoint, ApiError, Batch, BatchForm, ErrorKind, ModelCatalog, PerApiEndpoint, ResolvedModel,
 };
 use cranetack_routing_policy::{ClassId, Settings};
 use cranetack_settings::SiteSettings;
@@ -54,7 +54,7 @@
     pub(super) setup: Setup,
     pub(super) settings: Settings,
     /// The classes of requests whose model has no class in the catalog.
-    default_classes: PerEndpoint<ClassId>,
+    default_classes: PerApiEndpoint<ClassId>,
     catalog: ModelCatalog,
     tenants: Option<Tenants>,
     pub(super) budget: ByteBudget,
@@ -109,7 +109,7 @@
         let max_retry_after = max_retry_after(settings).unwrap_or(DEFAULT_MAX_RETRY_AFTER);
         Inference(Rc::new(Service {
             handle,
-            default_classes: PerEndpoint {
+            default_classes: PerApiEndpoint {
                 chat: class(&setup.chat),
                 embeddings: class(&setup.embeddings),
                 rerank: class(&setup.rerank),
--- a/crates/router/src/frontend/inference/setup.rs
+++ b/crates/router/src/frontend/inference/setup.rs
@@ -6,7 +6,7 @@
 
 use std::net::SocketAddr;
 
-use cranetack_inference_api::{ApiEndpoint, Model, ModelCatalog, PerEndpoint};
+use cranetack_inference_api::{ApiEndpoint, Model, ModelCatalog, PerApiEndpoint};
 use cranetack_routing_policy::Role;
 use cranetack_settings::SiteSettings;
 use serde::Deserialize;
@@ -108,7 +108,7 @@
                 let name = model.class(endpoint);
                 name.map(|name| class_index(site, &key, name)).transpose()
             };
-            let classes = PerEndpoint {
+            let classes = PerApiEndpoint {
                 chat: class(ApiEndpoint::Chat)?,
                 embeddings: class(ApiEndpoint::Embeddings)?,
                 rerank: class(ApiEndpoint::Rerank)?,
