--- a/crates/router/src/frontend/inference/batches.rs
+++ b/crates/router/src/frontend/inference/batches.rs
@@ -24,7 +24,7 @@
 use crate::shutdown::Phase;
 
 /// A batch request that is being served.
-struct BatchRequest<'a> {
+struct BatchInProgress<'a> {
     context: &'a RequestContext,
     batch: &'a Batch,
     model: ServedModel<'a>,
@@ -69,7 +69,7 @@
         batch: Batch,
         reservation: ByteReservation,
     ) -> Result<Response<ResponseBody>, RequestError> {
-        let request = BatchRequest {
+        let request = BatchInProgress {
             context: &context,
             batch: &batch,
             model: self.resolve_model(&batch.model, context.endpoint)?,
@@ -105,8 +105,8 @@
         Ok(json_response(ResponseBody::boxed(body)))
     }
 
-    fn batch_spec(&self, request: &BatchRequest<'_>) -> BatchSpec {
-        let BatchRequest {
+    fn batch_spec(&self, request: &BatchInProgress<'_>) -> BatchSpec {
+        let BatchInProgress {
             context,
             batch,
             model,
@@ -131,7 +131,7 @@
     /// Sends slices as the scheduler decides, until the batch ends.
     async fn serve_slices(
         &self,
-        request: &BatchRequest<'_>,
+        request: &BatchInProgress<'_>,
         open_batch: &mut OpenBatch,
         served: &mut ServedSlices,
     ) -> Result<BatchOutcome, RequestError> {
@@ -180,10 +180,10 @@
     /// Sends one slice and reads its response.
     async fn serve_slice(
         &self,
-        request: &BatchRequest<'_>,
+        request: &BatchInProgress<'_>,
         dispatch: &SliceDispatch,
     ) -> Result<ServedSlice, SliceError> {
-        let BatchRequest {
+        let BatchInProgress {
             context,
             batch,
             model,
