--- a/crates/inference-api/src/batch.rs
+++ b/crates/inference-api/src/batch.rs
@@ -64,7 +64,7 @@
 
 /// A decoded batch request.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Batch {
+pub struct BatchRequest {
     /// Form of the request.
     pub form: BatchForm,
     /// Name of the model, as the client sent it.
@@ -101,9 +101,13 @@
     return_documents: bool,
 }
 
-impl Batch {
+impl BatchRequest {
     /// Decodes the body of a request.
-    pub fn decode(form: BatchForm, body: Bytes, limits: &BodyLimits) -> Result<Batch, ApiError> {
+    pub fn decode(
+        form: BatchForm,
+        body: Bytes,
+        limits: &BodyLimits,
+    ) -> Result<BatchRequest, ApiError> {
         limits.check(&body)?;
         let fields = Fields::decode(&body)?;
         let mut reader = FieldReader::new(&fields);
@@ -124,7 +128,7 @@
             .iter()
             .map(|raw| byte_range_in(&body, raw))
             .collect();
-        Ok(Batch {
+        Ok(BatchRequest {
             form,
             model,
             user,
--- a/crates/inference-api/src/batch/tests.rs
+++ b/crates/inference-api/src/batch/tests.rs
@@ -4,8 +4,8 @@
 
 use super::*;
 
-fn decode(form: BatchForm, body: Value) -> Result<Batch, ApiError> {
-    Batch::decode(form, body.to_string().into(), &BodyLimits::default())
+fn decode(form: BatchForm, body: Value) -> Result<BatchRequest, ApiError> {
+    BatchRequest::decode(form, body.to_string().into(), &BodyLimits::default())
 }
 
 #[test]
@@ -109,9 +109,9 @@
         ..BodyLimits::default()
     };
     let body = json!({"model": "m", "input": ["a", "b", "c"]}).to_string();
-    let error = Batch::decode(BatchForm::Embeddings, body.into(), &limits).unwrap_err();
+    let error = BatchRequest::decode(BatchForm::Embeddings, body.into(), &limits).unwrap_err();
     assert_eq!(error.param.as_deref(), Some("input"));
     // A list of token ids is one item.
     let body = json!({"model": "m", "input": [1, 2, 3, 4]}).to_string();
-    assert!(Batch::decode(BatchForm::Embeddings, body.into(), &limits).is_ok());
+    assert!(BatchRequest::decode(BatchForm::Embeddings, body.into(), &limits).is_ok());
 }
--- a/crates/inference-api/src/lib.rs
+++ b/crates/inference-api/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod models;
 pub mod slice_result;
 
-pub use batch::{Batch, BatchForm, VectorEncoding};
+pub use batch::{BatchForm, BatchRequest, VectorEncoding};
 pub use body_limits::BodyLimits;
 pub use chat::ChatRequest;
 pub use chat_collector::ChatCollector;
--- a/crates/inference-api/src/merge.rs
+++ b/crates/inference-api/src/merge.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 
-use crate::batch::{Batch, BatchForm};
+use crate::batch::{BatchForm, BatchRequest};
 use crate::fields::json_string;
 use crate::slice_result::{ItemResult, ResultError, SliceResult};
 
@@ -24,7 +24,7 @@
 /// Merges the results of slices into the body of the response. The slices must be in order and
 /// cover the whole batch.
 pub fn merge_results(
-    batch: &Batch,
+    batch: &BatchRequest,
     request_id: &str,
     slices: Vec<(Range<usize>, SliceResult)>,
 ) -> Result<Bytes, ResultError> {
@@ -37,7 +37,7 @@
 
 impl MergedResults {
     fn new(
-        batch: &Batch,
+        batch: &BatchRequest,
         slices: Vec<(Range<usize>, SliceResult)>,
     ) -> Result<MergedResults, ResultError> {
         let mut merged = MergedResults {
@@ -72,7 +72,7 @@
         )
     }
 
-    fn into_embeddings(self, batch: &Batch) -> Result<Bytes, ResultError> {
+    fn into_embeddings(self, batch: &BatchRequest) -> Result<Bytes, ResultError> {
         let usage = self.usage();
         let model = json_string(&batch.model);
         let mut data = Vec::with_capacity(self.items.len());
@@ -90,7 +90,7 @@
         Ok(response.into())
     }
 
-    fn into_rerank(self, batch: &Batch, request_id: &str) -> Result<Bytes, ResultError> {
+    fn into_rerank(self, batch: &BatchRequest, request_id: &str) -> Result<Bytes, ResultError> {
         let usage = self.usage();
         let total = self.total_tokens;
         let id = json_string(request_id);
@@ -127,7 +127,7 @@
     Ok(scores)
 }
 
-fn rerank_item(batch: &Batch, item: &ItemScore) -> String {
+fn rerank_item(batch: &BatchRequest, item: &ItemScore) -> String {
     let index = item.index;
     let score = serde_json::to_string(&item.score).unwrap_or_default();
     let document = if batch.return_documents {
--- a/crates/inference-api/src/merge/tests.rs
+++ b/crates/inference-api/src/merge/tests.rs
@@ -6,11 +6,15 @@
 use super::*;
 use crate::body_limits::BodyLimits;
 
-fn batch(form: BatchForm, body: Value) -> Batch {
-    Batch::decode(form, body.to_string().into(), &BodyLimits::default()).unwrap()
+fn batch(form: BatchForm, body: Value) -> BatchRequest {
+    BatchRequest::decode(form, body.to_string().into(), &BodyLimits::default()).unwrap()
 }
 
-fn slice_result(batch: &Batch, items: usize, response: Value) -> Result<SliceResult, ResultError> {
+fn slice_result(
+    batch: &BatchRequest,
+    items: usize,
+    response: Value,
+) -> Result<SliceResult, ResultError> {
     SliceResult::decode(batch, items, response.to_string().as_bytes())
 }
 
--- a/crates/inference-api/src/slice_result.rs
+++ b/crates/inference-api/src/slice_result.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-use crate::batch::{Batch, BatchForm, VectorEncoding};
+use crate::batch::{BatchForm, BatchRequest, VectorEncoding};
 
 /// Reason why an endpoint's response to a slice cannot be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -80,7 +80,7 @@
 impl SliceResult {
     /// Decodes an endpoint's response to a slice of `item_count` items.
     pub fn decode(
-        batch: &Batch,
+        batch: &BatchRequest,
         item_count: usize,
         body: &[u8],
     ) -> Result<SliceResult, ResultError> {
@@ -152,7 +152,7 @@
 
 /// Decodes the vectors of a slice into `item_results`, and returns their length.
 fn decode_vectors(
-    batch: &Batch,
+    batch: &BatchRequest,
     data: Vec<EmbeddingItem>,
     item_results: &mut ItemResults,
 ) -> Result<Option<usize>, ResultError> {
--- a/crates/router/src/frontend/inference/batches.rs
+++ b/crates/router/src/frontend/inference/batches.rs
@@ -8,7 +8,7 @@
 use cranetack_batch_scheduler::{
     BatchOutcome, BatchSpec, Flow, Rejection, SliceDispatch, SliceFailure,
 };
-use cranetack_inference_api::{merge_results, Batch, SliceResult};
+use cranetack_inference_api::{merge_results, BatchRequest, SliceResult};
 use cranetack_routing_policy::Idempotency;
 use http::Response;
 
@@ -26,7 +26,7 @@
 /// A batch request that is being served.
 struct BatchInProgress<'a> {
     context: &'a RequestContext,
-    batch: &'a Batch,
+    batch: &'a BatchRequest,
     model: ServedModel<'a>,
 }
 
@@ -66,7 +66,7 @@
     pub(super) async fn serve_batch(
         &self,
         context: RequestContext,
-        batch: Batch,
+        batch: BatchRequest,
         reservation: ByteReservation,
     ) -> Result<Response<ResponseBody>, RequestError> {
         let request = BatchInProgress {
--- a/crates/router/src/frontend/inference/service.rs
+++ b/crates/router/src/frontend/inference/service.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use cranetack_inference_api::{
-    ApiEndpoint, ApiError, Batch, BatchForm, ErrorKind, ModelCatalog, PerApiEndpoint, ResolvedModel,
+    ApiEndpoint, ApiError, BatchForm, BatchRequest, ErrorKind, ModelCatalog, PerApiEndpoint,
+    ResolvedModel,
 };
 use cranetack_routing_policy::{ClassId, Settings};
 use cranetack_settings::SiteSettings;
@@ -177,7 +178,7 @@
         match route {
             Route::Chat => self.serve_chat(context, body, reservation).await,
             Route::Batch(_, form) => {
-                let batch = Batch::decode(form, body, &limits.body_limits())?;
+                let batch = BatchRequest::decode(form, body, &limits.body_limits())?;
                 self.serve_batch(context, batch, reservation).await
             }
         }
