--- a/crates/inference-api/src/body_limits.rs
+++ b/crates/inference-api/src/body_limits.rs
@@ -55,7 +55,7 @@
             return Ok(());
         }
         let message = format!("nests deeper than {} at byte {at}", self.depth);
-        Err(ApiError::invalid(400, "too_deep", None, message))
+        Err(ApiError::invalid_request(400, "too_deep", None, message))
     }
 
     fn check_string(&self, length: usize, at: usize) -> Result<(), ApiError> {
@@ -64,7 +64,12 @@
         }
         let limit = self.string_bytes;
         let message = format!("the text at byte {at} holds more than {limit} bytes");
-        Err(ApiError::invalid(400, "text_too_long", None, message))
+        Err(ApiError::invalid_request(
+            400,
+            "text_too_long",
+            None,
+            message,
+        ))
     }
 }
 
--- a/crates/inference-api/src/error.rs
+++ b/crates/inference-api/src/error.rs
@@ -47,7 +47,7 @@
 
 impl ApiError {
     /// Creates an error for an invalid request.
-    pub fn invalid(
+    pub fn invalid_request(
         status: u16,
         code: &'static str,
         param: Option<&str>,
@@ -64,7 +64,7 @@
 
     /// Creates an error for an invalid value, with status 400 and the code `invalid_value`.
     pub fn invalid_value(param: &str, message: impl Into<String>) -> Self {
-        ApiError::invalid(400, "invalid_value", Some(param), message)
+        ApiError::invalid_request(400, "invalid_value", Some(param), message)
     }
 
     /// Creates an error for a failure of the service.
--- a/crates/inference-api/src/fields.rs
+++ b/crates/inference-api/src/fields.rs
@@ -79,7 +79,7 @@
     pub(crate) fn decode(body: &'a [u8]) -> Result<Fields<'a>, ApiError> {
         serde_json::from_slice(body).map_err(|error| {
             let message = format!("not a JSON object: {error}");
-            ApiError::invalid(400, "invalid_json", None, message)
+            ApiError::invalid_request(400, "invalid_json", None, message)
         })
     }
 
--- a/crates/inference-api/src/models.rs
+++ b/crates/inference-api/src/models.rs
@@ -228,7 +228,7 @@
 }
 
 fn model_not_found(message: String) -> ApiError {
-    ApiError::invalid(404, "model_not_found", Some("model"), message)
+    ApiError::invalid_request(404, "model_not_found", Some("model"), message)
 }
 
 fn model_object<'a>(model: &'a Model, id: &'a str) -> ModelObject<'a> {
--- a/crates/router/src/frontend/inference/error.rs
+++ b/crates/router/src/frontend/inference/error.rs
@@ -61,7 +61,7 @@
         match self {
             RequestError::Api(error) => error.clone(),
             RequestError::Body(error) => body_error(*error),
-            RequestError::MethodNotAllowed(allowed) => ApiError::invalid(
+            RequestError::MethodNotAllowed(allowed) => ApiError::invalid_request(
                 405,
                 "method_not_supported",
                 None,
@@ -82,7 +82,7 @@
                 "upstream_failed",
                 "the request failed; it may have run",
             ),
-            RequestError::DuplicateId => ApiError::invalid(
+            RequestError::DuplicateId => ApiError::invalid_request(
                 409,
                 "id_in_use",
                 Some("X-Request-Id"),
@@ -115,7 +115,7 @@
 fn body_error(error: BodyError) -> ApiError {
     match error {
         BodyError::BudgetExhausted => ApiError::server(503, "overloaded", error.to_string()),
-        error => ApiError::invalid(
+        error => ApiError::invalid_request(
             error.status().as_u16(),
             "invalid_body",
             None,
--- a/crates/router/src/frontend/inference/service.rs
+++ b/crates/router/src/frontend/inference/service.rs
@@ -189,7 +189,7 @@
         let rest = head.uri.path().strip_prefix(MODELS_PATH);
         let Some(rest) = rest.filter(|rest| rest.is_empty() || rest.starts_with('/')) else {
             let message = "there is nothing at this path";
-            return Err(ApiError::invalid(404, "unknown_url", None, message).into());
+            return Err(ApiError::invalid_request(404, "unknown_url", None, message).into());
         };
         if head.method != Method::GET {
             return Err(RequestError::MethodNotAllowed("GET"));
@@ -287,7 +287,7 @@
     let message = "the key (Authorization: Bearer KEY) is no tenant's";
     RequestError::Api(ApiError {
         kind: ErrorKind::Authentication,
-        ..ApiError::invalid(401, "invalid_api_key", None, message)
+        ..ApiError::invalid_request(401, "invalid_api_key", None, message)
     })
 }
 
