--- a/crates/router/src/frontend/inference/service.rs
+++ b/crates/router/src/frontend/inference/service.rs
@@ -27,7 +27,7 @@
 use crate::frontend::response::set_retry_after;
 use crate::frontend::{ClientLimits, Frontend, RequestBody, ResponseBody};
 use crate::shutdown::Phase;
-use crate::tenants::{Bearer, Tenants};
+use crate::tenants::{KeyOwner, Tenants};
 
 pub(super) const CHAT_PATH: &str = "/v1/chat/completions";
 const EMBEDDINGS_PATH: &str = "/v1/embeddings";
@@ -242,10 +242,10 @@
         let Some(key) = authorization.and_then(|value| value.strip_prefix("Bearer ")) else {
             return Err(invalid_api_key());
         };
-        match tenants.bearer(key.trim()) {
-            Bearer::Tenant(name) => Ok(Some(name)),
-            Bearer::Unknown => Err(invalid_api_key()),
-            Bearer::NotLoaded => Err(RequestError::tenants_unknown()),
+        match tenants.key_owner(key.trim()) {
+            KeyOwner::Tenant(name) => Ok(Some(name)),
+            KeyOwner::Unknown => Err(invalid_api_key()),
+            KeyOwner::NotLoaded => Err(RequestError::tenants_unknown()),
         }
     }
 
--- a/crates/router/src/tenants.rs
+++ b/crates/router/src/tenants.rs
@@ -85,7 +85,7 @@
 
 /// The owner of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Bearer {
+pub enum KeyOwner {
     /// The key belongs to the tenant with this name.
     Tenant(Rc<str>),
     /// The key belongs to no tenant.
@@ -105,14 +105,14 @@
     }
 
     /// Looks up the owner of a key.
-    pub fn bearer(&self, key: &str) -> Bearer {
+    pub fn key_owner(&self, key: &str) -> KeyOwner {
         let digest: KeyDigest = Sha256::digest(key.as_bytes()).into();
         match &*self.0.borrow() {
-            None => Bearer::NotLoaded,
+            None => KeyOwner::NotLoaded,
             Some(table) => table
                 .get(&digest)
                 .cloned()
-                .map_or(Bearer::Unknown, Bearer::Tenant),
+                .map_or(KeyOwner::Unknown, KeyOwner::Tenant),
         }
     }
 }
