--- a/crates/router/src/upstream/calls/tests.rs
+++ b/crates/router/src/upstream/calls/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of short calls to endpoints that do not respond, on a paused clock.
 
-use cranetack_settings::Report;
+use cranetack_settings::LoadReportSettings;
 use cranetack_testkit::{run_paused, Behaviour, FakeServer, ManualServer, Observation};
 
 use super::*;
@@ -15,7 +15,7 @@
         connect_timeout: 250 * MS,
         endpoint_idle_timeout: 15_000 * MS,
         stream_idle_timeout: 4_000 * MS,
-        load_report_columns: Report::default(),
+        load_report_columns: LoadReportSettings::default(),
     };
     let pool = ConnectionPool::new(
         options.connection_limit,
--- a/crates/router/src/upstream/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 use cranetack_routing_policy::{EndpointId, Outcome, RequestId, ResetCause};
-use cranetack_settings::Report;
+use cranetack_settings::LoadReportSettings;
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
@@ -45,7 +45,7 @@
     /// Maximum time without data from a stream before it counts as broken.
     pub stream_idle_timeout: Duration,
     /// Names of the values in load reports.
-    pub load_report_columns: Report,
+    pub load_report_columns: LoadReportSettings,
 }
 
 /// Carries out the core's calls to endpoints, and sends its gossip to other routers.
--- a/crates/router/src/upstream/stream_tail.rs
+++ b/crates/router/src/upstream/stream_tail.rs
@@ -2,7 +2,7 @@
 //! report.
 
 use cranetack_routing_policy::Outcome;
-use cranetack_settings::Report;
+use cranetack_settings::LoadReportSettings;
 
 use super::load_report;
 use crate::core::AttemptReport;
@@ -28,7 +28,7 @@
     }
 
     /// Returns the report of an attempt that completed with this stream.
-    pub(crate) fn report(&self, columns: &Report) -> AttemptReport {
+    pub(crate) fn report(&self, columns: &LoadReportSettings) -> AttemptReport {
         let text = String::from_utf8_lossy(&self.0);
         let cached_tokens = after_last(&text, CACHED_TOKENS_KEY)
             .and_then(leading_number)
--- a/crates/router/src/upstream/stream_tail/tests.rs
+++ b/crates/router/src/upstream/stream_tail/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-fn columns() -> Report {
+fn columns() -> LoadReportSettings {
     let (memory, pending) = (Some("x0".to_owned()), Some("x1".to_owned()));
-    Report {
+    LoadReportSettings {
         memory_column: memory,
         pending_column: pending,
-        ..Report::default()
+        ..LoadReportSettings::default()
     }
 }
 
--- a/crates/router/src/upstream/tests.rs
+++ b/crates/router/src/upstream/tests.rs
@@ -25,7 +25,7 @@
             connect_timeout: Duration::from_millis(250),
             endpoint_idle_timeout: LONG,
             stream_idle_timeout: LONG,
-            load_report_columns: Report::default(),
+            load_report_columns: LoadReportSettings::default(),
         };
         let mut upstream = Upstream::new(handle, options, None, tasks.spawner());
         let endpoint = Rc::new(Endpoint::new("a", server.address));
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -11,4 +11,4 @@
 mod site;
 
 pub use error::{OutOfRange, SettingsError};
-pub use site::{ClassSettings, Permissions, Report, SiteSettings, TenantSettings};
+pub use site::{ClassSettings, LoadReportSettings, Permissions, SiteSettings, TenantSettings};
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -34,7 +34,7 @@
     pub(crate) rules: RouterRules,
     /// The load reports of endpoints.
     #[serde(default)]
-    pub report: Report,
+    pub report: LoadReportSettings,
 }
 
 /// A tenant, of which only the name is used.
@@ -123,7 +123,7 @@
 
 /// How endpoints report their load.
 #[derive(Deserialize, Default, Clone)]
-pub struct Report {
+pub struct LoadReportSettings {
     /// The reporting mode: `piggyback` (with the outcomes of attempts and health checks), `pull`
     /// (with the outcomes of health checks alone) or `silent` (no load reports).
     pub how: Option<String>,
