--- a/crates/router/tests/platform.rs
+++ b/crates/router/tests/platform.rs
@@ -301,7 +301,7 @@
                 endpoint_entry(&decode, "writer", "up"),
             ]);
         }
-        router.discovery.silent.set(true);
+        router.discovery.ignores_watches.set(true);
         let entries = |status| {
             vec![
                 endpoint_entry(&prefill, "reader", "up"),
--- a/crates/router/tests/readiness.rs
+++ b/crates/router/tests/readiness.rs
@@ -88,7 +88,7 @@
         let old = FakeServer::start(4, Behaviour::Answer).await;
         let new = FakeServer::start(4, Behaviour::Answer).await;
         let router = TestRouter::start(vec![endpoint_entry(&old, "mixed", "up")]).await;
-        router.discovery.silent.set(true);
+        router.discovery.ignores_watches.set(true);
         // Of the 64 file descriptors, 32 are reserved. Connections to endpoints and clients have 16
         // each, and the clients of the two APIs 8 each.
         let mut idle = Vec::new();
@@ -100,7 +100,7 @@
             endpoint_entry(&new, "mixed", "up"),
         ]);
         router.discovery.close_connections();
-        router.discovery.silent.set(false);
+        router.discovery.ignores_watches.set(false);
         while new.count_started("/v1/chat/completions") == 0 {
             idle.push(RawClient::connect(router.platform).await);
             let id = format!("k{}", idle.len());
--- a/crates/testkit/src/fake_discovery.rs
+++ b/crates/testkit/src/fake_discovery.rs
@@ -33,7 +33,7 @@
     /// The address on which the server listens.
     pub address: SocketAddr,
     /// Whether watch calls never get a response.
-    pub silent: Cell<bool>,
+    pub ignores_watches: Cell<bool>,
     /// Whether all calls are rejected with status 503.
     pub overloaded: Cell<bool>,
     /// The query strings of all calls, in the order of their arrival.
@@ -58,7 +58,7 @@
         });
         let discovery = Rc::new(FakeDiscovery {
             address: listener.local_addr().unwrap(),
-            silent: Cell::default(),
+            ignores_watches: Cell::default(),
             overloaded: Cell::default(),
             queries: RefCell::default(),
             list,
@@ -109,7 +109,7 @@
         let mut list = self.list.subscribe();
         let later = list.wait_for(|list| list.version > version);
         let _ = tokio::time::timeout(WATCH_TIMEOUT, later).await;
-        if self.silent.get() {
+        if self.ignores_watches.get() {
             std::future::pending::<()>().await;
         }
     }
