--- a/crates/inference-client/tests/client.rs
+++ b/crates/inference-client/tests/client.rs
@@ -8,7 +8,7 @@
 use cranetack_inference_client::{
     ChatRequest, Client, EmbeddingsRequest, Error, Idempotency, Message, Options, RerankRequest,
 };
-use cranetack_testkit::{run, run_paused, DONE, EVENT, FINISH};
+use cranetack_testkit::{run, run_paused, CHAT_EVENT, DONE_EVENT, FINISH_EVENT};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
@@ -281,8 +281,8 @@
 fn a_dropped_call_or_stream_closes_its_connection() {
     run(async {
         let incomplete_stream = format!(
-            "HTTP/1.1 200 X\r\ntransfer-encoding: chunked\r\n\r\n{:x}\r\n{EVENT}\r\n",
-            EVENT.len()
+            "HTTP/1.1 200 X\r\ntransfer-encoding: chunked\r\n\r\n{:x}\r\n{CHAT_EVENT}\r\n",
+            CHAT_EVENT.len()
         );
         let service = Service::start(vec![Step::Hang, Step::Respond(incomplete_stream)]).await;
         let client = client(&service, |_| ());
@@ -315,14 +315,14 @@
         let error = "data: {\"error\":{\"message\":\"broke\",\"code\":\"upstream_failed\"}}\n\n";
         let complete_stream = format!(
             "{head}{}{}{}0\r\n\r\n",
-            chunk(EVENT),
-            chunk(FINISH),
-            chunk(DONE)
+            chunk(CHAT_EVENT),
+            chunk(FINISH_EVENT),
+            chunk(DONE_EVENT)
         );
         let service = Service::start(vec![
             Step::Respond(complete_stream),
-            Step::Close(format!("{head}{}{}", chunk(EVENT), chunk(error))),
-            Step::Close(format!("{head}{}", chunk(EVENT))),
+            Step::Close(format!("{head}{}{}", chunk(CHAT_EVENT), chunk(error))),
+            Step::Close(format!("{head}{}", chunk(CHAT_EVENT))),
         ])
         .await;
         let client = client(&service, |_| ());
--- a/crates/router/tests/client_model.rs
+++ b/crates/router/tests/client_model.rs
@@ -8,7 +8,8 @@
 use std::time::Duration;
 
 use common::{
-    chunk, run, settings, ManualConnection, ManualServer, TestRouter, DONE, LAST_CHUNK, STREAM_HEAD,
+    chunk, run, settings, ManualConnection, ManualServer, TestRouter, DONE_EVENT, LAST_CHUNK,
+    STREAM_HEAD,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -181,7 +182,7 @@
         let Some(mut attempt) = self.attempts.pop_front() else {
             return;
         };
-        let head = format!("{STREAM_HEAD}{}", chunk(DONE));
+        let head = format!("{STREAM_HEAD}{}", chunk(DONE_EVENT));
         if in_two_writes {
             attempt.connection.send(&head).await;
             attempt.connection.send(LAST_CHUNK).await;
@@ -198,7 +199,7 @@
             .await
             .expect("the client must receive the response");
         assert!(
-            received.starts_with("HTTP/1.1 200 ") && received.contains(DONE),
+            received.starts_with("HTTP/1.1 200 ") && received.contains(DONE_EVENT),
             "{received}"
         );
         client.is_waiting = false;
--- a/crates/router/tests/inference.rs
+++ b/crates/router/tests/inference.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    endpoint_entry, run, Behaviour, Client, FakeServer, Observation, TestRouter, DONE, EVENT,
-    FINISH,
+    endpoint_entry, run, Behaviour, Client, FakeServer, Observation, TestRouter, CHAT_EVENT,
+    DONE_EVENT, FINISH_EVENT,
 };
 use serde_json::{json, Value};
 
@@ -36,7 +36,10 @@
             let (status, response) = client.post("/v1/chat/completions", chat_request()).await;
             assert_eq!(
                 (status, response),
-                (200, json!(format!("{EVENT}{FINISH}{DONE}")))
+                (
+                    200,
+                    json!(format!("{CHAT_EVENT}{FINISH_EVENT}{DONE_EVENT}"))
+                )
             );
             let seen = server.observations.borrow();
             let started_paths = seen[before..].iter().filter_map(|s| match s {
--- a/crates/router/tests/inference_limits.rs
+++ b/crates/router/tests/inference_limits.rs
@@ -7,7 +7,9 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use common::{run, Behaviour, Client, FakeServer, Observation, RawClient, EVENT, FINISH};
+use common::{
+    run, Behaviour, Client, FakeServer, Observation, RawClient, CHAT_EVENT, FINISH_EVENT,
+};
 use http::Request;
 use inference_support::{nine_slice_rerank, post, start_router, CHAT, EMBEDDINGS, RERANK};
 use serde_json::{json, Value};
@@ -300,7 +302,7 @@
             .await;
             let response = raw.read_until_closed().await;
             assert!(
-                response.starts_with("HTTP/1.1 200 ") && response.contains(EVENT),
+                response.starts_with("HTTP/1.1 200 ") && response.contains(CHAT_EVENT),
                 "{response}"
             );
             let last = response
@@ -335,6 +337,9 @@
             .body(chat(true, json!({})).to_string().into())
             .unwrap();
         let (_, _, body) = Client::connect(router.inference).await.send(request).await;
-        assert_eq!(body.unwrap(), format!("{EVENT}{FINISH}data: [DONE]\n\n"));
+        assert_eq!(
+            body.unwrap(),
+            format!("{CHAT_EVENT}{FINISH_EVENT}data: [DONE]\n\n")
+        );
     });
 }
--- a/crates/router/tests/platform.rs
+++ b/crates/router/tests/platform.rs
@@ -7,7 +7,7 @@
 
 use common::{
     endpoint_entry, run, start_scripted_server, Behaviour, Client, FakeDiscovery, FakeServer,
-    Observation, ScriptedServer, TestRouter, DONE, EVENT, FINISH,
+    Observation, ScriptedServer, TestRouter, CHAT_EVENT, DONE_EVENT, FINISH_EVENT,
 };
 use platform_support::{count_slot_calls, start_router_with_lane, CHAT_PATH};
 use tokio::task::spawn_local;
@@ -25,7 +25,10 @@
                 (status, &headers["content-type"]),
                 (200, &"text/event-stream".parse().unwrap())
             );
-            assert_eq!(body.unwrap(), format!("{EVENT}{FINISH}{DONE}"));
+            assert_eq!(
+                body.unwrap(),
+                format!("{CHAT_EVENT}{FINISH_EVENT}{DONE_EVENT}")
+            );
             assert_eq!(count_slot_calls(&decode, "POST", id), 1);
         }
         assert_eq!(
@@ -124,7 +127,7 @@
                 request_count,
             } = start_scripted_server(
                 "writer",
-                vec![chunked_response(&[EVENT]), corrupt.to_owned()],
+                vec![chunked_response(&[CHAT_EVENT]), corrupt.to_owned()],
             )
             .await;
             let router =
@@ -148,7 +151,7 @@
     run(async {
         let response = format!(
             "HTTP/1.1 103 Early Hints\r\nx: y\r\n\r\n{}0\r\n\r\n",
-            chunked_response(&[EVENT, DONE])
+            chunked_response(&[CHAT_EVENT, DONE_EVENT])
         );
         let response = response.replace("content-type", "x-load: ?=\u{fffd}\r\ncontent-type");
         let surplus = "HTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\nsecond";
@@ -164,7 +167,7 @@
             let (status, _, body) = client.send_chat(&format!("p{n}"), "order", 5_000).await;
             assert_eq!(
                 (status, body.unwrap(), request_count.get()),
-                (200, format!("{EVENT}{DONE}").into(), n)
+                (200, format!("{CHAT_EVENT}{DONE_EVENT}").into(), n)
             );
         }
     });
--- a/crates/router/tests/races.rs
+++ b/crates/router/tests/races.rs
@@ -8,8 +8,8 @@
 
 use common::{
     chunk, endpoint_entry, run, run_paused, settings, Behaviour, ConnectionEnd, FakeServer,
-    ManualConnection, ManualServer, TestRouter, DONE, EVENT, FINISH, LAST_CHUNK, PREFILL_RESPONSE,
-    STREAM_HEAD,
+    ManualConnection, ManualServer, TestRouter, CHAT_EVENT, DONE_EVENT, FINISH_EVENT, LAST_CHUNK,
+    PREFILL_RESPONSE, STREAM_HEAD,
 };
 use cranetack_router::shutdown;
 use serde_json::Value;
@@ -115,12 +115,12 @@
             .await;
             let (mut client, mut attempt) = send_request(&router, &server, "b1").await;
             attempt
-                .send(&format!("{STREAM_HEAD}{}", chunk(EVENT)))
+                .send(&format!("{STREAM_HEAD}{}", chunk(CHAT_EVENT)))
                 .await;
-            client.read_until(EVENT).await;
+            client.read_until(CHAT_EVENT).await;
             tokio::time::sleep(Duration::from_millis(3_500)).await;
-            attempt.send(&chunk(FINISH)).await;
-            client.read_until(FINISH).await;
+            attempt.send(&chunk(FINISH_EVENT)).await;
+            client.read_until(FINISH_EVENT).await;
             let last_event = Instant::now();
             let (rest, _) = client.read_to_end().await;
             assert!(!rest.contains(LAST_CHUNK), "{rest:?}");
@@ -148,10 +148,12 @@
             std::future::pending::<()>().await;
         });
         attempt
-            .send(&format!("{STREAM_HEAD}{}", chunk(EVENT)))
+            .send(&format!("{STREAM_HEAD}{}", chunk(CHAT_EVENT)))
+            .await;
+        client.read_until(CHAT_EVENT).await;
+        attempt
+            .send(&format!("{}{LAST_CHUNK}", chunk(DONE_EVENT)))
             .await;
-        client.read_until(EVENT).await;
-        attempt.send(&format!("{}{LAST_CHUNK}", chunk(DONE))).await;
         let (rest, end) = client.read_to_end().await;
         // The bytes that the client sent ahead are not a valid request, and the router may respond
         // to them as well.
@@ -167,8 +169,10 @@
     run(async {
         let (server, router) = router_with_mixed_server().await;
         let (mut client, mut attempt) = send_request(&router, &server, "c2").await;
-        attempt.send(&format!("{STREAM_HEAD}{}", chunk(DONE))).await;
-        client.read_until(DONE).await;
+        attempt
+            .send(&format!("{STREAM_HEAD}{}", chunk(DONE_EVENT)))
+            .await;
+        client.read_until(DONE_EVENT).await;
         client
             .send(&request("c3", "order", "", &"x".repeat(200_000)))
             .await;
@@ -182,7 +186,7 @@
         let (mut attempt, seen) = server.accept_request().await;
         assert!(seen.contains("x-request-id: c3"), "{seen:.300}");
         attempt
-            .send(&format!("{STREAM_HEAD}{}{LAST_CHUNK}", chunk(DONE)))
+            .send(&format!("{STREAM_HEAD}{}{LAST_CHUNK}", chunk(DONE_EVENT)))
             .await;
         client.read_until(LAST_CHUNK).await;
     });
@@ -286,14 +290,14 @@
         let mut sender = attempt.sender();
         let response = format!(
             "{STREAM_HEAD}{}{}{LAST_CHUNK}",
-            chunk(EVENT),
+            chunk(CHAT_EVENT),
             chunk(&data).repeat(CHUNKS)
         );
         let sending = spawn_local(async move {
             sender.send_until_closed(&response).await;
             sender
         });
-        client.read_until(EVENT).await;
+        client.read_until(CHAT_EVENT).await;
         tokio::time::sleep(Duration::from_millis(1_300)).await;
         assert!(
             !sending.is_finished(),
--- a/crates/soak/src/model_server.rs
+++ b/crates/soak/src/model_server.rs
@@ -387,13 +387,13 @@
     let (frames, receiver) = mpsc::channel(1);
     spawn_local(async move {
         for _ in 0..state.draw(3, 20) {
-            let event = Bytes::from_static(cranetack_testkit::EVENT.as_bytes());
+            let event = Bytes::from_static(cranetack_testkit::CHAT_EVENT.as_bytes());
             if frames.send(Ok(Frame::data(event))).await.is_err() {
                 break;
             }
             sleep(state.draw_millis(5, 30)).await;
         }
-        let done = Bytes::from_static(cranetack_testkit::DONE.as_bytes());
+        let done = Bytes::from_static(cranetack_testkit::DONE_EVENT.as_bytes());
         let _ = frames.send(Ok(Frame::data(done))).await;
         state.attempt_ended(connection);
     });
--- a/crates/testkit/src/fake_server/answers.rs
+++ b/crates/testkit/src/fake_server/answers.rs
@@ -9,7 +9,7 @@
 use serde_json::{json, Value};
 
 use super::fault::MalformedResponse;
-use super::streams::{stream_events, DONE, EVENT, FINISH};
+use super::streams::{stream_events, CHAT_EVENT, DONE_EVENT, FINISH_EVENT};
 use crate::response::{complete, FakeResponse};
 
 /// Builds the response to a request, malformed if `malformed` says so.
@@ -93,15 +93,15 @@
     malformed: Option<MalformedResponse>,
     event_interval: Duration,
 ) -> FakeResponse {
-    let mut events = vec![EVENT.to_owned()];
+    let mut events = vec![CHAT_EVENT.to_owned()];
     if malformed != Some(MalformedResponse::MissingItem) {
-        events.push(FINISH.to_owned());
+        events.push(FINISH_EVENT.to_owned());
         if request["stream_options"]["include_usage"] == json!(true) {
             let usage = json!({"prompt_tokens": 3, "completion_tokens": 1, "total_tokens": 4});
             let event = json!({"choices": [], "usage": usage});
             events.push(format!("data: {event}\n\n"));
         }
-        events.push(DONE.to_owned());
+        events.push(DONE_EVENT.to_owned());
     }
     let events = events
         .into_iter()
--- a/crates/testkit/src/fake_server/mod.rs
+++ b/crates/testkit/src/fake_server/mod.rs
@@ -32,7 +32,7 @@
 
 pub use self::fault::{Behaviour, MalformedResponse};
 pub use self::observation::Observation;
-pub use self::streams::{DONE, EVENT, FINISH};
+pub use self::streams::{CHAT_EVENT, DONE_EVENT, FINISH_EVENT};
 
 /// Service time of a request, and the pause before each event of a stream, unless a test sets them.
 const DEFAULT_DELAY: Duration = Duration::from_millis(2);
@@ -316,7 +316,7 @@
 /// Builds a stream of one event, after which the connection is closed.
 fn truncated_stream(event_interval: Duration) -> FakeResponse {
     let error = io::Error::other("the connection is closed as the test asked");
-    stream_events(event_interval, vec![Ok(EVENT.into()), Err(error)])
+    stream_events(event_interval, vec![Ok(CHAT_EVENT.into()), Err(error)])
 }
 
 /// Builds a rejection that says that the request was not executed.
--- a/crates/testkit/src/fake_server/streams.rs
+++ b/crates/testkit/src/fake_server/streams.rs
@@ -11,12 +11,13 @@
 use crate::response::{event_stream, FakeResponse};
 
 /// The first event of a chat stream.
-pub const EVENT: &str = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"oqvh\"}}]}\n\n";
+pub const CHAT_EVENT: &str =
+    "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"oqvh\"}}]}\n\n";
 /// The event of a chat stream that carries the finish reason, before the last event.
-pub const FINISH: &str =
+pub const FINISH_EVENT: &str =
     "data: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n";
 /// The last event of a chat stream.
-pub const DONE: &str = "data: [DONE]\n\n";
+pub const DONE_EVENT: &str = "data: [DONE]\n\n";
 
 /// Length in bytes of the text of each event in an endless stream.
 const LARGE_EVENT_LENGTH: usize = 8_000;
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -18,7 +18,8 @@
 pub use endpoint_entry::endpoint_entry_at;
 pub use fake_discovery::FakeDiscovery;
 pub use fake_server::{
-    endpoint_entry, Behaviour, FakeServer, MalformedResponse, Observation, DONE, EVENT, FINISH,
+    endpoint_entry, Behaviour, FakeServer, MalformedResponse, Observation, CHAT_EVENT, DONE_EVENT,
+    FINISH_EVENT,
 };
 pub use manual_server::{
     chunk, ConnectionEnd, ManualConnection, ManualSender, ManualServer, LAST_CHUNK,
