--- a/crates/inference-client/tests/client.rs
+++ b/crates/inference-client/tests/client.rs
@@ -8,7 +8,9 @@
 use cranetack_inference_client::{
     ChatRequest, Client, EmbeddingsRequest, Error, Idempotency, Message, Options, RerankRequest,
 };
-use cranetack_testkit::{run, run_paused, CHAT_EVENT, DONE_EVENT, FINISH_EVENT};
+use cranetack_testkit::{
+    run_test, run_test_with_paused_clock, CHAT_EVENT, DONE_EVENT, FINISH_EVENT,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
@@ -140,7 +142,7 @@
 
 #[test]
 fn a_request_that_may_have_been_executed_is_retried_only_if_idempotent() {
-    run(async {
+    run_test(async {
         for (step, idempotency, attempts, served) in [
             (Step::Close(String::new()), Idempotency::Idempotent, 2, true),
             (
@@ -197,7 +199,7 @@
 /// is non-idempotent.
 #[test]
 fn a_request_that_was_not_written_completely_is_retried() {
-    run(async {
+    run_test(async {
         let service = Service::start(vec![Step::CloseBeforeBody, ok_response()]).await;
         let client = client(&service, |options| {
             options.idempotency = Idempotency::NonIdempotent
@@ -221,7 +223,7 @@
 
 #[test]
 fn retry_after_is_obeyed_and_the_deadline_is_not_exceeded() {
-    run(async {
+    run_test(async {
         let service = Service::start(vec![rejection("0.3"), ok_response()]).await;
         let start = tokio::time::Instant::now();
         client(&service, |_| ())
@@ -262,7 +264,7 @@
 /// Retries must add little load during an outage, so all calls of a client share one retry budget.
 #[test]
 fn in_an_outage_retries_stop_when_the_budget_is_used_up() {
-    run_paused(async {
+    run_test_with_paused_clock(async {
         let service = Service::start(vec![rejection("0.01")]).await;
         let client = client(&service, |options| {
             options.retry_policy = RetryPolicy {
@@ -279,7 +281,7 @@
 
 #[test]
 fn a_dropped_call_or_stream_closes_its_connection() {
-    run(async {
+    run_test(async {
         let incomplete_stream = format!(
             "HTTP/1.1 200 X\r\ntransfer-encoding: chunked\r\n\r\n{:x}\r\n{CHAT_EVENT}\r\n",
             CHAT_EVENT.len()
@@ -308,7 +310,7 @@
 
 #[test]
 fn a_stream_ends_complete_with_an_error_event_or_interrupted() {
-    run(async {
+    run_test(async {
         let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
         let head = "HTTP/1.1 200 X\r\ncontent-type: text/event-stream\r\n\
             transfer-encoding: chunked\r\n\r\n";
@@ -361,7 +363,7 @@
 
 #[test]
 fn requests_contain_the_options_and_unique_request_ids() {
-    run(async {
+    run_test(async {
         let embeddings = r#"{"data":[{"index":0,"embedding":[0.5,1]}],"usage":{"total_tokens":3}}"#;
         let scores = r#"{"results":[{"index":1,"relevance_score":0.5}]}"#;
         let models = r#"{"object":"list","data":[{"id":"a/b"}]}"#;
--- a/crates/router/src/config/tests.rs
+++ b/crates/router/src/config/tests.rs
@@ -4,7 +4,7 @@
 use tokio::sync::mpsc;
 
 use super::*;
-use cranetack_testkit::{run, settings};
+use cranetack_testkit::{run_test, settings};
 
 /// Returns the text of a configuration file with this address of discovery.
 fn file_text(discovery: &str) -> String {
@@ -21,7 +21,7 @@
 /// A file that is read while it is being written must take effect without a further signal.
 #[test]
 fn a_file_that_is_incomplete_at_the_hangup_takes_effect_once_it_is_complete() {
-    run(async {
+    run_test(async {
         let path = std::env::temp_dir().join(format!("cranetack-half-{}.json", std::process::id()));
         let text = file_text("127.0.0.1:4");
         std::fs::write(&path, &text[..text.len() / 2]).unwrap();
@@ -54,7 +54,7 @@
 /// An invalid file neither takes effect nor ends the reloads.
 #[test]
 fn a_hangup_reloads_the_address_and_an_invalid_file_changes_nothing() {
-    run(async {
+    run_test(async {
         let path =
             std::env::temp_dir().join(format!("cranetack-config-{}.json", std::process::id()));
         let write = |discovery: &str| {
--- a/crates/router/src/tasks/tests.rs
+++ b/crates/router/src/tasks/tests.rs
@@ -2,7 +2,7 @@
 use std::future::pending;
 
 use super::*;
-use cranetack_testkit::run;
+use cranetack_testkit::run_test;
 
 /// Counts a task as running until the guard is dropped, which happens however the task ends.
 struct RunningGuard(Rc<Cell<u32>>);
@@ -22,7 +22,7 @@
 
 #[test]
 fn tasks_end_with_their_group() {
-    run(async {
+    run_test(async {
         let running = Rc::new(Cell::new(0));
         let group = TaskGroup::default();
         let spawner = group.spawner();
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_spawner_starts_nothing_once_its_group_is_dropped() {
-    run(async {
+    run_test(async {
         let group = TaskGroup::default();
         let spawner = group.spawner();
         drop(group);
--- a/crates/router/src/upstream/calls/tests.rs
+++ b/crates/router/src/upstream/calls/tests.rs
@@ -1,7 +1,9 @@
 //! Tests of short calls to endpoints that do not respond, on a paused clock.
 
 use cranetack_settings::LoadReportSettings;
-use cranetack_testkit::{run_paused, Behaviour, FakeServer, ManualServer, Observation};
+use cranetack_testkit::{
+    run_test_with_paused_clock, Behaviour, FakeServer, ManualServer, Observation,
+};
 
 use super::*;
 use crate::core::Handle;
@@ -34,7 +36,7 @@
 /// of this time before it requests the release.
 #[test]
 fn state_is_released_in_time_after_four_unresponsive_endpoints_in_a_row() {
-    run_paused(async {
+    run_test_with_paused_clock(async {
         let mut unresponsive_servers = Vec::new();
         let mut endpoints = Vec::new();
         for number in 0..4 {
--- a/crates/router/src/upstream/pool/tests.rs
+++ b/crates/router/src/upstream/pool/tests.rs
@@ -5,12 +5,12 @@
 use std::io::Write;
 
 use super::*;
-use cranetack_testkit::{run, run_paused, Behaviour, FakeServer};
+use cranetack_testkit::{run_test, run_test_with_paused_clock, Behaviour, FakeServer};
 
 /// Idle connections after a burst must not hold many file descriptors and buffers.
 #[test]
 fn few_idle_connections_to_an_endpoint_stay_open() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(1, Behaviour::Answer).await;
         let endpoint = Endpoint::new("a", server.address);
         let pool = ConnectionPool::new(9, Duration::from_secs(1), Duration::from_secs(60));
@@ -45,7 +45,7 @@
 /// the response to the next request.
 #[test]
 fn an_idle_connection_is_reused_only_after_a_delay() {
-    run_paused(async {
+    run_test_with_paused_clock(async {
         let (pool, endpoint, _accepted) = pool_with_idle_connection().await;
         assert!(pool.acquire_idle(&endpoint).is_none());
         tokio::time::advance(REUSE_DELAY).await;
@@ -57,7 +57,7 @@
 #[test]
 fn an_idle_connection_with_unread_data_or_closed_by_its_endpoint_is_not_reused() {
     for unread in [Some("HTTP/1.1 200 OK\r\n"), None] {
-        run_paused(async {
+        run_test_with_paused_clock(async {
             let (pool, endpoint, accepted) = pool_with_idle_connection().await;
             tokio::time::advance(REUSE_DELAY).await;
             match unread {
@@ -75,7 +75,7 @@
 /// The machine at the former address may have vanished without closing the connection.
 #[test]
 fn an_idle_connection_to_a_former_address_is_not_reused() {
-    run_paused(async {
+    run_test_with_paused_clock(async {
         let (pool, endpoint, _accepted) = pool_with_idle_connection().await;
         tokio::time::advance(REUSE_DELAY).await;
         let moved = Endpoint::new("a", "127.0.0.1:1".parse().unwrap());
--- a/crates/router/src/upstream/pool/tests/model.rs
+++ b/crates/router/src/upstream/pool/tests/model.rs
@@ -12,7 +12,7 @@
 use crate::upstream::calls::empty_request;
 use crate::upstream::connection::PooledConnection;
 use crate::upstream::pool::{ConnectionPool, REUSE_DELAY};
-use cranetack_testkit::{run_paused, Behaviour, FakeServer};
+use cranetack_testkit::{run_test_with_paused_clock, Behaviour, FakeServer};
 
 const CONNECTION_LIMIT: usize = 3;
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -197,7 +197,7 @@
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let checked = runner.run(&prop::collection::vec(step(), 1..40), |steps| {
-        run_paused(async {
+        run_test_with_paused_clock(async {
             let [a, b] = [
                 FakeServer::start(8, Behaviour::Answer).await,
                 FakeServer::start(8, Behaviour::Answer).await,
--- a/crates/router/src/upstream/tests.rs
+++ b/crates/router/src/upstream/tests.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 
 use cranetack_routing_policy::ConnectFailure;
-use cranetack_testkit::{run_paused, Behaviour, FakeServer};
+use cranetack_testkit::{run_test_with_paused_clock, Behaviour, FakeServer};
 
 use super::*;
 use crate::core::AttemptReport;
@@ -16,7 +16,7 @@
 /// take.
 #[test]
 fn an_attempt_without_a_connection_ends_at_write_by() {
-    run_paused(async {
+    run_test_with_paused_clock(async {
         let server = FakeServer::start(1, Behaviour::Answer).await;
         let tasks = TaskGroup::default();
         let (handle, mut events) = Handle::new();
--- a/crates/router/tests/batches.rs
+++ b/crates/router/tests/batches.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use common::{endpoint_entry, run, Behaviour, Client, FakeServer, Observation};
+use common::{endpoint_entry, run_test, Behaviour, Client, FakeServer, Observation};
 use http::Request;
 use inference_support::{
     count_results, nine_slice_rerank, post, start_router, started_ids, CHAT, EMBEDDINGS,
@@ -21,7 +21,7 @@
 
 #[test]
 fn a_failure_in_slice_7_of_9_retries_only_that_slice() {
-    run(async {
+    run_test(async {
         let servers = [
             FakeServer::start(4, Behaviour::Answer).await,
             FakeServer::start(4, Behaviour::Answer).await,
@@ -64,7 +64,7 @@
 
 #[test]
 fn invalid_responses_are_never_forwarded_and_retried_only_if_idempotent() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(4, Behaviour::Answer).await;
         let idempotent = start_router(&[&server], &[]).await;
         let non_idempotent = start_router(&[&server], &NON_IDEMPOTENT_RERANK).await;
@@ -112,7 +112,7 @@
 /// rejection would tell the client that a retry is harmless.
 #[test]
 fn a_slice_rejected_after_executed_ones_fails_a_non_idempotent_batch() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(4, Behaviour::Answer).await;
         let mut edits = NON_IDEMPOTENT_RERANK.to_vec();
         edits.extend(FIXED_SLICE_SIZE);
@@ -129,7 +129,7 @@
 
 #[test]
 fn lost_connections_and_errors_are_final_if_not_idempotent() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(4, Behaviour::Answer).await;
         let non_idempotent = start_router(&[&server], &NON_IDEMPOTENT_RERANK).await;
         let body = |fault: Value| {
@@ -156,7 +156,7 @@
 
 #[test]
 fn an_endpoint_that_drains_between_two_slices_gets_no_further_slices() {
-    run(async {
+    run_test(async {
         let (a, b) = (
             FakeServer::start(4, Behaviour::Answer).await,
             FakeServer::start(4, Behaviour::Answer).await,
@@ -195,7 +195,7 @@
 /// The router rejects the batch long before its deadline, with a `Retry-After` header.
 #[test]
 fn a_batch_that_every_endpoint_rejects_is_rejected_with_a_retry_delay() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(4, Behaviour::Reject).await;
         let router = start_router(
             &[&server],
@@ -316,7 +316,7 @@
 /// since a busy machine may delay any one of them.
 #[test]
 fn cancelling_a_batch_releases_its_slot_within_300_ms_in_every_stage() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(1, Behaviour::Hang).await;
         server.service_time.set(Duration::from_millis(30));
         let router = start_router(&[&server], &[("at_once = 8", "at_once = 1")]).await;
@@ -332,7 +332,7 @@
 
 #[test]
 fn the_id_of_an_open_batch_cannot_be_reused() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(4, Behaviour::Answer).await;
         server.service_time.set(Duration::from_millis(30));
         let router = start_router(&[&server], &FIXED_SLICE_SIZE).await;
@@ -368,7 +368,7 @@
 
 #[test]
 fn every_response_carries_a_request_id() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(4, Behaviour::Answer).await;
         let router = start_router(&[&server], &FIXED_SLICE_SIZE).await;
         let (status, headers, _) = post(&router, "/nowhere", &[], &json!({})).await;
@@ -412,7 +412,7 @@
 
 #[test]
 fn a_graceful_shutdown_finishes_open_batches() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(4, Behaviour::Answer).await;
         server.service_time.set(Duration::from_millis(40));
         let mut router = start_router(&[&server], &FIXED_SLICE_SIZE).await;
@@ -435,7 +435,7 @@
 /// Many long batches do not take all turns: a short batch completes while they run.
 #[test]
 fn a_short_batch_is_served_while_long_ones_run() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(1, Behaviour::Answer).await;
         server.service_time.set(Duration::from_millis(3));
         // The deadline is long, because a busy machine may be so slow that the router would reject
--- a/crates/router/tests/client_connections.rs
+++ b/crates/router/tests/client_connections.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{
-    endpoint_entry, run, settings, Behaviour, Client, FakeServer, Observation, RawClient,
+    endpoint_entry, run_test, settings, Behaviour, Client, FakeServer, Observation, RawClient,
     TestRouter,
 };
 use platform_support::{count_slot_calls, start_router_with_lane, CHAT_PATH};
@@ -16,7 +16,7 @@
 /// interrupted prefill may have left is released.
 #[test]
 fn a_disconnect_during_prefill_releases_the_kv_state() {
-    run(async {
+    run_test(async {
         let (prefill, decode, router) = start_router_with_lane(Behaviour::Answer).await;
         prefill.behaviour.set(Behaviour::Hang);
         let mut client = Client::connect(router.platform).await;
@@ -48,7 +48,7 @@
 /// disconnect behind unread bytes, cancel the first request, and never forward the second.
 #[test]
 fn a_disconnect_behind_a_pipelined_request_is_detected() {
-    run(async {
+    run_test(async {
         let (prefill, decode, router) = start_router_with_lane(Behaviour::Answer).await;
         prefill.behaviour.set(Behaviour::Hang);
         let chat_request = |id: &str, body: &str| {
@@ -99,7 +99,7 @@
 /// connections are evicted, so that they do not keep active clients out.
 #[test]
 fn client_connections_are_limited_and_idle_ones_are_evicted() {
-    run(async {
+    run_test(async {
         let (prefill, _decode, router) = start_router_with_lane(Behaviour::Answer).await;
         // Of 64 descriptors, 32 are reserved. Half of the rest is for clients, and two frontends
         // share that half.
@@ -141,7 +141,7 @@
 /// at once if the request is invalid. An idle connection between two requests stays open.
 #[test]
 fn incomplete_and_invalid_requests_close_the_connection() {
-    run(async {
+    run_test(async {
         let (_prefill, _decode, router) = start_router_with_lane(Behaviour::Answer).await;
         let mut idle_client = Client::connect(router.platform).await;
         assert_eq!(idle_client.get("/up").await.0, 200);
@@ -188,7 +188,7 @@
 /// neither the request nor one hidden in its body is forwarded.
 #[test]
 fn a_request_with_content_length_and_transfer_encoding_is_rejected() {
-    run(async {
+    run_test(async {
         let (prefill, _decode, router) = start_router_with_lane(Behaviour::Answer).await;
         let request = |id: &str, framing: &str| {
             format!(
@@ -232,7 +232,7 @@
 /// During a graceful shutdown, accepted requests are answered, and idle connections are closed.
 #[test]
 fn a_graceful_shutdown_answers_all_accepted_requests() {
-    run(async {
+    run_test(async {
         let (prefill, _decode, mut router) = start_router_with_lane(Behaviour::Answer).await;
         prefill.service_time.set(Duration::from_millis(1_000));
         let mut idle_client = Client::connect(router.platform).await;
@@ -266,7 +266,7 @@
 /// its client to resume it at another router, and gives all other requests a final response.
 #[test]
 fn with_resumable_streams_all_requests_are_answered_before_the_shutdown_deadline() {
-    run(async {
+    run_test(async {
         let prefill = FakeServer::start(8, Behaviour::Prefill).await;
         let decode = FakeServer::start(8, Behaviour::StreamEndlessly).await;
         let mut site_settings = settings();
--- a/crates/router/tests/client_model.rs
+++ b/crates/router/tests/client_model.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use common::{
-    chunk, run, settings, ManualConnection, ManualServer, TestRouter, DONE_EVENT, LAST_CHUNK,
+    chunk, run_test, settings, ManualConnection, ManualServer, TestRouter, DONE_EVENT, LAST_CHUNK,
     STREAM_HEAD,
 };
 use proptest::prelude::*;
@@ -238,7 +238,7 @@
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]);
     let step_sequences = prop::collection::vec(any_step(), 1..40);
     let checked = TestRunner::new_with_rng(config, rng).run(&step_sequences, |steps| {
-        run(async {
+        run_test(async {
             let mut model = Model::start().await;
             for step in steps {
                 model.run_step(step).await;
--- a/crates/router/tests/control.rs
+++ b/crates/router/tests/control.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use common::{endpoint_entry, run, Behaviour, FakeServer, TestRouter};
+use common::{endpoint_entry, run_test, Behaviour, FakeServer, TestRouter};
 use envoy_types::pb::envoy::config::core::v3::HealthStatus;
 use envoy_types::pb::envoy::config::endpoint::v3::lb_endpoint::HostIdentifier;
 use envoy_types::pb::envoy::config::endpoint::v3::ClusterLoadAssignment;
@@ -108,7 +108,7 @@
 
 #[test]
 fn a_subscriber_receives_endpoints_and_changes_of_their_health() {
-    run(async {
+    run_test(async {
         let a = FakeServer::start(1, Behaviour::Answer).await;
         let b = FakeServer::start(1, Behaviour::Answer).await;
         let router = TestRouter::start(vec![
--- a/crates/router/tests/discovery.rs
+++ b/crates/router/tests/discovery.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{
-    config_file, endpoint_entry, run, settings, Behaviour, Client, FakeDiscovery, FakeServer,
+    config_file, endpoint_entry, run_test, settings, Behaviour, Client, FakeDiscovery, FakeServer,
 };
 use cranetack_router::config::Config;
 use cranetack_router::{Router, RouterOptions};
@@ -24,7 +24,7 @@
 /// be overloaded.
 #[test]
 fn a_restarted_router_requests_the_changes_since_its_last_list() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(4, Behaviour::Answer).await;
         let discovery = FakeDiscovery::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
         let known = json!({"index": 1, "snapshot": true, "endpoints": [endpoint_entry(&server, "mixed", "up")]});
@@ -54,7 +54,7 @@
 /// If a hundred routers retried at once, the service would stay overloaded.
 #[test]
 fn one_of_many_routers_does_not_retry_a_rejected_call_soon() {
-    run(async {
+    run_test(async {
         let discovery = FakeDiscovery::start(vec![]).await;
         discovery.overloaded.set(true);
         let router = Router::bind(
--- a/crates/router/tests/inference.rs
+++ b/crates/router/tests/inference.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    endpoint_entry, run, Behaviour, Client, FakeServer, Observation, TestRouter, CHAT_EVENT,
+    endpoint_entry, run_test, Behaviour, Client, FakeServer, Observation, TestRouter, CHAT_EVENT,
     DONE_EVENT, FINISH_EVENT,
 };
 use serde_json::{json, Value};
@@ -19,7 +19,7 @@
 /// start, although tens of them are still waiting.
 #[test]
 fn a_rerank_of_hundreds_of_candidates_does_not_starve_chat() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(1, Behaviour::Answer).await;
         server.service_time_per_kib.set(Duration::from_millis(12));
         let router = TestRouter::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
@@ -86,7 +86,7 @@
 /// busy machine may delay any one of them.
 #[test]
 fn cancelling_an_embeddings_batch_releases_its_slot_within_300_ms() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(1, Behaviour::Hang).await;
         let router = TestRouter::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
         let mut best = Duration::MAX;
@@ -135,7 +135,7 @@
 
 #[test]
 fn a_draining_endpoint_gets_no_new_requests() {
-    run(async {
+    run_test(async {
         let (a, b) = (
             FakeServer::start(8, Behaviour::Answer).await,
             FakeServer::start(8, Behaviour::Answer).await,
@@ -176,7 +176,7 @@
 
 #[test]
 fn errors_have_the_form_of_the_api() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(1, Behaviour::Reject).await;
         let router = TestRouter::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
         let mut client = Client::connect(router.inference).await;
--- a/crates/router/tests/inference_limits.rs
+++ b/crates/router/tests/inference_limits.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    run, Behaviour, Client, FakeServer, Observation, RawClient, CHAT_EVENT, FINISH_EVENT,
+    run_test, Behaviour, Client, FakeServer, Observation, RawClient, CHAT_EVENT, FINISH_EVENT,
 };
 use http::Request;
 use inference_support::{nine_slice_rerank, post, start_router, CHAT, EMBEDDINGS, RERANK};
@@ -19,7 +19,7 @@
 /// a busy machine may delay any one of them.
 #[test]
 fn cancelling_an_unread_stream_releases_its_slot_within_300_ms() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(4, Behaviour::StreamEndlessly).await;
         let router = start_router(&[&server], &[]).await;
         let count_releases = |seen: &[Observation]| {
@@ -61,7 +61,7 @@
 /// Requests are cancelled while their body arrives, and before their response has been read.
 #[test]
 fn the_byte_reservations_of_cancelled_requests_are_returned() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(4, Behaviour::Answer).await;
         let small_limits = [
             ("held_bytes = 67108864", "held_bytes = 4000000"),
@@ -113,7 +113,7 @@
 /// `Retry-After` header, and serves one again once they have ended.
 #[test]
 fn streams_hold_their_byte_reservations_until_they_end() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(8, Behaviour::Answer).await;
         let small_limits = [
             ("held_bytes = 67108864", "held_bytes = 140000"),
@@ -155,7 +155,7 @@
 
 #[test]
 fn slow_senders_and_slow_readers_are_disconnected() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(4, Behaviour::Answer).await;
         let edits = [
             ("body_wait_ms = 10000", "body_wait_ms = 400"),
@@ -227,7 +227,7 @@
 
 #[test]
 fn bodies_are_decompressed_within_the_size_limit() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(4, Behaviour::Answer).await;
         let router = start_router(&[&server], &[]).await;
         let valid = json!({"model": "m", "input": ["a"]})
@@ -282,7 +282,7 @@
 /// An incomplete response must never look complete to the client.
 #[test]
 fn a_broken_stream_ends_with_an_error_event_and_an_unstreamed_response_fails() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(4, Behaviour::Answer).await;
         let router = start_router(&[&server], &[]).await;
         let chat = |stream: bool, fault: Value| {
--- a/crates/router/tests/platform.rs
+++ b/crates/router/tests/platform.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{
-    endpoint_entry, run, start_scripted_server, Behaviour, Client, FakeDiscovery, FakeServer,
+    endpoint_entry, run_test, start_scripted_server, Behaviour, Client, FakeDiscovery, FakeServer,
     Observation, ScriptedServer, TestRouter, CHAT_EVENT, DONE_EVENT, FINISH_EVENT,
 };
 use platform_support::{count_slot_calls, start_router_with_lane, CHAT_PATH};
@@ -14,7 +14,7 @@
 
 #[test]
 fn a_request_is_prefilled_and_decoded_after_a_slot_is_reserved() {
-    run(async {
+    run_test(async {
         let (prefill, decode, router) = start_router_with_lane(Behaviour::Answer).await;
         prefill.service_time.set(Duration::from_millis(30));
         let mut client = Client::connect(router.platform).await;
@@ -45,7 +45,7 @@
 /// its class is `safe`.
 #[test]
 fn a_connection_lost_after_the_last_byte_fails_a_non_idempotent_request() {
-    run(async {
+    run_test(async {
         let (_prefill, decode, router) = start_router_with_lane(Behaviour::CloseConnection).await;
         let mut client = Client::connect(router.platform).await;
         let (status, _, _) = client.send_chat("b1", "order", 5_000).await;
@@ -63,7 +63,7 @@
 /// chunk, so that the client does not take the stream for complete.
 #[test]
 fn a_broken_stream_is_forwarded_as_broken() {
-    run(async {
+    run_test(async {
         let (_prefill, decode, router) = start_router_with_lane(Behaviour::TruncateStream).await;
         let mut client = Client::connect(router.platform).await;
         let (status, _, body) = client.send_chat("c1", "chat", 5_000).await;
@@ -95,7 +95,7 @@
         format!("{}c0000000\r\n", chunked_response(&[])),
         format!("{}40\r\ndata: ", chunked_response(&[])),
     ] {
-        run(async {
+        run_test(async {
             let prefill = FakeServer::start(8, Behaviour::Prefill).await;
             let ScriptedServer {
                 entry: decode,
@@ -120,7 +120,7 @@
         "40\r\ndata: x",
         "4",
     ] {
-        run(async {
+        run_test(async {
             let prefill = FakeServer::start(8, Behaviour::Prefill).await;
             let ScriptedServer {
                 entry: decode,
@@ -148,7 +148,7 @@
 /// the next request.
 #[test]
 fn a_valid_response_is_forwarded_without_surplus_data() {
-    run(async {
+    run_test(async {
         let response = format!(
             "HTTP/1.1 103 Early Hints\r\nx: y\r\n\r\n{}0\r\n\r\n",
             chunked_response(&[CHAT_EVENT, DONE_EVENT])
@@ -177,7 +177,7 @@
 /// twice.
 #[test]
 fn connections_lost_while_idle_are_not_reused() {
-    run(async {
+    run_test(async {
         let (prefill, decode, router) = start_router_with_lane(Behaviour::Answer).await;
         let mut client = Client::connect(router.platform).await;
         for round in 0..3 {
@@ -202,7 +202,7 @@
 /// endpoint has closed it, the prefill is retried at once and the endpoint is not ejected.
 #[test]
 fn idle_connections_closed_by_the_endpoint_fail_no_request() {
-    run(async {
+    run_test(async {
         let (prefill, decode, router) = start_router_with_lane(Behaviour::Answer).await;
         prefill.drops_reused_connections.set(true);
         decode.drops_reused_connections.set(true);
@@ -226,7 +226,7 @@
 /// If an endpoint refuses connections, the release of KV state is sent to another endpoint.
 #[test]
 fn kv_state_is_released_though_an_endpoint_is_down() {
-    run(async {
+    run_test(async {
         let prefill = FakeServer::start(8, Behaviour::Hang).await;
         let mut down = endpoint_entry(&prefill, "writer", "up");
         down["name"] = "down".into();
@@ -264,7 +264,7 @@
 /// an endpoint has become draining.
 #[test]
 fn the_endpoint_list_is_watched_again_after_a_broken_connection() {
-    run(async {
+    run_test(async {
         let (prefill, decode, router) = start_router_with_lane(Behaviour::Answer).await;
         let other_endpoint = FakeServer::start(8, Behaviour::Answer).await;
         router.discovery.close_connections();
@@ -295,7 +295,7 @@
 /// its watch at the old address hangs, and even if the new list has a lower version than the old.
 #[test]
 fn the_endpoint_list_is_watched_at_a_new_address() {
-    run(async {
+    run_test(async {
         let (prefill, decode, router) = start_router_with_lane(Behaviour::Answer).await;
         let other_endpoint = FakeServer::start(8, Behaviour::Answer).await;
         for _ in 0..5 {
@@ -335,7 +335,7 @@
 /// by request id, so that the end of one request would release the state of the other.
 #[test]
 fn the_id_of_an_open_request_cannot_be_reused() {
-    run(async {
+    run_test(async {
         let (prefill, decode, router) = start_router_with_lane(Behaviour::Answer).await;
         decode.behaviour.set(Behaviour::Hang);
         let mut client = Client::connect(router.platform).await;
@@ -376,7 +376,7 @@
 
 #[test]
 fn invalid_requests_get_an_error_that_names_the_problem() {
-    run(async {
+    run_test(async {
         let (_prefill, _decode, router) = start_router_with_lane(Behaviour::Answer).await;
         let mut client = Client::connect(router.platform).await;
         assert_eq!(client.get("/nowhere").await.0, 404);
--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use common::{
-    config_file, endpoint_entry, run, settings, Behaviour, Client, FakeDiscovery, FakeServer,
+    config_file, endpoint_entry, run_test, settings, Behaviour, Client, FakeDiscovery, FakeServer,
 };
 use serde_json::json;
 use tokio::net::TcpStream;
@@ -64,7 +64,7 @@
 /// and call discovery at the new address.
 #[test]
 fn a_hangup_changes_the_address_of_discovery() {
-    run(async {
+    run_test(async {
         let old = FakeDiscovery::start(vec![]).await;
         let new = FakeDiscovery::start(vec![]).await;
         let path =
@@ -90,7 +90,7 @@
 /// SIGHUP must not affect a batch in progress, and SIGTERM must let it finish.
 #[test]
 fn a_batch_is_served_across_a_hangup_and_finished_after_a_termination() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(4, Behaviour::Answer).await;
         server.service_time.set(Duration::from_millis(50));
         let discovery = FakeDiscovery::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
@@ -146,7 +146,7 @@
 /// address of discovery that is written just then.
 #[test]
 fn a_hangup_during_the_start_is_handled() {
-    run(async {
+    run_test(async {
         let old = FakeDiscovery::start(vec![]).await;
         let new = FakeDiscovery::start(vec![]).await;
         let folder = std::env::temp_dir().join(format!("cranetack-start-{}", std::process::id()));
--- a/crates/router/tests/races.rs
+++ b/crates/router/tests/races.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use common::{
-    chunk, endpoint_entry, run, run_paused, settings, Behaviour, ConnectionEnd, FakeServer,
-    ManualConnection, ManualServer, TestRouter, CHAT_EVENT, DONE_EVENT, FINISH_EVENT, LAST_CHUNK,
-    PREFILL_RESPONSE, STREAM_HEAD,
+    chunk, endpoint_entry, run_test, run_test_with_paused_clock, settings, Behaviour,
+    ConnectionEnd, FakeServer, ManualConnection, ManualServer, TestRouter, CHAT_EVENT, DONE_EVENT,
+    FINISH_EVENT, LAST_CHUNK, PREFILL_RESPONSE, STREAM_HEAD,
 };
 use cranetack_router::shutdown;
 use serde_json::Value;
@@ -62,7 +62,7 @@
 /// Endpoints deduplicate retries by a header that the router does not know.
 #[test]
 fn headers_meant_for_the_endpoint_are_forwarded_by_both_apis() {
-    run(async {
+    run_test(async {
         let (server, router) = router_with_mixed_server().await;
         let mut client = ManualConnection::connect(router.platform).await;
         client
@@ -104,7 +104,7 @@
 #[test]
 fn an_idle_stream_is_ended_before_its_client_has_waited_for_five_seconds() {
     for resume in [false, true] {
-        run_paused(async {
+        run_test_with_paused_clock(async {
             let server = ManualServer::start().await;
             let mut settings = settings_for_attempts_only();
             settings["domain"]["resume"] = resume.into();
@@ -138,7 +138,7 @@
 /// client would lose the response.
 #[test]
 fn a_response_arrives_completely_although_the_router_has_not_read_all_that_its_client_sent() {
-    run(async {
+    run_test(async {
         let (server, router) = router_with_mixed_server().await;
         let (mut client, mut attempt) = send_request(&router, &server, "c1").await;
         let mut sender = client.sender();
@@ -166,7 +166,7 @@
 /// A client may send its next request as soon as it has the last event of a response.
 #[test]
 fn a_request_sent_between_the_last_event_and_the_end_of_a_response_is_answered() {
-    run(async {
+    run_test(async {
         let (server, router) = router_with_mixed_server().await;
         let (mut client, mut attempt) = send_request(&router, &server, "c2").await;
         attempt
@@ -196,7 +196,7 @@
 /// router must detect it all the same.
 #[test]
 fn the_attempt_is_cancelled_when_a_client_disconnects_after_sending_many_unread_bytes() {
-    run(async {
+    run_test(async {
         let (server, router) = router_with_mixed_server().await;
         let (mut client, mut attempt) = send_request(&router, &server, "d1").await;
         client
@@ -214,7 +214,7 @@
 /// accepted.
 #[test]
 fn a_request_that_is_incomplete_when_connections_are_closed_is_not_accepted() {
-    run_paused(async {
+    run_test_with_paused_clock(async {
         let (_server, mut router) = router_with_mixed_server().await;
         let complete = request("e1", "order", "", "{}");
         let mut client = ManualConnection::connect(router.platform).await;
@@ -238,7 +238,7 @@
 /// If the request is not accepted, its client must see an orderly close and not a reset.
 #[test]
 fn a_request_on_an_idle_connection_at_the_shutdown_is_answered_or_not_accepted() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(64, Behaviour::Answer).await;
         let mut router = TestRouter::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
         let mut clients = Vec::new();
@@ -282,7 +282,7 @@
 /// chunk makes no progress. The router must not take that for a stalled endpoint.
 #[test]
 fn a_client_that_reads_nothing_for_a_while_receives_its_complete_stream() {
-    run(async {
+    run_test(async {
         const CHUNKS: usize = 6;
         let data = "x".repeat(3 << 20);
         let (server, router) = router_with_mixed_server().await;
@@ -312,7 +312,7 @@
 #[test]
 fn the_first_event_is_forwarded_whichever_line_ends_it_has() {
     for end in ["\n\n", "\r\n\r\n", "\r\r"] {
-        run(async {
+        run_test(async {
             let (server, router) = router_with_mixed_server().await;
             let (mut client, mut attempt) = send_request(&router, &server, "i1").await;
             let event = format!("data: first{end}");
@@ -326,7 +326,7 @@
 
 #[test]
 fn the_router_stops_only_after_the_kv_state_of_its_last_request_is_released() {
-    run(async {
+    run_test(async {
         let prefill_server = ManualServer::start().await;
         let decode_server = ManualServer::start().await;
         let mut settings = settings_for_attempts_only();
@@ -370,7 +370,7 @@
 /// request is rejected.
 #[test]
 fn a_rejection_is_sent_only_after_the_abandoned_attempt_has_ended() {
-    run(async {
+    run_test(async {
         let prefill_server = ManualServer::start().await;
         let decode_server = ManualServer::start().await;
         let entries = vec![
@@ -396,7 +396,7 @@
 /// the router has read must be answered.
 #[test]
 fn a_request_on_a_connection_that_is_about_to_be_evicted_is_answered() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(8, Behaviour::Answer).await;
         let router = TestRouter::start_with_settings(
             vec![endpoint_entry(&server, "mixed", "up")],
--- a/crates/router/tests/readiness.rs
+++ b/crates/router/tests/readiness.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use common::{
-    config_file, endpoint_entry, run, run_paused, settings, Behaviour, Client, FakeServer,
-    ManualServer, RawClient, TestRouter,
+    config_file, endpoint_entry, run_test, run_test_with_paused_clock, settings, Behaviour, Client,
+    FakeServer, ManualServer, RawClient, TestRouter,
 };
 use cranetack_router::config::Config;
 use cranetack_router::{Router, RouterOptions};
@@ -57,7 +57,7 @@
         undecodable,
         nonexistent_endpoints(2_000),
     ] {
-        run_paused(async {
+        run_test_with_paused_clock(async {
             let discovery = ManualServer::start().await;
             let mut config = config_file(discovery.address, settings());
             config["known"] = restored_list;
@@ -84,7 +84,7 @@
 /// must receive the new endpoint list and use the new endpoint.
 #[test]
 fn idle_clients_up_to_the_limit_block_neither_discovery_nor_requests() {
-    run(async {
+    run_test(async {
         let old = FakeServer::start(4, Behaviour::Answer).await;
         let new = FakeServer::start(4, Behaviour::Answer).await;
         let router = TestRouter::start(vec![endpoint_entry(&old, "mixed", "up")]).await;
--- a/crates/router/tests/tenants.rs
+++ b/crates/router/tests/tenants.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::{endpoint_entry, run, Behaviour, Client, FakeServer, TestRouter};
+use common::{endpoint_entry, run_test, Behaviour, Client, FakeServer, TestRouter};
 use cranetack_router::tenants::{Setup, Tenants};
 use futures_util::{SinkExt, StreamExt};
 use http::Request;
@@ -123,7 +123,7 @@
 
 #[test]
 fn only_keys_of_tenants_are_served_also_while_the_directory_is_down() {
-    run(async {
+    run_test(async {
         let directory = FakeDirectory::start(&["k1"]).await;
         let server = FakeServer::start(1, Behaviour::Answer).await;
         let tenants = Tenants::start(directory.setup("secret"));
@@ -161,7 +161,7 @@
 /// The directory rejects the router's password, so it is never read.
 #[test]
 fn nobody_is_served_before_the_directory_has_been_read() {
-    run(async {
+    run_test(async {
         let directory = FakeDirectory::start(&["k1"]).await;
         let server = FakeServer::start(1, Behaviour::Answer).await;
         let tenants = Tenants::start(directory.setup("wrong"));
--- a/crates/soak/tests/environment.rs
+++ b/crates/soak/tests/environment.rs
@@ -16,7 +16,7 @@
 use cranetack_soak::router_process::RouterProcess;
 use cranetack_soak::router_settings::LIMITS;
 use cranetack_soak::run_state::RunState;
-use cranetack_testkit::{run, start_scripted_server, RawClient};
+use cranetack_testkit::{run_test, start_scripted_server, RawClient};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
@@ -64,7 +64,7 @@
 
 #[test]
 fn a_request_through_the_proxies_is_prefilled_and_decoded_without_a_violation() {
-    run(async {
+    run_test(async {
         let state = new_state(None);
         let prefill = start_proxied(&state, 0, Role::Prefill).await;
         let decode = start_proxied(&state, 1, Role::Decode).await;
@@ -83,7 +83,7 @@
 
 #[test]
 fn only_kv_state_that_is_not_released_is_a_leaked_lease() {
-    run(async {
+    run_test(async {
         for (releases, expected) in [(true, vec![]), (false, vec![Rule::LeakedLease])] {
             let state = new_state(None);
             let prefill = start_proxied(&state, 0, Role::Prefill).await;
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_stalled_proxy_forwards_nothing_and_resets_its_connections_when_it_resumes() {
-    run(async {
+    run_test(async {
         let state = new_state(None);
         let proxy = start_proxied(&state, 0, Role::Prefill).await;
         proxy.stall();
@@ -125,7 +125,7 @@
 
 #[test]
 fn attempts_that_are_reported_twice_are_concurrent_attempts() {
-    run(async {
+    run_test(async {
         let state = new_state(Some(InjectedViolation::ConcurrentAttempts));
         let proxy = start_proxied(&state, 0, Role::Prefill).await;
         for index in 0..20 {
@@ -140,7 +140,7 @@
 
 #[test]
 fn an_attempt_after_the_drain_grace_of_a_notified_router_breaks_the_drain_rule() {
-    run(async {
+    run_test(async {
         let state = new_state(None);
         let proxy = start_proxied(&state, 0, Role::Prefill).await;
         let endpoints = EndpointList::new(&[Role::Prefill]);
@@ -168,7 +168,7 @@
 
 #[test]
 fn a_client_reports_its_served_requests_to_the_oracle() {
-    run(async {
+    run_test(async {
         let state = new_state(None);
         let endpoints = EndpointList::new(&[]);
         let discovery = DiscoveryServer::start(&state, 0, endpoints, vec![])
--- a/crates/syscall-fault-shim/tests/program.rs
+++ b/crates/syscall-fault-shim/tests/program.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cranetack_testkit::{
-    endpoint_entry, run, settings, Behaviour, Client, FakeDiscovery, FakeServer,
+    endpoint_entry, run_test, settings, Behaviour, Client, FakeDiscovery, FakeServer,
 };
 use serde_json::json;
 use tokio::net::TcpStream;
@@ -119,5 +119,5 @@
 /// once: if it waited for a readiness event, none would come, and the request would hang.
 #[test]
 fn short_reads_and_writes_fail_no_request() {
-    run(assert_all_served("short", 60));
+    run_test(assert_all_served("short", 60));
 }
--- a/crates/testkit/src/runtime.rs
+++ b/crates/testkit/src/runtime.rs
@@ -9,7 +9,7 @@
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Runs the future of a test and the tasks that it spawns. Panics after [`TEST_TIMEOUT`].
-pub fn run(test: impl Future<Output = ()>) {
+pub fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -22,7 +22,7 @@
 }
 
 /// Runs the future of a test with a paused clock, which advances only while all tasks are idle.
-pub fn run_paused(test: impl Future<Output = ()>) {
+pub fn run_test_with_paused_clock(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
