--- a/crates/bench/src/router_process.rs
+++ b/crates/bench/src/router_process.rs
@@ -7,7 +7,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use cranetack_testkit::{settings, Client};
+use cranetack_testkit::{test_settings, Client};
 use serde_json::{json, Value};
 
 /// Clock ticks per second in the processor times of `/proc/PID/stat`.
@@ -50,7 +50,7 @@
 
 /// Returns the settings that tests use, with longer deadlines.
 fn router_settings() -> Value {
-    let mut settings = settings();
+    let mut settings = test_settings();
     let classes = settings["classes"].as_array_mut();
     for class in classes.into_iter().flatten() {
         class["deadline_us"] = json!(DEADLINE.as_micros() as u64);
--- a/crates/router/src/config/tests.rs
+++ b/crates/router/src/config/tests.rs
@@ -4,7 +4,7 @@
 use tokio::sync::mpsc;
 
 use super::*;
-use cranetack_testkit::{run_test, settings};
+use cranetack_testkit::{run_test, test_settings};
 
 /// Returns the text of a configuration file with this address of discovery.
 fn file_text(discovery: &str) -> String {
@@ -13,7 +13,7 @@
         "listen": "127.0.0.1:0",
         "discovery": discovery,
         "seed": "7",
-        "settings": settings(),
+        "settings": test_settings(),
     });
     config.to_string()
 }
--- a/crates/router/tests/client_connections.rs
+++ b/crates/router/tests/client_connections.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{
-    endpoint_entry, run_test, settings, Behaviour, Client, FakeServer, Observation, RawClient,
+    endpoint_entry, run_test, test_settings, Behaviour, Client, FakeServer, Observation, RawClient,
     TestRouter,
 };
 use platform_support::{count_slot_calls, start_router_with_lane, CHAT_PATH};
@@ -269,7 +269,7 @@
     run_test(async {
         let prefill = FakeServer::start(8, Behaviour::Prefill).await;
         let decode = FakeServer::start(8, Behaviour::StreamEndlessly).await;
-        let mut site_settings = settings();
+        let mut site_settings = test_settings();
         site_settings["domain"]["resume"] = true.into();
         let entries = vec![
             endpoint_entry(&prefill, "reader", "up"),
--- a/crates/router/tests/client_model.rs
+++ b/crates/router/tests/client_model.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use common::{
-    chunk, run_test, settings, ManualConnection, ManualServer, TestRouter, DONE_EVENT, LAST_CHUNK,
-    STREAM_HEAD,
+    chunk, run_test, test_settings, ManualConnection, ManualServer, TestRouter, DONE_EVENT,
+    LAST_CHUNK, STREAM_HEAD,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -91,7 +91,7 @@
 impl Model {
     async fn start() -> Model {
         let endpoint = ManualServer::start().await;
-        let mut settings = settings();
+        let mut settings = test_settings();
         settings["domain"]["ahead"] = false.into();
         let router =
             TestRouter::start_with_settings(vec![endpoint.endpoint_entry("mixed", "up")], settings)
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -72,7 +72,7 @@
 
     /// Starts a router with these tenants.
     pub async fn start_with_tenants(entries: Vec<Value>, tenants: Option<Tenants>) -> TestRouter {
-        TestRouter::start_with_file(entries, tenants, settings(), &inference_file(&[])).await
+        TestRouter::start_with_file(entries, tenants, test_settings(), &inference_file(&[])).await
     }
 
     /// Starts a router with these settings.
@@ -82,12 +82,12 @@
 
     /// Starts a router with the inference API's file for most tests and these edits to it.
     pub async fn start_with_edits(entries: Vec<Value>, edits: &[(&str, &str)]) -> TestRouter {
-        TestRouter::start_with_file(entries, None, settings(), &inference_file(edits)).await
+        TestRouter::start_with_file(entries, None, test_settings(), &inference_file(edits)).await
     }
 
     /// Starts a router with the shipped file of the inference API.
     pub async fn start_shipped(entries: Vec<Value>) -> TestRouter {
-        TestRouter::start_with_file(entries, None, settings(), SHIPPED_FILE).await
+        TestRouter::start_with_file(entries, None, test_settings(), SHIPPED_FILE).await
     }
 
     async fn start_with_file(
--- a/crates/router/tests/discovery.rs
+++ b/crates/router/tests/discovery.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use common::{
-    config_file, endpoint_entry, run_test, settings, Behaviour, Client, FakeDiscovery, FakeServer,
+    config_file, endpoint_entry, run_test, test_settings, Behaviour, Client, FakeDiscovery,
+    FakeServer,
 };
 use cranetack_router::config::Config;
 use cranetack_router::{Router, RouterOptions};
@@ -13,7 +14,7 @@
 use tokio::task::spawn_local;
 
 fn config(discovery: &FakeDiscovery, router_count: u32, known: &Value) -> Config {
-    let mut settings = settings();
+    let mut settings = test_settings();
     settings["balancers"] = json!(router_count);
     let mut file = config_file(discovery.address, settings);
     file["known"] = known.clone();
--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -8,7 +8,8 @@
 use std::time::Duration;
 
 use common::{
-    config_file, endpoint_entry, run_test, settings, Behaviour, Client, FakeDiscovery, FakeServer,
+    config_file, endpoint_entry, run_test, test_settings, Behaviour, Client, FakeDiscovery,
+    FakeServer,
 };
 use serde_json::json;
 use tokio::net::TcpStream;
@@ -70,7 +71,7 @@
         let path =
             std::env::temp_dir().join(format!("cranetack-program-{}.json", std::process::id()));
         let write = |discovery: &FakeDiscovery| {
-            let file = config_file(discovery.address, settings());
+            let file = config_file(discovery.address, test_settings());
             std::fs::write(&path, file.to_string()).unwrap();
         };
         write(&old);
@@ -100,7 +101,7 @@
             ["config.json", "inference.toml"].map(|name| folder.join(name));
         let listen = free_address();
         let inference_listen = free_address();
-        let mut config = config_file(discovery.address, settings());
+        let mut config = config_file(discovery.address, test_settings());
         config["listen"] = listen.to_string().into();
         std::fs::write(&config_path, config.to_string()).unwrap();
         let file = common::inference_file(&[(
@@ -158,7 +159,7 @@
             .unwrap()
             .success());
         let config_text =
-            |discovery: &FakeDiscovery| config_file(discovery.address, settings()).to_string();
+            |discovery: &FakeDiscovery| config_file(discovery.address, test_settings()).to_string();
         let program = Program::start(serve_command().env("PROXY_CONFIG", &path));
         // Opening the named pipe blocks until the program opens it too. The program then reads
         // until the pipe is closed.
--- a/crates/router/tests/races.rs
+++ b/crates/router/tests/races.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use common::{
-    chunk, endpoint_entry, run_test, run_test_with_paused_clock, settings, Behaviour,
+    chunk, endpoint_entry, run_test, run_test_with_paused_clock, test_settings, Behaviour,
     ConnectionEnd, FakeServer, ManualConnection, ManualServer, TestRouter, CHAT_EVENT, DONE_EVENT,
     FINISH_EVENT, LAST_CHUNK, PREFILL_RESPONSE, STREAM_HEAD,
 };
@@ -19,7 +19,7 @@
 /// Settings without slot reservations and health checks, so that each connection to a server
 /// carries an attempt.
 fn settings_for_attempts_only() -> Value {
-    let mut settings = settings();
+    let mut settings = test_settings();
     settings["domain"]["ahead"] = false.into();
     settings
 }
--- a/crates/router/tests/readiness.rs
+++ b/crates/router/tests/readiness.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use common::{
-    config_file, endpoint_entry, run_test, run_test_with_paused_clock, settings, Behaviour, Client,
-    FakeServer, ManualServer, RawClient, TestRouter,
+    config_file, endpoint_entry, run_test, run_test_with_paused_clock, test_settings, Behaviour,
+    Client, FakeServer, ManualServer, RawClient, TestRouter,
 };
 use cranetack_router::config::Config;
 use cranetack_router::{Router, RouterOptions};
@@ -59,7 +59,7 @@
     ] {
         run_test_with_paused_clock(async {
             let discovery = ManualServer::start().await;
-            let mut config = config_file(discovery.address, settings());
+            let mut config = config_file(discovery.address, test_settings());
             config["known"] = restored_list;
             let config = Config::parse(config.to_string().as_bytes()).unwrap();
             let router = Router::bind(config, RouterOptions::default())
--- a/crates/syscall-fault-shim/tests/program.rs
+++ b/crates/syscall-fault-shim/tests/program.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cranetack_testkit::{
-    endpoint_entry, run_test, settings, Behaviour, Client, FakeDiscovery, FakeServer,
+    endpoint_entry, run_test, test_settings, Behaviour, Client, FakeDiscovery, FakeServer,
 };
 use serde_json::json;
 use tokio::net::TcpStream;
@@ -98,7 +98,7 @@
         "seed": "7",
         "limits": {"sockets": 128},
         "discovery": discovery.address.to_string(),
-        "settings": settings(),
+        "settings": test_settings(),
     });
     std::fs::write(&config_path, config.to_string()).unwrap();
     let _router = start_router(&config_path, faults);
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -29,4 +29,4 @@
 pub use response::FakeResponse;
 pub use runtime::{run_test, run_test_with_paused_clock, TEST_TIMEOUT};
 pub use scripted_server::{start_scripted_server, ScriptedServer};
-pub use settings::settings;
+pub use settings::test_settings;
--- a/crates/testkit/src/settings.rs
+++ b/crates/testkit/src/settings.rs
@@ -14,7 +14,7 @@
 }
 
 /// Returns the router settings that tests use, in the form that a configuration file has.
-pub fn settings() -> Value {
+pub fn test_settings() -> Value {
     json!({
         "az": "here",
         "period_us": 4_000,
