--- a/crates/router/tests/client_model.rs
+++ b/crates/router/tests/client_model.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use common::{
-    chunk, run_test, test_settings, ManualConnection, ManualServer, TestRouter, DONE_EVENT,
+    encode_chunk, run_test, test_settings, ManualConnection, ManualServer, TestRouter, DONE_EVENT,
     LAST_CHUNK, STREAM_HEAD,
 };
 use proptest::prelude::*;
@@ -182,7 +182,7 @@
         let Some(mut attempt) = self.attempts.pop_front() else {
             return;
         };
-        let head = format!("{STREAM_HEAD}{}", chunk(DONE_EVENT));
+        let head = format!("{STREAM_HEAD}{}", encode_chunk(DONE_EVENT));
         if in_two_writes {
             attempt.connection.send(&head).await;
             attempt.connection.send(LAST_CHUNK).await;
--- a/crates/router/tests/races.rs
+++ b/crates/router/tests/races.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use common::{
-    chunk, endpoint_entry, run_test, run_test_with_paused_clock, test_settings, Behaviour,
+    encode_chunk, endpoint_entry, run_test, run_test_with_paused_clock, test_settings, Behaviour,
     ConnectionEnd, FakeServer, ManualConnection, ManualServer, TestRouter, CHAT_EVENT, DONE_EVENT,
     FINISH_EVENT, LAST_CHUNK, PREFILL_RESPONSE, STREAM_HEAD,
 };
@@ -115,11 +115,11 @@
             .await;
             let (mut client, mut attempt) = send_request(&router, &server, "b1").await;
             attempt
-                .send(&format!("{STREAM_HEAD}{}", chunk(CHAT_EVENT)))
+                .send(&format!("{STREAM_HEAD}{}", encode_chunk(CHAT_EVENT)))
                 .await;
             client.read_until(CHAT_EVENT).await;
             tokio::time::sleep(Duration::from_millis(3_500)).await;
-            attempt.send(&chunk(FINISH_EVENT)).await;
+            attempt.send(&encode_chunk(FINISH_EVENT)).await;
             client.read_until(FINISH_EVENT).await;
             let last_event = Instant::now();
             let (rest, _) = client.read_to_end().await;
@@ -148,11 +148,11 @@
             std::future::pending::<()>().await;
         });
         attempt
-            .send(&format!("{STREAM_HEAD}{}", chunk(CHAT_EVENT)))
+            .send(&format!("{STREAM_HEAD}{}", encode_chunk(CHAT_EVENT)))
             .await;
         client.read_until(CHAT_EVENT).await;
         attempt
-            .send(&format!("{}{LAST_CHUNK}", chunk(DONE_EVENT)))
+            .send(&format!("{}{LAST_CHUNK}", encode_chunk(DONE_EVENT)))
             .await;
         let (rest, end) = client.read_to_end().await;
         // The bytes that the client sent ahead are not a valid request, and the router may respond
@@ -170,7 +170,7 @@
         let (server, router) = router_with_mixed_server().await;
         let (mut client, mut attempt) = send_request(&router, &server, "c2").await;
         attempt
-            .send(&format!("{STREAM_HEAD}{}", chunk(DONE_EVENT)))
+            .send(&format!("{STREAM_HEAD}{}", encode_chunk(DONE_EVENT)))
             .await;
         client.read_until(DONE_EVENT).await;
         client
@@ -186,7 +186,10 @@
         let (mut attempt, seen) = server.accept_request().await;
         assert!(seen.contains("x-request-id: c3"), "{seen:.300}");
         attempt
-            .send(&format!("{STREAM_HEAD}{}{LAST_CHUNK}", chunk(DONE_EVENT)))
+            .send(&format!(
+                "{STREAM_HEAD}{}{LAST_CHUNK}",
+                encode_chunk(DONE_EVENT)
+            ))
             .await;
         client.read_until(LAST_CHUNK).await;
     });
@@ -290,8 +293,8 @@
         let mut sender = attempt.sender();
         let response = format!(
             "{STREAM_HEAD}{}{}{LAST_CHUNK}",
-            chunk(CHAT_EVENT),
-            chunk(&data).repeat(CHUNKS)
+            encode_chunk(CHAT_EVENT),
+            encode_chunk(&data).repeat(CHUNKS)
         );
         let sending = spawn_local(async move {
             sender.send_until_closed(&response).await;
@@ -317,7 +320,7 @@
             let (mut client, mut attempt) = send_request(&router, &server, "i1").await;
             let event = format!("data: first{end}");
             attempt
-                .send(&format!("{STREAM_HEAD}{}", chunk(&event)))
+                .send(&format!("{STREAM_HEAD}{}", encode_chunk(&event)))
                 .await;
             client.read_until(&event).await;
         });
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -22,7 +22,7 @@
     FINISH_EVENT,
 };
 pub use manual_server::{
-    chunk, ConnectionEnd, ManualConnection, ManualSender, ManualServer, LAST_CHUNK,
+    encode_chunk, ConnectionEnd, ManualConnection, ManualSender, ManualServer, LAST_CHUNK,
     PREFILL_RESPONSE, STREAM_HEAD,
 };
 pub use raw_client::RawClient;
--- a/crates/testkit/src/manual_server.rs
+++ b/crates/testkit/src/manual_server.rs
@@ -22,7 +22,7 @@
     "HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":0}";
 
 /// Encodes `data` as one chunk of a chunked body.
-pub fn chunk(data: &str) -> String {
+pub fn encode_chunk(data: &str) -> String {
     format!("{:x}\r\n{data}\r\n", data.len())
 }
 
