--- a/crates/conformance/src/lib.rs
+++ b/crates/conformance/src/lib.rs
@@ -13,7 +13,7 @@
 pub use case::{cases, Case, CasesError, Expect, Fill};
 pub use check::check;
 pub use run::{run, Outcome};
-pub use send::{send, Base, SendError};
+pub use send::{send, SendError, Service};
 
 /// The cases that are shipped with the program.
 pub const CASES: &str = include_str!("../cases.toml");
--- a/crates/conformance/src/run.rs
+++ b/crates/conformance/src/run.rs
@@ -4,7 +4,7 @@
 
 use crate::case::Case;
 use crate::check::check;
-use crate::send::{send, Base};
+use crate::send::{send, Service};
 
 /// The result of running a case.
 #[derive(Debug, Clone, Serialize)]
@@ -17,13 +17,13 @@
 
 /// Runs cases one after another and calls `on_outcome` after each of them.
 pub async fn run(
-    base: &Base,
+    service: &Service,
     cases: &[Case],
     mut on_outcome: impl FnMut(&Outcome),
 ) -> Vec<Outcome> {
     let mut outcomes = Vec::new();
     for case in cases {
-        let problems = match send(base, case).await {
+        let problems = match send(service, case).await {
             Ok(response) => check(&case.expect, &response),
             Err(error) => vec![error.to_string()],
         };
--- a/crates/conformance/src/send.rs
+++ b/crates/conformance/src/send.rs
@@ -24,7 +24,7 @@
 
 /// The service under test: its address, and the API key that is sent with each request.
 #[derive(Debug, Clone)]
-pub struct Base {
+pub struct Service {
     /// Host and port of the service.
     authority: String,
     key: Option<String>,
@@ -50,12 +50,12 @@
     Timeout(#[from] tokio::time::error::Elapsed),
 }
 
-impl Base {
+impl Service {
     /// Creates the description of the service at an address such as `http://127.0.0.1:8090`, with
     /// the API key of a tenant.
-    pub fn new(base: &str, key: Option<String>) -> Result<Base, SendError> {
-        let invalid = || SendError::Address(base.to_owned());
-        let authority = base
+    pub fn new(address: &str, key: Option<String>) -> Result<Service, SendError> {
+        let invalid = || SendError::Address(address.to_owned());
+        let authority = address
             .strip_prefix("http://")
             .map(|authority| authority.trim_end_matches('/'))
             .ok_or_else(invalid)?;
@@ -71,21 +71,21 @@
         } else {
             format!("{authority}:{DEFAULT_PORT}")
         };
-        Ok(Base { authority, key })
+        Ok(Service { authority, key })
     }
 }
 
 /// Sends the request of a case and reads the complete response.
-pub async fn send(base: &Base, case: &Case) -> Result<Response, SendError> {
-    let request = build_request(base, case)?;
-    timeout(CASE_TIMEOUT, exchange(base, request)).await?
+pub async fn send(service: &Service, case: &Case) -> Result<Response, SendError> {
+    let request = build_request(service, case)?;
+    timeout(CASE_TIMEOUT, exchange(service, request)).await?
 }
 
-fn build_request(base: &Base, case: &Case) -> Result<Request<Full<Bytes>>, SendError> {
+fn build_request(service: &Service, case: &Case) -> Result<Request<Full<Bytes>>, SendError> {
     let mut request = Request::builder()
         .method(case.method.as_str())
         .uri(&case.path)
-        .header("host", &base.authority);
+        .header("host", &service.authority);
     let has_content_type = case
         .headers
         .keys()
@@ -93,7 +93,7 @@
     if case.method == "POST" && !has_content_type {
         request = request.header("content-type", "application/json");
     }
-    if let Some(key) = &base.key {
+    if let Some(key) = &service.key {
         request = request.header("authorization", format!("Bearer {key}"));
     }
     for (name, value) in &case.headers {
@@ -115,8 +115,8 @@
     Ok(encoder.finish()?)
 }
 
-async fn exchange(base: &Base, request: Request<Full<Bytes>>) -> Result<Response, SendError> {
-    let stream = TcpStream::connect(&base.authority).await?;
+async fn exchange(service: &Service, request: Request<Full<Bytes>>) -> Result<Response, SendError> {
+    let stream = TcpStream::connect(&service.authority).await?;
     let (mut sender, connection) =
         hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
     let driver = tokio::spawn(async move { drop(connection.await) });
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -211,7 +211,7 @@
 /// Runs the conformance suite. Returns whether all cases passed.
 fn conform(args: &ConformArgs) -> Result<bool, Error> {
     let cases = load_cases(args)?;
-    let base = cranetack_conformance::Base::new(&args.base, args.key.clone())?;
+    let service = cranetack_conformance::Service::new(&args.base, args.key.clone())?;
     let case_count = cases.len();
     let mut completed = 0;
     let report = |outcome: &cranetack_conformance::Outcome| {
@@ -224,7 +224,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let outcomes = runtime.block_on(cranetack_conformance::run(&base, &cases, report));
+    let outcomes = runtime.block_on(cranetack_conformance::run(&service, &cases, report));
     let has_failed = |outcome: &&cranetack_conformance::Outcome| !outcome.problems.is_empty();
     let failed = outcomes.iter().filter(has_failed).count();
     println!(
