--- a/crates/conformance/src/case.rs
+++ b/crates/conformance/src/case.rs
@@ -103,7 +103,7 @@
 }
 
 /// Decodes the text of a file of cases.
-pub fn cases(text: &str) -> Result<Vec<Case>, CasesError> {
+pub fn parse_cases(text: &str) -> Result<Vec<Case>, CasesError> {
     let line_of = |error: &toml::de::Error| {
         error
             .span()
--- a/crates/conformance/src/lib.rs
+++ b/crates/conformance/src/lib.rs
@@ -10,7 +10,7 @@
 mod send;
 
 pub use answer::Response;
-pub use case::{cases, Case, CasesError, Expect, Fill};
+pub use case::{parse_cases, Case, CasesError, Expect, Fill};
 pub use check::check;
 pub use run::{run, Outcome};
 pub use send::{send, SendError, Service};
--- a/crates/conformance/src/tests.rs
+++ b/crates/conformance/src/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn the_shipped_cases_are_valid_and_complete() {
-    let all = cases(CASES).unwrap();
+    let all = parse_cases(CASES).unwrap();
     assert!(all.len() >= 150, "{}", all.len());
     // Without an expected status, a case would accept any response.
     assert!(all.iter().all(|case| !case.expect.status.is_empty()));
@@ -21,7 +21,7 @@
             "cases: the name \"a\" is used twice",
         ),
     ] {
-        let error = cases(&text).unwrap_err().to_string();
+        let error = parse_cases(&text).unwrap_err().to_string();
         assert!(error.starts_with(message), "{error}");
     }
 }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -242,7 +242,7 @@
         }
         None => cranetack_conformance::CASES.to_owned(),
     };
-    let mut cases = cranetack_conformance::cases(&text)?;
+    let mut cases = cranetack_conformance::parse_cases(&text)?;
     if let Some(only) = &args.only {
         cases.retain(|case| case.name.contains(only.as_str()));
     }
--- a/crates/router/tests/conform.rs
+++ b/crates/router/tests/conform.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{endpoint_entry, Behaviour, FakeServer, TestRouter};
-use cranetack_conformance::{cases, run, Service, CASES};
+use cranetack_conformance::{parse_cases, run, Service, CASES};
 
 /// Maximum time for the whole suite, which has hundreds of cases.
 const SUITE_TIMEOUT: Duration = Duration::from_secs(300);
@@ -29,7 +29,7 @@
         )
         .await;
         let service = Service::new(&format!("http://{}", router.inference), None).unwrap();
-        let cases = cases(CASES).unwrap();
+        let cases = parse_cases(CASES).unwrap();
         let outcomes = tokio::time::timeout(SUITE_TIMEOUT, run(&service, &cases, |_| ()))
             .await
             .expect("the conformance suite did not finish within 300 s");
