--- a/crates/router/tests/batches.rs
+++ b/crates/router/tests/batches.rs
@@ -424,7 +424,7 @@
                 .await
         });
         server.wait_until(|seen| seen.len() > 4).await;
-        router.stop.take().unwrap().send(()).unwrap();
+        router.shutdown_sender.take().unwrap().send(()).unwrap();
         let (status, response) = pending.await.unwrap();
         assert_eq!((status, count_results(&response)), (200, 18));
         assert_eq!(started_ids(&server).len(), 9);
--- a/crates/router/tests/client_connections.rs
+++ b/crates/router/tests/client_connections.rs
@@ -242,7 +242,7 @@
         prefill
             .wait_until(|seen| !seen.is_empty() || prefill.count_started(CHAT_PATH) > 0)
             .await;
-        router.stop.take().unwrap().send(()).unwrap();
+        router.shutdown_sender.take().unwrap().send(()).unwrap();
         // The router still accepts connections for a while, but asks clients to close them.
         while Client::connect(router.platform).await.get("/up").await.0 == 200 {
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -303,7 +303,7 @@
                 })
             })
             .await;
-        router.stop.take().unwrap().send(()).unwrap();
+        router.shutdown_sender.take().unwrap().send(()).unwrap();
         let (status, _, body) = streaming.await.unwrap();
         assert_eq!((status, body), (200, None));
         assert_eq!(
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -27,7 +27,7 @@
     /// The address of the router's control service.
     pub control: SocketAddr,
     /// Starts the router's shutdown.
-    pub stop: Option<oneshot::Sender<()>>,
+    pub shutdown_sender: Option<oneshot::Sender<()>>,
     /// The router's task, which ends when the router has shut down.
     pub stopped: tokio::task::JoinHandle<()>,
 }
@@ -118,8 +118,8 @@
         let control = router.control_address().unwrap().unwrap();
         let platform = router.address().unwrap();
         let inference = router.inference_address().unwrap().unwrap();
-        let (stop, stopping) = oneshot::channel::<()>();
-        let stopped = spawn_local(router.serve(async { drop(stopping.await) }));
+        let (shutdown_sender, shutdown_receiver) = oneshot::channel::<()>();
+        let stopped = spawn_local(router.serve(async { drop(shutdown_receiver.await) }));
         while Client::connect(platform).await.get("/up").await.0 != 200 {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
@@ -129,7 +129,7 @@
             platform,
             inference,
             control,
-            stop: Some(stop),
+            shutdown_sender: Some(shutdown_sender),
             stopped,
         }
     }
--- a/crates/router/tests/races.rs
+++ b/crates/router/tests/races.rs
@@ -223,7 +223,7 @@
         let mut client = ManualConnection::connect(router.platform).await;
         client.send(&complete[..complete.len() / 2]).await;
         let stopped = Instant::now();
-        router.stop.take().unwrap().send(()).unwrap();
+        router.shutdown_sender.take().unwrap().send(()).unwrap();
         assert_eq!(
             client.read_to_end().await,
             (String::new(), ConnectionEnd::Closed)
@@ -253,7 +253,7 @@
             client.read_until(LAST_CHUNK).await;
             clients.push(client);
         }
-        router.stop.take().unwrap().send(()).unwrap();
+        router.shutdown_sender.take().unwrap().send(()).unwrap();
         let closing = Instant::now() + shutdown::ACCEPT_WINDOW;
         let calls = clients.into_iter().enumerate().map(|(number, mut client)| {
             spawn_local(async move {
@@ -342,7 +342,7 @@
         let mut client = ManualConnection::connect(router.platform).await;
         client.send(&request("j1", "order", "", "{}")).await;
         let (mut prefill, _) = prefill_server.accept_request().await;
-        router.stop.take().unwrap().send(()).unwrap();
+        router.shutdown_sender.take().unwrap().send(()).unwrap();
         // The prefill succeeds and the decode fails once the router accepts no connections any
         // more, so that the last response is sent at once.
         tokio::time::sleep(shutdown::ACCEPT_WINDOW + Duration::from_millis(100)).await;
