--- a/crates/conformance/src/check.rs
+++ b/crates/conformance/src/check.rs
@@ -2,8 +2,8 @@
 
 use serde_json::Value;
 
-use crate::answer::Response;
 use crate::case::Expect;
+use crate::response::Response;
 
 /// Maximum number of characters of the body that a problem description shows.
 const MAX_EXCERPT_LENGTH: usize = 200;
--- a/crates/conformance/src/lib.rs
+++ b/crates/conformance/src/lib.rs
@@ -3,15 +3,15 @@
 //! needs failing model servers says so in the field `toy` of its request body, which the service
 //! passes on and the fake servers obey.
 
-mod answer;
 mod case;
 mod check;
+mod response;
 mod run;
 mod send;
 
-pub use answer::Response;
 pub use case::{parse_cases, Case, CasesError, Expect, Fill};
 pub use check::check;
+pub use response::Response;
 pub use run::{run, Outcome};
 pub use send::{send, SendError, Service};
 
--- a/crates/conformance/src/send.rs
+++ b/crates/conformance/src/send.rs
@@ -14,8 +14,8 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-use crate::answer::Response;
 use crate::case::Case;
+use crate::response::Response;
 
 /// Maximum duration of a case.
 const CASE_TIMEOUT: Duration = Duration::from_secs(30);
