--- a/crates/testkit/src/fake_server/mod.rs
+++ b/crates/testkit/src/fake_server/mod.rs
@@ -1,8 +1,8 @@
 //! A fake model server.
 
-mod answers;
 mod fault;
 mod observation;
+mod responses;
 mod streams;
 
 use std::cell::{Cell, RefCell};
@@ -24,8 +24,8 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::sleep;
 
-use self::answers::build_response;
 use self::fault::RequestedFault;
+use self::responses::build_response;
 use self::streams::{stream_endlessly, stream_events};
 use crate::endpoint_entry::endpoint_entry_at;
 use crate::response::{complete, FakeResponse};
