--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -11,8 +11,8 @@
 
 use crate::error::WireError;
 use crate::fields::Fields;
-use crate::instance::RouterPolicy;
 use crate::names::stable_hash;
+use crate::router_policy::RouterPolicy;
 
 /// The entries of each endpoint catalog, by the number of the catalog.
 pub(crate) type Catalogs = BTreeMap<u64, Vec<CatalogEntry>>;
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -3,7 +3,7 @@
 use cranetack_routing_policy::{Action, EndpointId, RequestId};
 use serde_json::{json, Value};
 
-use crate::instance::RouterPolicy;
+use crate::router_policy::RouterPolicy;
 
 /// The recipient number for gossip to all other routers.
 const ALL_ROUTERS: i64 = -1;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -7,9 +7,9 @@
 mod encode;
 mod error;
 mod fields;
-mod instance;
 mod names;
 mod process;
+mod router_policy;
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
--- a/crates/simulator-adapter/src/process.rs
+++ b/crates/simulator-adapter/src/process.rs
@@ -9,7 +9,7 @@
 use crate::decode::{decode_catalog, CatalogEntry};
 use crate::error::WireError;
 use crate::fields::Fields;
-use crate::instance::RouterPolicy;
+use crate::router_policy::RouterPolicy;
 
 /// One line of input.
 #[derive(Deserialize)]
