--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -3,18 +3,18 @@
 //! Reads one batch of events per line and writes one line with the policy's actions for each. The
 //! adapter makes no decisions: it only converts between wire values and the policy's types.
 
+mod adapter;
 mod decode;
 mod encode;
 mod error;
 mod fields;
 mod names;
-mod process;
 mod router_policy;
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use process::Adapter;
+use adapter::Adapter;
 
 fn main() -> ExitCode {
     // A panic of the policy is reported in the reply, so nothing is printed to standard error.
