--- a/crates/routing-policy/tests/attempts.rs
+++ b/crates/routing-policy/tests/attempts.rs
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn malformed_load_reports_and_those_of_unlisted_endpoints_change_nothing() {
+fn malformed_load_reports_and_those_of_endpoints_not_on_the_list_change_nothing() {
     let specs = vec![
         endpoint_spec(PREFILL, 0, 0),
         endpoint_spec(DECODE, 1, 0),
@@ -297,6 +297,6 @@
     assert_eq!(
         lane_after(&[(99, 0.5)]),
         without_reports,
-        "an endpoint that is not on the list"
+        "an endpoint that is not on the endpoint list"
     );
 }
--- a/crates/routing-policy/tests/lane_choice.rs
+++ b/crates/routing-policy/tests/lane_choice.rs
@@ -288,7 +288,8 @@
         (sent(None), sent(Some(1 << 2))),
         (vec![1, 2, 4], vec![1, 4])
     );
-    // No endpoint of the allowed kind is listed: the request waits and is rejected by its deadline.
+    // No endpoint of the allowed kind is on the endpoint list: the request waits and is rejected by
+    // its deadline.
     let (mut driver, _) = Driver::new(settings(Idempotency::Idempotent), specs[1..3].to_vec());
     let now = driver.now;
     let mut actions = driver.arrive(only_mixed(1, now));
--- a/crates/routing-policy/tests/many_routers.rs
+++ b/crates/routing-policy/tests/many_routers.rs
@@ -192,7 +192,10 @@
                 sent.iter().filter(|(_, endpoint)| *endpoint == 5).count()
             };
             let before: usize = (0..2 * age_s).map(|id| serve(&mut driver, id)).sum();
-            assert_eq!(before, 0, "the cold endpoint is not listed yet");
+            assert_eq!(
+                before, 0,
+                "the cold endpoint is not on the endpoint list yet"
+            );
             let cold = EndpointSpec {
                 started_at: Some(driver.now),
                 ..endpoint_spec(5, 0, 0)
