--- a/crates/router/tests/inference.rs
+++ b/crates/router/tests/inference.rs
@@ -42,13 +42,11 @@
                 )
             );
             let seen = server.observations.borrow();
-            let started_paths = seen[before..].iter().filter_map(|s| match s {
+            let started = seen[before..].iter().filter_map(|s| match s {
                 Observation::RequestStarted { path, .. } => Some(path.as_str()),
                 _ => None,
             });
-            let between = started_paths
-                .take_while(|path| *path == "/v1/rerank")
-                .count();
+            let between = started.take_while(|path| *path == "/v1/rerank").count();
             assert!(
                 between <= 3,
                 "{between} slices of the rerank request started before a chat request"
