--- a/crates/inference-api/src/lib.rs
+++ b/crates/inference-api/src/lib.rs
@@ -17,14 +17,14 @@
 pub mod models;
 pub mod slice_result;
 
-pub use batch::{Batch, BatchForm, VectorEncoding};
+pub use batch::{BatchForm, BatchRequest, VectorEncoding};
 pub use body_limits::BodyLimits;
 pub use chat::ChatRequest;
 pub use chat_collector::ChatCollector;
 pub use error::{ApiError, ErrorKind};
 pub use events::{EventSplitter, InvalidEventStream};
 pub use merge::merge_results;
-pub use models::{ApiEndpoint, CatalogError, Model, ModelCatalog, PerEndpoint, ResolvedModel};
+pub use models::{ApiEndpoint, CatalogError, Model, ModelCatalog, PerApiEndpoint, ResolvedModel};
 pub use slice_result::{ResultError, SliceResult};
 
 /// Number of characters that are counted as one token in estimates.
--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 use super::endpoint::{Endpoint, EndpointListUpdate};
-use crate::exchange::{BodyStream, Message, Responder};
+use crate::exchange::{BodyStream, ForwardedRequest, Responder};
 
 /// A request as a frontend has decoded it.
 #[derive(Debug, Clone)]
@@ -42,7 +42,7 @@
     /// The kinds of endpoint that may serve the request, one bit per kind; absent for all kinds.
     pub allowed_kinds: Option<u64>,
     /// The request that is forwarded to endpoints.
-    pub message: Rc<Message>,
+    pub message: Rc<ForwardedRequest>,
 }
 
 /// The outcome of a slot reservation at a decode endpoint.
@@ -191,7 +191,7 @@
     },
     /// A slot reservation has ended: the decode endpoint responded, or it did not respond but may
     /// have received the reservation.
-    SlotReservationAnswered {
+    SlotReservationCompleted {
         /// The prefill attempt during which the slot was requested.
         prefill_attempt: AttemptId,
         /// The request's id on the wire.
@@ -229,7 +229,7 @@
         /// The time from which a client that sends a request again reaches another router.
         migrate_from: Instant,
         /// The time by which all requests must have their final response.
-        answer_by: Instant,
+        respond_by: Instant,
     },
     /// A request for the policy's view of all endpoints.
     EndpointReportsRequested(oneshot::Sender<Vec<EndpointReport>>),
@@ -268,7 +268,7 @@
     /// an idle one may break when it is used.
     pub non_idempotent: bool,
     /// The request that is forwarded to the endpoint.
-    pub message: Rc<Message>,
+    pub message: Rc<ForwardedRequest>,
 }
 
 /// The operations that other parts of the router carry out for the core. No method may block: each
--- a/crates/router/src/frontend/inference/batches.rs
+++ b/crates/router/src/frontend/inference/batches.rs
@@ -8,7 +8,7 @@
 use cranetack_batch_scheduler::{
     BatchOutcome, BatchSpec, Flow, Rejection, SliceDispatch, SliceFailure,
 };
-use cranetack_inference_api::{merge_results, Batch, SliceResult};
+use cranetack_inference_api::{merge_results, BatchRequest, SliceResult};
 use cranetack_routing_policy::Idempotency;
 use http::Response;
 
@@ -24,9 +24,9 @@
 use crate::shutdown::Phase;
 
 /// A batch request that is being served.
-struct BatchRequest<'a> {
+struct BatchInProgress<'a> {
     context: &'a RequestContext,
-    batch: &'a Batch,
+    batch: &'a BatchRequest,
     model: ServedModel<'a>,
 }
 
@@ -66,10 +66,10 @@
     pub(super) async fn serve_batch(
         &self,
         context: RequestContext,
-        batch: Batch,
+        batch: BatchRequest,
         reservation: ByteReservation,
     ) -> Result<Response<ResponseBody>, RequestError> {
-        let request = BatchRequest {
+        let request = BatchInProgress {
             context: &context,
             batch: &batch,
             model: self.resolve_model(&batch.model, context.endpoint)?,
@@ -105,8 +105,8 @@
         Ok(json_response(ResponseBody::boxed(body)))
     }
 
-    fn batch_spec(&self, request: &BatchRequest<'_>) -> BatchSpec {
-        let BatchRequest {
+    fn batch_spec(&self, request: &BatchInProgress<'_>) -> BatchSpec {
+        let BatchInProgress {
             context,
             batch,
             model,
@@ -131,7 +131,7 @@
     /// Sends slices as the scheduler decides, until the batch ends.
     async fn serve_slices(
         &self,
-        request: &BatchRequest<'_>,
+        request: &BatchInProgress<'_>,
         open_batch: &mut OpenBatch,
         served: &mut ServedSlices,
     ) -> Result<BatchOutcome, RequestError> {
@@ -180,10 +180,10 @@
     /// Sends one slice and reads its response.
     async fn serve_slice(
         &self,
-        request: &BatchRequest<'_>,
+        request: &BatchInProgress<'_>,
         dispatch: &SliceDispatch,
     ) -> Result<ServedSlice, SliceError> {
-        let BatchRequest {
+        let BatchInProgress {
             context,
             batch,
             model,
@@ -194,7 +194,7 @@
                 retry_after: to_micros(MEMORY_RETRY_AFTER),
             }));
         };
-        let message = context.message(batch.form.endpoint_path(), body);
+        let message = context.forwarded_request(batch.form.endpoint_path(), body);
         let id = slice_request_id(context, dispatch);
         let incoming = context.incoming_request(id, *model, dispatch.tokens, message);
         // If the client disconnects, this future is dropped; the guard is dropped with it and
--- a/crates/router/src/frontend/inference/service.rs
+++ b/crates/router/src/frontend/inference/service.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use cranetack_inference_api::{
-    ApiEndpoint, ApiError, Batch, BatchForm, ErrorKind, ModelCatalog, PerEndpoint, ResolvedModel,
+    ApiEndpoint, ApiError, BatchForm, BatchRequest, ErrorKind, ModelCatalog, PerApiEndpoint,
+    ResolvedModel,
 };
 use cranetack_routing_policy::{ClassId, Settings};
 use cranetack_settings::SiteSettings;
@@ -26,7 +27,7 @@
 use crate::frontend::response::set_retry_after;
 use crate::frontend::{ClientLimits, Frontend, RequestBody, ResponseBody};
 use crate::shutdown::Phase;
-use crate::tenants::{Bearer, Tenants};
+use crate::tenants::{KeyOwner, Tenants};
 
 pub(super) const CHAT_PATH: &str = "/v1/chat/completions";
 const EMBEDDINGS_PATH: &str = "/v1/embeddings";
@@ -54,7 +55,7 @@
     pub(super) setup: Setup,
     pub(super) settings: Settings,
     /// The classes of requests whose model has no class in the catalog.
-    default_classes: PerEndpoint<ClassId>,
+    default_classes: PerApiEndpoint<ClassId>,
     catalog: ModelCatalog,
     tenants: Option<Tenants>,
     pub(super) budget: ByteBudget,
@@ -109,7 +110,7 @@
         let max_retry_after = max_retry_after(settings).unwrap_or(DEFAULT_MAX_RETRY_AFTER);
         Inference(Rc::new(Service {
             handle,
-            default_classes: PerEndpoint {
+            default_classes: PerApiEndpoint {
                 chat: class(&setup.chat),
                 embeddings: class(&setup.embeddings),
                 rerank: class(&setup.rerank),
@@ -133,7 +134,7 @@
         ClientLimits {
             request_timeout: limits.request_timeout(),
             unread_timeout: limits.unread_timeout(),
-            body_bytes: limits.body_bytes,
+            max_body_bytes: limits.body_bytes,
         }
     }
 
@@ -177,7 +178,7 @@
         match route {
             Route::Chat => self.serve_chat(context, body, reservation).await,
             Route::Batch(_, form) => {
-                let batch = Batch::decode(form, body, &limits.body_limits())?;
+                let batch = BatchRequest::decode(form, body, &limits.body_limits())?;
                 self.serve_batch(context, batch, reservation).await
             }
         }
@@ -188,7 +189,7 @@
         let rest = head.uri.path().strip_prefix(MODELS_PATH);
         let Some(rest) = rest.filter(|rest| rest.is_empty() || rest.starts_with('/')) else {
             let message = "there is nothing at this path";
-            return Err(ApiError::invalid(404, "unknown_url", None, message).into());
+            return Err(ApiError::invalid_request(404, "unknown_url", None, message).into());
         };
         if head.method != Method::GET {
             return Err(RequestError::MethodNotAllowed("GET"));
@@ -241,10 +242,10 @@
         let Some(key) = authorization.and_then(|value| value.strip_prefix("Bearer ")) else {
             return Err(invalid_api_key());
         };
-        match tenants.bearer(key.trim()) {
-            Bearer::Tenant(name) => Ok(Some(name)),
-            Bearer::Unknown => Err(invalid_api_key()),
-            Bearer::NotLoaded => Err(RequestError::tenants_unknown()),
+        match tenants.key_owner(key.trim()) {
+            KeyOwner::Tenant(name) => Ok(Some(name)),
+            KeyOwner::Unknown => Err(invalid_api_key()),
+            KeyOwner::NotLoaded => Err(RequestError::tenants_unknown()),
         }
     }
 
@@ -286,7 +287,7 @@
     let message = "the key (Authorization: Bearer KEY) is no tenant's";
     RequestError::Api(ApiError {
         kind: ErrorKind::Authentication,
-        ..ApiError::invalid(401, "invalid_api_key", None, message)
+        ..ApiError::invalid_request(401, "invalid_api_key", None, message)
     })
 }
 
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -8,7 +8,7 @@
 use cranetack_router::config::{self, load_toml, Config, ConfigError};
 use cranetack_router::frontend::inference;
 use cranetack_router::signals::Signals;
-use cranetack_router::{control, tenants, Extras};
+use cranetack_router::{control, tenants, RouterOptions};
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
@@ -145,7 +145,7 @@
     };
     let loaded = files.load()?;
     let initial_discovery_address = loaded.config.discovery;
-    let extras = || Extras {
+    let options = || RouterOptions {
         inference: loaded.inference,
         tenants: loaded.tenants.map(tenants::Tenants::start),
         control: loaded.control,
@@ -156,7 +156,7 @@
         )),
     };
     let termination = signals.termination.requested();
-    cranetack_router::run(&runtime, loaded.config, extras, termination)?;
+    cranetack_router::run(&runtime, loaded.config, options, termination)?;
     Ok(())
 }
 
@@ -211,7 +211,7 @@
 /// Runs the conformance suite. Returns whether all cases passed.
 fn conform(args: &ConformArgs) -> Result<bool, Error> {
     let cases = load_cases(args)?;
-    let base = cranetack_conformance::Base::new(&args.base, args.key.clone())?;
+    let service = cranetack_conformance::Service::new(&args.base, args.key.clone())?;
     let case_count = cases.len();
     let mut completed = 0;
     let report = |outcome: &cranetack_conformance::Outcome| {
@@ -224,7 +224,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let outcomes = runtime.block_on(cranetack_conformance::run(&base, &cases, report));
+    let outcomes = runtime.block_on(cranetack_conformance::run(&service, &cases, report));
     let has_failed = |outcome: &&cranetack_conformance::Outcome| !outcome.problems.is_empty();
     let failed = outcomes.iter().filter(has_failed).count();
     println!(
@@ -242,7 +242,7 @@
         }
         None => cranetack_conformance::CASES.to_owned(),
     };
-    let mut cases = cranetack_conformance::cases(&text)?;
+    let mut cases = cranetack_conformance::parse_cases(&text)?;
     if let Some(only) = &args.only {
         cases.retain(|case| case.name.contains(only.as_str()));
     }
--- a/crates/router/src/router/parts.rs
+++ b/crates/router/src/router/parts.rs
@@ -103,7 +103,7 @@
         upstream::Options {
             connection_limit: self.connection_limit(),
             connect_timeout: allowed.connect_timeout().unwrap_or(DEFAULT_CONNECT_TIMEOUT),
-            server_idle_timeout: allowed
+            endpoint_idle_timeout: allowed
                 .idle_close()
                 .unwrap_or(DEFAULT_ENDPOINT_IDLE_TIMEOUT),
             stream_idle_timeout: if self.config.settings.resumable_streams {
@@ -111,7 +111,7 @@
             } else {
                 STREAM_IDLE_TIMEOUT
             },
-            report: self.config.site.report.clone(),
+            load_report_columns: self.config.site.report.clone(),
         }
     }
 
@@ -166,7 +166,7 @@
             let now = Instant::now();
             handle.send(CoreEvent::ShutdownStarted {
                 migrate_from: now + schedule.migrate_after,
-                answer_by: now + schedule.respond_within,
+                respond_by: now + schedule.respond_within,
             });
         });
     }
--- a/crates/router/src/upstream/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 use cranetack_routing_policy::{EndpointId, Outcome, RequestId, ResetCause};
-use cranetack_settings::Report;
+use cranetack_settings::LoadReportSettings;
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
@@ -41,11 +41,11 @@
     /// Timeout for establishing a connection.
     pub connect_timeout: Duration,
     /// Idle time after which endpoints close a connection.
-    pub server_idle_timeout: Duration,
+    pub endpoint_idle_timeout: Duration,
     /// Maximum time without data from a stream before it counts as broken.
     pub stream_idle_timeout: Duration,
     /// Names of the values in load reports.
-    pub report: Report,
+    pub load_report_columns: LoadReportSettings,
 }
 
 /// Carries out the core's calls to endpoints, and sends its gossip to other routers.
@@ -89,7 +89,7 @@
         let pool = ConnectionPool::new(
             options.connection_limit,
             options.connect_timeout,
-            options.server_idle_timeout,
+            options.endpoint_idle_timeout,
         );
         let shared = Rc::new(Shared {
             handle,
@@ -181,7 +181,7 @@
                 .request_reservation(prefill_written, &request_id, &decode)
                 .await;
             if let Some(reservation) = reservation {
-                shared.handle.send(CoreEvent::SlotReservationAnswered {
+                shared.handle.send(CoreEvent::SlotReservationCompleted {
                     prefill_attempt,
                     request_id,
                     endpoint: decode.id,
--- a/crates/router/tests/client_model.rs
+++ b/crates/router/tests/client_model.rs
@@ -8,7 +8,8 @@
 use std::time::Duration;
 
 use common::{
-    chunk, run, settings, ManualConnection, ManualServer, TestRouter, DONE, LAST_CHUNK, STREAM_HEAD,
+    encode_chunk, run_test, test_settings, ManualConnection, ManualServer, TestRouter, DONE_EVENT,
+    LAST_CHUNK, STREAM_HEAD,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -90,7 +91,7 @@
 impl Model {
     async fn start() -> Model {
         let endpoint = ManualServer::start().await;
-        let mut settings = settings();
+        let mut settings = test_settings();
         settings["domain"]["ahead"] = false.into();
         let router =
             TestRouter::start_with_settings(vec![endpoint.endpoint_entry("mixed", "up")], settings)
@@ -181,7 +182,7 @@
         let Some(mut attempt) = self.attempts.pop_front() else {
             return;
         };
-        let head = format!("{STREAM_HEAD}{}", chunk(DONE));
+        let head = format!("{STREAM_HEAD}{}", encode_chunk(DONE_EVENT));
         if in_two_writes {
             attempt.connection.send(&head).await;
             attempt.connection.send(LAST_CHUNK).await;
@@ -198,7 +199,7 @@
             .await
             .expect("the client must receive the response");
         assert!(
-            received.starts_with("HTTP/1.1 200 ") && received.contains(DONE),
+            received.starts_with("HTTP/1.1 200 ") && received.contains(DONE_EVENT),
             "{received}"
         );
         client.is_waiting = false;
@@ -237,7 +238,7 @@
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]);
     let step_sequences = prop::collection::vec(any_step(), 1..40);
     let checked = TestRunner::new_with_rng(config, rng).run(&step_sequences, |steps| {
-        run(async {
+        run_test(async {
             let mut model = Model::start().await;
             for step in steps {
                 model.run_step(step).await;
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -9,7 +9,7 @@
 
 use cranetack_router::config::{parse_toml, Config};
 use cranetack_router::tenants::Tenants;
-use cranetack_router::{control, Extras, Router};
+use cranetack_router::{control, Router, RouterOptions};
 use serde_json::{json, Value};
 use tokio::sync::{oneshot, watch};
 use tokio::task::spawn_local;
@@ -27,7 +27,7 @@
     /// The address of the router's control service.
     pub control: SocketAddr,
     /// Starts the router's shutdown.
-    pub stop: Option<oneshot::Sender<()>>,
+    pub shutdown_sender: Option<oneshot::Sender<()>>,
     /// The router's task, which ends when the router has shut down.
     pub stopped: tokio::task::JoinHandle<()>,
 }
@@ -72,7 +72,7 @@
 
     /// Starts a router with these tenants.
     pub async fn start_with_tenants(entries: Vec<Value>, tenants: Option<Tenants>) -> TestRouter {
-        TestRouter::start_with_file(entries, tenants, settings(), &inference_file(&[])).await
+        TestRouter::start_with_file(entries, tenants, test_settings(), &inference_file(&[])).await
     }
 
     /// Starts a router with these settings.
@@ -82,12 +82,12 @@
 
     /// Starts a router with the inference API's file for most tests and these edits to it.
     pub async fn start_with_edits(entries: Vec<Value>, edits: &[(&str, &str)]) -> TestRouter {
-        TestRouter::start_with_file(entries, None, settings(), &inference_file(edits)).await
+        TestRouter::start_with_file(entries, None, test_settings(), &inference_file(edits)).await
     }
 
     /// Starts a router with the shipped file of the inference API.
     pub async fn start_shipped(entries: Vec<Value>) -> TestRouter {
-        TestRouter::start_with_file(entries, None, settings(), SHIPPED_FILE).await
+        TestRouter::start_with_file(entries, None, test_settings(), SHIPPED_FILE).await
     }
 
     async fn start_with_file(
@@ -108,18 +108,18 @@
         };
         let (discovery_address, address_changes) = watch::channel(discovery.address);
         let inference = Some(parse_toml(&file).unwrap());
-        let extras = Extras {
+        let options = RouterOptions {
             inference,
             tenants,
             control: Some(control),
             discovery: Some(address_changes),
         };
-        let router = Router::bind(config, extras).await.unwrap();
+        let router = Router::bind(config, options).await.unwrap();
         let control = router.control_address().unwrap().unwrap();
         let platform = router.address().unwrap();
         let inference = router.inference_address().unwrap().unwrap();
-        let (stop, stopping) = oneshot::channel::<()>();
-        let stopped = spawn_local(router.serve(async { drop(stopping.await) }));
+        let (shutdown_sender, shutdown_receiver) = oneshot::channel::<()>();
+        let stopped = spawn_local(router.serve(async { drop(shutdown_receiver.await) }));
         while Client::connect(platform).await.get("/up").await.0 != 200 {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
@@ -129,7 +129,7 @@
             platform,
             inference,
             control,
-            stop: Some(stop),
+            shutdown_sender: Some(shutdown_sender),
             stopped,
         }
     }
--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -8,7 +8,8 @@
 use std::time::Duration;
 
 use common::{
-    config_file, endpoint_entry, run, settings, Behaviour, Client, FakeDiscovery, FakeServer,
+    config_file, endpoint_entry, run_test, test_settings, Behaviour, Client, FakeDiscovery,
+    FakeServer,
 };
 use serde_json::json;
 use tokio::net::TcpStream;
@@ -64,13 +65,13 @@
 /// and call discovery at the new address.
 #[test]
 fn a_hangup_changes_the_address_of_discovery() {
-    run(async {
+    run_test(async {
         let old = FakeDiscovery::start(vec![]).await;
         let new = FakeDiscovery::start(vec![]).await;
         let path =
             std::env::temp_dir().join(format!("cranetack-program-{}.json", std::process::id()));
         let write = |discovery: &FakeDiscovery| {
-            let file = config_file(discovery.address, settings());
+            let file = config_file(discovery.address, test_settings());
             std::fs::write(&path, file.to_string()).unwrap();
         };
         write(&old);
@@ -90,7 +91,7 @@
 /// SIGHUP must not affect a batch in progress, and SIGTERM must let it finish.
 #[test]
 fn a_batch_is_served_across_a_hangup_and_finished_after_a_termination() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(4, Behaviour::Answer).await;
         server.service_time.set(Duration::from_millis(50));
         let discovery = FakeDiscovery::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
@@ -100,7 +101,7 @@
             ["config.json", "inference.toml"].map(|name| folder.join(name));
         let listen = free_address();
         let inference_listen = free_address();
-        let mut config = config_file(discovery.address, settings());
+        let mut config = config_file(discovery.address, test_settings());
         config["listen"] = listen.to_string().into();
         std::fs::write(&config_path, config.to_string()).unwrap();
         let file = common::inference_file(&[(
@@ -146,7 +147,7 @@
 /// address of discovery that is written just then.
 #[test]
 fn a_hangup_during_the_start_is_handled() {
-    run(async {
+    run_test(async {
         let old = FakeDiscovery::start(vec![]).await;
         let new = FakeDiscovery::start(vec![]).await;
         let folder = std::env::temp_dir().join(format!("cranetack-start-{}", std::process::id()));
@@ -158,7 +159,7 @@
             .unwrap()
             .success());
         let config_text =
-            |discovery: &FakeDiscovery| config_file(discovery.address, settings()).to_string();
+            |discovery: &FakeDiscovery| config_file(discovery.address, test_settings()).to_string();
         let program = Program::start(serve_command().env("PROXY_CONFIG", &path));
         // Opening the named pipe blocks until the program opens it too. The program then reads
         // until the pipe is closed.
--- a/crates/router/tests/races.rs
+++ b/crates/router/tests/races.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use common::{
-    chunk, endpoint_entry, run, run_paused, settings, Behaviour, ConnectionEnd, FakeServer,
-    ManualConnection, ManualServer, TestRouter, DONE, EVENT, FINISH, LAST_CHUNK, PREFILL_RESPONSE,
-    STREAM_HEAD,
+    encode_chunk, endpoint_entry, run_test, run_test_with_paused_clock, test_settings, Behaviour,
+    ConnectionEnd, FakeServer, ManualConnection, ManualServer, TestRouter, CHAT_EVENT, DONE_EVENT,
+    FINISH_EVENT, LAST_CHUNK, PREFILL_RESPONSE, STREAM_HEAD,
 };
 use cranetack_router::shutdown;
 use serde_json::Value;
@@ -19,7 +19,7 @@
 /// Settings without slot reservations and health checks, so that each connection to a server
 /// carries an attempt.
 fn settings_for_attempts_only() -> Value {
-    let mut settings = settings();
+    let mut settings = test_settings();
     settings["domain"]["ahead"] = false.into();
     settings
 }
@@ -62,7 +62,7 @@
 /// Endpoints deduplicate retries by a header that the router does not know.
 #[test]
 fn headers_meant_for_the_endpoint_are_forwarded_by_both_apis() {
-    run(async {
+    run_test(async {
         let (server, router) = router_with_mixed_server().await;
         let mut client = ManualConnection::connect(router.platform).await;
         client
@@ -104,7 +104,7 @@
 #[test]
 fn an_idle_stream_is_ended_before_its_client_has_waited_for_five_seconds() {
     for resume in [false, true] {
-        run_paused(async {
+        run_test_with_paused_clock(async {
             let server = ManualServer::start().await;
             let mut settings = settings_for_attempts_only();
             settings["domain"]["resume"] = resume.into();
@@ -115,12 +115,12 @@
             .await;
             let (mut client, mut attempt) = send_request(&router, &server, "b1").await;
             attempt
-                .send(&format!("{STREAM_HEAD}{}", chunk(EVENT)))
+                .send(&format!("{STREAM_HEAD}{}", encode_chunk(CHAT_EVENT)))
                 .await;
-            client.read_until(EVENT).await;
+            client.read_until(CHAT_EVENT).await;
             tokio::time::sleep(Duration::from_millis(3_500)).await;
-            attempt.send(&chunk(FINISH)).await;
-            client.read_until(FINISH).await;
+            attempt.send(&encode_chunk(FINISH_EVENT)).await;
+            client.read_until(FINISH_EVENT).await;
             let last_event = Instant::now();
             let (rest, _) = client.read_to_end().await;
             assert!(!rest.contains(LAST_CHUNK), "{rest:?}");
@@ -138,7 +138,7 @@
 /// client would lose the response.
 #[test]
 fn a_response_arrives_completely_although_the_router_has_not_read_all_that_its_client_sent() {
-    run(async {
+    run_test(async {
         let (server, router) = router_with_mixed_server().await;
         let (mut client, mut attempt) = send_request(&router, &server, "c1").await;
         let mut sender = client.sender();
@@ -148,10 +148,12 @@
             std::future::pending::<()>().await;
         });
         attempt
-            .send(&format!("{STREAM_HEAD}{}", chunk(EVENT)))
+            .send(&format!("{STREAM_HEAD}{}", encode_chunk(CHAT_EVENT)))
+            .await;
+        client.read_until(CHAT_EVENT).await;
+        attempt
+            .send(&format!("{}{LAST_CHUNK}", encode_chunk(DONE_EVENT)))
             .await;
-        client.read_until(EVENT).await;
-        attempt.send(&format!("{}{LAST_CHUNK}", chunk(DONE))).await;
         let (rest, end) = client.read_to_end().await;
         // The bytes that the client sent ahead are not a valid request, and the router may respond
         // to them as well.
@@ -164,11 +166,13 @@
 /// A client may send its next request as soon as it has the last event of a response.
 #[test]
 fn a_request_sent_between_the_last_event_and_the_end_of_a_response_is_answered() {
-    run(async {
+    run_test(async {
         let (server, router) = router_with_mixed_server().await;
         let (mut client, mut attempt) = send_request(&router, &server, "c2").await;
-        attempt.send(&format!("{STREAM_HEAD}{}", chunk(DONE))).await;
-        client.read_until(DONE).await;
+        attempt
+            .send(&format!("{STREAM_HEAD}{}", encode_chunk(DONE_EVENT)))
+            .await;
+        client.read_until(DONE_EVENT).await;
         client
             .send(&request("c3", "order", "", &"x".repeat(200_000)))
             .await;
@@ -182,7 +186,10 @@
         let (mut attempt, seen) = server.accept_request().await;
         assert!(seen.contains("x-request-id: c3"), "{seen:.300}");
         attempt
-            .send(&format!("{STREAM_HEAD}{}{LAST_CHUNK}", chunk(DONE)))
+            .send(&format!(
+                "{STREAM_HEAD}{}{LAST_CHUNK}",
+                encode_chunk(DONE_EVENT)
+            ))
             .await;
         client.read_until(LAST_CHUNK).await;
     });
@@ -192,7 +199,7 @@
 /// router must detect it all the same.
 #[test]
 fn the_attempt_is_cancelled_when_a_client_disconnects_after_sending_many_unread_bytes() {
-    run(async {
+    run_test(async {
         let (server, router) = router_with_mixed_server().await;
         let (mut client, mut attempt) = send_request(&router, &server, "d1").await;
         client
@@ -210,19 +217,19 @@
 /// accepted.
 #[test]
 fn a_request_that_is_incomplete_when_connections_are_closed_is_not_accepted() {
-    run_paused(async {
+    run_test_with_paused_clock(async {
         let (_server, mut router) = router_with_mixed_server().await;
         let complete = request("e1", "order", "", "{}");
         let mut client = ManualConnection::connect(router.platform).await;
         client.send(&complete[..complete.len() / 2]).await;
         let stopped = Instant::now();
-        router.stop.take().unwrap().send(()).unwrap();
+        router.shutdown_sender.take().unwrap().send(()).unwrap();
         assert_eq!(
             client.read_to_end().await,
             (String::new(), ConnectionEnd::Closed)
         );
         assert!(
-            stopped.elapsed() < shutdown::ACCEPT_SPAN + Duration::from_millis(100),
+            stopped.elapsed() < shutdown::ACCEPT_WINDOW + Duration::from_millis(100),
             "{:?}",
             stopped.elapsed()
         );
@@ -234,7 +241,7 @@
 /// If the request is not accepted, its client must see an orderly close and not a reset.
 #[test]
 fn a_request_on_an_idle_connection_at_the_shutdown_is_answered_or_not_accepted() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(64, Behaviour::Answer).await;
         let mut router = TestRouter::start(vec![endpoint_entry(&server, "mixed", "up")]).await;
         let mut clients = Vec::new();
@@ -246,8 +253,8 @@
             client.read_until(LAST_CHUNK).await;
             clients.push(client);
         }
-        router.stop.take().unwrap().send(()).unwrap();
-        let closing = Instant::now() + shutdown::ACCEPT_SPAN;
+        router.shutdown_sender.take().unwrap().send(()).unwrap();
+        let closing = Instant::now() + shutdown::ACCEPT_WINDOW;
         let calls = clients.into_iter().enumerate().map(|(number, mut client)| {
             spawn_local(async move {
                 let offset = Duration::from_micros(500 * number as u64);
@@ -278,7 +285,7 @@
 /// chunk makes no progress. The router must not take that for a stalled endpoint.
 #[test]
 fn a_client_that_reads_nothing_for_a_while_receives_its_complete_stream() {
-    run(async {
+    run_test(async {
         const CHUNKS: usize = 6;
         let data = "x".repeat(3 << 20);
         let (server, router) = router_with_mixed_server().await;
@@ -286,14 +293,14 @@
         let mut sender = attempt.sender();
         let response = format!(
             "{STREAM_HEAD}{}{}{LAST_CHUNK}",
-            chunk(EVENT),
-            chunk(&data).repeat(CHUNKS)
+            encode_chunk(CHAT_EVENT),
+            encode_chunk(&data).repeat(CHUNKS)
         );
         let sending = spawn_local(async move {
             sender.send_until_closed(&response).await;
             sender
         });
-        client.read_until(EVENT).await;
+        client.read_until(CHAT_EVENT).await;
         tokio::time::sleep(Duration::from_millis(1_300)).await;
         assert!(
             !sending.is_finished(),
@@ -308,12 +315,12 @@
 #[test]
 fn the_first_event_is_forwarded_whichever_line_ends_it_has() {
     for end in ["\n\n", "\r\n\r\n", "\r\r"] {
-        run(async {
+        run_test(async {
             let (server, router) = router_with_mixed_server().await;
             let (mut client, mut attempt) = send_request(&router, &server, "i1").await;
             let event = format!("data: first{end}");
             attempt
-                .send(&format!("{STREAM_HEAD}{}", chunk(&event)))
+                .send(&format!("{STREAM_HEAD}{}", encode_chunk(&event)))
                 .await;
             client.read_until(&event).await;
         });
@@ -322,7 +329,7 @@
 
 #[test]
 fn the_router_stops_only_after_the_kv_state_of_its_last_request_is_released() {
-    run(async {
+    run_test(async {
         let prefill_server = ManualServer::start().await;
         let decode_server = ManualServer::start().await;
         let mut settings = settings_for_attempts_only();
@@ -335,10 +342,10 @@
         let mut client = ManualConnection::connect(router.platform).await;
         client.send(&request("j1", "order", "", "{}")).await;
         let (mut prefill, _) = prefill_server.accept_request().await;
-        router.stop.take().unwrap().send(()).unwrap();
+        router.shutdown_sender.take().unwrap().send(()).unwrap();
         // The prefill succeeds and the decode fails once the router accepts no connections any
         // more, so that the last response is sent at once.
-        tokio::time::sleep(shutdown::ACCEPT_SPAN + Duration::from_millis(100)).await;
+        tokio::time::sleep(shutdown::ACCEPT_WINDOW + Duration::from_millis(100)).await;
         prefill.send(PREFILL_RESPONSE).await;
         let (decode, _) = decode_server.accept_request().await;
         // Gives the router time to make the idle connection to the prefill server available again.
@@ -366,7 +373,7 @@
 /// request is rejected.
 #[test]
 fn a_rejection_is_sent_only_after_the_abandoned_attempt_has_ended() {
-    run(async {
+    run_test(async {
         let prefill_server = ManualServer::start().await;
         let decode_server = ManualServer::start().await;
         let entries = vec![
@@ -392,7 +399,7 @@
 /// the router has read must be answered.
 #[test]
 fn a_request_on_a_connection_that_is_about_to_be_evicted_is_answered() {
-    run(async {
+    run_test(async {
         let server = FakeServer::start(8, Behaviour::Answer).await;
         let router = TestRouter::start_with_settings(
             vec![endpoint_entry(&server, "mixed", "up")],
--- a/crates/router/tests/readiness.rs
+++ b/crates/router/tests/readiness.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use common::{
-    config_file, endpoint_entry, run, run_paused, settings, Behaviour, Client, FakeServer,
-    ManualServer, RawClient, TestRouter,
+    config_file, endpoint_entry, run_test, run_test_with_paused_clock, test_settings, Behaviour,
+    Client, FakeServer, ManualServer, RawClient, TestRouter,
 };
 use cranetack_router::config::Config;
-use cranetack_router::{Extras, Router};
+use cranetack_router::{Router, RouterOptions};
 use serde_json::{json, Value};
 use tokio::task::spawn_local;
 use tokio::time::Instant;
@@ -57,12 +57,14 @@
         undecodable,
         nonexistent_endpoints(2_000),
     ] {
-        run_paused(async {
+        run_test_with_paused_clock(async {
             let discovery = ManualServer::start().await;
-            let mut config = config_file(discovery.address, settings());
+            let mut config = config_file(discovery.address, test_settings());
             config["known"] = restored_list;
             let config = Config::parse(config.to_string().as_bytes()).unwrap();
-            let router = Router::bind(config, Extras::default()).await.unwrap();
+            let router = Router::bind(config, RouterOptions::default())
+                .await
+                .unwrap();
             let address = router.address().unwrap();
             let started = Instant::now();
             spawn_local(router.serve(std::future::pending()));
@@ -82,11 +84,11 @@
 /// must receive the new endpoint list and use the new endpoint.
 #[test]
 fn idle_clients_up_to_the_limit_block_neither_discovery_nor_requests() {
-    run(async {
+    run_test(async {
         let old = FakeServer::start(4, Behaviour::Answer).await;
         let new = FakeServer::start(4, Behaviour::Answer).await;
         let router = TestRouter::start(vec![endpoint_entry(&old, "mixed", "up")]).await;
-        router.discovery.silent.set(true);
+        router.discovery.ignores_watches.set(true);
         // Of the 64 file descriptors, 32 are reserved. Connections to endpoints and clients have 16
         // each, and the clients of the two APIs 8 each.
         let mut idle = Vec::new();
@@ -98,7 +100,7 @@
             endpoint_entry(&new, "mixed", "up"),
         ]);
         router.discovery.close_connections();
-        router.discovery.silent.set(false);
+        router.discovery.ignores_watches.set(false);
         while new.count_started("/v1/chat/completions") == 0 {
             idle.push(RawClient::connect(router.platform).await);
             let id = format!("k{}", idle.len());
--- a/crates/routing-policy/src/policy.rs
+++ b/crates/routing-policy/src/policy.rs
@@ -96,16 +96,16 @@
                 self.receive_load(endpoint, load);
                 self.on_attempt_ended(id, attempt, outcome, client_done);
             }
-            Event::SlotReservationAnswered { id, granted, .. } => {
-                self.on_slot_reservation_answered(id, granted);
+            Event::SlotReservationCompleted { id, granted, .. } => {
+                self.on_slot_reservation_completed(id, granted);
             }
             Event::GossipReceived { from, payload } => self.on_gossip(from, &payload),
             Event::ClientDisconnected(id) => self.on_client_disconnected(id),
             Event::ShutdownStarted {
                 migrate_from,
-                answer_by,
+                respond_by,
             } => {
-                self.shutdown = Some(Shutdown::new(migrate_from, answer_by, ANNOUNCEMENT_COUNT));
+                self.shutdown = Some(Shutdown::new(migrate_from, respond_by, ANNOUNCEMENT_COUNT));
             }
             Event::TimerFired(key) => self.on_timer(key),
             Event::HealthChecked {
--- a/crates/routing-policy/tests/decision_trace/course.rs
+++ b/crates/routing-policy/tests/decision_trace/course.rs
@@ -200,7 +200,7 @@
             Change::Shutdown { from, by } => {
                 self.deliver(Event::ShutdownStarted {
                     migrate_from: now + from,
-                    answer_by: now + by,
+                    respond_by: now + by,
                 });
             }
             Change::RecordStatuses => self.record_statuses(),
@@ -288,7 +288,7 @@
                 let after = self.random_millis(2, 12);
                 self.schedule(
                     after,
-                    Event::SlotReservationAnswered {
+                    Event::SlotReservationCompleted {
                         id,
                         endpoint,
                         granted: is_granted,
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -11,8 +11,8 @@
 
 use crate::error::WireError;
 use crate::fields::Fields;
-use crate::instance::RouterPolicy;
 use crate::names::stable_hash;
+use crate::router_policy::RouterPolicy;
 
 /// The entries of each endpoint catalog, by the number of the catalog.
 pub(crate) type Catalogs = BTreeMap<u64, Vec<CatalogEntry>>;
@@ -141,7 +141,7 @@
     }
 
     fn decode_slot_reservation(&mut self, fields: &Fields) -> Result<Event, WireError> {
-        Ok(Event::SlotReservationAnswered {
+        Ok(Event::SlotReservationCompleted {
             id: self.decode_request_id(fields, 0)?,
             granted: match fields.int(1)? {
                 1 => true,
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -18,14 +18,15 @@
 pub use endpoint_entry::endpoint_entry_at;
 pub use fake_discovery::FakeDiscovery;
 pub use fake_server::{
-    endpoint_entry, Behaviour, FakeServer, MalformedResponse, Observation, DONE, EVENT, FINISH,
+    endpoint_entry, Behaviour, FakeServer, MalformedResponse, Observation, CHAT_EVENT, DONE_EVENT,
+    FINISH_EVENT,
 };
 pub use manual_server::{
-    chunk, ConnectionEnd, ManualConnection, ManualSender, ManualServer, LAST_CHUNK,
+    encode_chunk, ConnectionEnd, ManualConnection, ManualSender, ManualServer, LAST_CHUNK,
     PREFILL_RESPONSE, STREAM_HEAD,
 };
 pub use raw_client::RawClient;
 pub use response::FakeResponse;
-pub use runtime::{run, run_paused, TEST_TIMEOUT};
+pub use runtime::{run_test, run_test_with_paused_clock, TEST_TIMEOUT};
 pub use scripted_server::{start_scripted_server, ScriptedServer};
-pub use settings::settings;
+pub use settings::test_settings;
