--- a/crates/routing-policy/tests/decision_trace/course.rs
+++ b/crates/routing-policy/tests/decision_trace/course.rs
@@ -141,10 +141,7 @@
                     self.deliver(Event::TimerFired(timer.1));
                 }
                 (_, Some(key)) => {
-                    let event = self
-                        .pending
-                        .remove(&key)
-                        .expect("the key was just read from the pending events");
+                    let event = self.pending.remove(&key).expect("the key is pending");
                     self.deliver(event);
                 }
                 _ => return,
@@ -154,10 +151,7 @@
 
     fn change(&mut self, change: Change) {
         let patch = |course: &mut Course, id: u64, edit: &dyn Fn(&mut EndpointSpec)| {
-            let spec = course
-                .endpoints
-                .get_mut(&id)
-                .expect("the endpoint belongs to the course");
+            let spec = course.endpoints.get_mut(&id).expect("the endpoint exists");
             edit(spec);
             let specs = vec![*spec];
             course.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(specs)));
@@ -351,10 +345,7 @@
             number,
             endpoint,
         };
-        let kind = self
-            .endpoints
-            .get(&endpoint.0)
-            .map_or(0, |spec| spec.kind.0);
+        let kind = self.endpoints.get(&endpoint.0).map_or(0, |s| s.kind.0);
         if kind == PREFILL_KIND {
             self.prefill_endpoints.insert(id.0, endpoint.0);
         }
@@ -403,8 +394,7 @@
         self.end_directly(attempt, after.min(expires_after), outcome);
     }
 
-    /// Schedules the start and the end of a stream. One stream in twelve breaks before it
-    /// completes.
+    /// Schedules the start and the end of a stream. One stream in twelve breaks.
     fn stream(&mut self, attempt: AttemptKey, prefill_time: Micros) {
         let starts_after = prefill_time / 4 + self.random_millis(5, 120);
         let started = Event::StreamStarted {
@@ -469,8 +459,8 @@
         }
     }
 
-    /// Replaces the pending events of an attempt by its cancellation. Without a `number`, this is
-    /// the attempt of the request that has the next pending event, and its stream is migrated.
+    /// Replaces the pending events of an attempt by its cancellation. If `number` is `None`, the
+    /// request's stream is migrated: its attempt is the one with the next pending event.
     fn cancel(&mut self, id: RequestId, number: Option<u32>) {
         let is_meant = |attempt: &AttemptKey| {
             attempt.id == id && number.is_none_or(|number| number == attempt.number)
