--- a/crates/routing-policy/src/admission.rs
+++ b/crates/routing-policy/src/admission.rs
@@ -11,8 +11,8 @@
 use crate::policy::Policy;
 use crate::requests::Request;
 
-/// The share of the mean time to first token that must be left to a request after its wait in the
-/// queue, or it is not kept there: few responses start sooner.
+/// Share of the mean time to first token that a request must have left after its expected wait in
+/// the queue. With less it gets its final response at once, because few responses start sooner.
 const MIN_FIRST_TOKEN_SHARE: f64 = 0.5;
 /// The factor that turns a priority weight into an integer: weights are compared in thousandths.
 const PRIORITY_RESOLUTION: f64 = 1000.0;
--- a/crates/routing-policy/src/config.rs
+++ b/crates/routing-policy/src/config.rs
@@ -54,7 +54,9 @@
     /// The time for which endpoints discard repetitions of a keyed request, counted from the first
     /// send that may have been executed.
     pub dedup_window: Option<Micros>,
-    /// The priority weight of the class: queued requests with a higher weight are sent first.
+    /// The priority weight of the class. In the queue, requests with KV state come first, then
+    /// requests that are in time, whatever their weight. Within these groups, a higher weight comes
+    /// first.
     pub priority_weight: Option<f64>,
 }
 
--- a/crates/routing-policy/src/endpoints.rs
+++ b/crates/routing-policy/src/endpoints.rs
@@ -82,8 +82,8 @@
     pub(crate) slot_refused_at: Micros,
     /// The latest send time among the attempts that the endpoint has responded to.
     pub(crate) latest_responded_send: Micros,
-    /// The time at which the oldest health check that waits for a response was sent; `Micros::MAX`
-    /// if none waits. A successful health check or a response to an attempt clears it.
+    /// The send time of the first health check since a health check last succeeded or the endpoint
+    /// last responded to an attempt; `Micros::MAX` if none was sent since.
     pub(crate) unresponsive_since: Micros,
 }
 
@@ -112,7 +112,8 @@
     }
 
     /// Discards what was known of an earlier process of the endpoint. If the endpoint is in slow
-    /// start, the first send to it waits for the fraction `first_wait` of a send interval.
+    /// start, the first send to it waits for the fraction `first_wait` of a send interval, unless
+    /// it is of [`crate::slow_start::SendKind::Affinity`].
     fn reset_after_start(&mut self, now: Micros, first_wait: f64) {
         self.prefix_cache = PrefixCache::default();
         self.load = None;
@@ -188,7 +189,7 @@
     }
 
     /// Drops removed endpoints that have nothing in flight. Endpoints are replaced by others for as
-    /// long as the router runs, so the table would grow without bound.
+    /// long as the router runs, so the table would otherwise grow without bound.
     fn drop_removed_endpoints(&mut self) {
         self.entries.retain(|_, endpoint| {
             endpoint.spec.state != EndpointState::Removed || endpoint.has_work_in_flight()
--- a/crates/routing-policy/src/health_check.rs
+++ b/crates/routing-policy/src/health_check.rs
@@ -1,7 +1,8 @@
-//! Health checks of endpoints, where only health checks contain load reports.
+//! Health checks of endpoints. They are sent only if load reports come with health checks alone.
 //!
-//! The router checks an endpoint before it sends a request there if the load report is old, and all
-//! endpoints in turn. The checks also show when an endpoint has stopped responding.
+//! The router checks the prefill endpoint of a lane before it sends a request there if its load
+//! report is old, and it checks all endpoints in turn. The checks also show when an endpoint has
+//! stopped responding.
 
 use crate::actions::Action;
 use crate::events::{LoadReport, Outcome};
@@ -79,8 +80,8 @@
         }
     }
 
-    /// Sends a health check if health checks contain load reports and the budget allows it. Returns
-    /// whether it was sent.
+    /// Sends a health check if load reports come with health checks alone and the budget allows it.
+    /// Returns whether it was sent.
     fn send_health_check(&mut self, id: EndpointId) -> bool {
         if !self.parameters.health_checks_report_load || self.health_check_budget.is_empty() {
             return false;
--- a/crates/routing-policy/src/kv_lease.rs
+++ b/crates/routing-policy/src/kv_lease.rs
@@ -10,8 +10,8 @@
 pub(crate) struct KvLease {
     /// The endpoint that holds the KV state.
     pub(crate) endpoint: EndpointId,
-    /// The time at which the lease began: the end of the prefill, or of a later attempt to fetch
-    /// the KV state for which a connection was established.
+    /// The time at which the lease began: the end of the prefill, or of the last attempt to fetch
+    /// the KV state that ended otherwise than with a connect failure.
     pub(crate) since: Micros,
 }
 
--- a/crates/routing-policy/src/lane_selection/affinity.rs
+++ b/crates/routing-policy/src/lane_selection/affinity.rs
@@ -19,11 +19,11 @@
 use crate::random::{mix, uniform};
 use crate::slow_start::SendKind;
 
-/// Factor from the excess of the local zone's late share over that of other zones, beyond
-/// [`CROSS_ZONE_MARGIN`], to the share of sessions whose target may lie in any zone.
+/// Ratio between the share of sessions whose target may lie in any zone and the amount by which the
+/// local zone's late share exceeds that of other zones plus [`CROSS_ZONE_MARGIN`].
 const CROSS_ZONE_GAIN: f64 = 3.0;
-/// Excess of the local zone's late share up to which targets stay in the zone, because requests to
-/// other zones have a cost.
+/// Excess of the local zone's late share over that of other zones up to which targets stay in the
+/// zone, because requests to other zones have a cost.
 const CROSS_ZONE_MARGIN: f64 = 0.05;
 /// Share by which the late share of a zone or role decays with each prefill at the other one,
 /// because a late share that is not updated may be out of date.
@@ -31,11 +31,11 @@
 /// Weight of a mixed endpoint as an affinity target. A prefill endpoint has a weight of 1 if there
 /// is one decode endpoint for each prefill endpoint.
 const MIXED_TARGET_WEIGHT: f64 = 0.6;
-/// Number of affinity targets of a shared prefix for each endpoint that the prefix's share of all
-/// requests would fill.
+/// Number of affinity targets of a shared prefix, as a multiple of the endpoints that its requests
+/// would fill: the prefix's share of all requests times the number of eligible endpoints.
 const TARGETS_PER_FILLED_ENDPOINT: f64 = 2.0;
-/// Minimum number of requests by which the count of a prefix is divided for its share, because one
-/// request out of a few says little.
+/// Minimum number of recent requests that is assumed when the share of a prefix is computed. Among
+/// fewer requests, the share of a prefix says little.
 const MIN_REQUESTS_FOR_SHARE: f64 = 45.0;
 
 /// Moving averages of the share of late prefills, by zone and by the role of the endpoint, over the
@@ -132,8 +132,9 @@
         self.parameters.zone == Some(endpoint.spec.zone)
     }
 
-    /// Returns the affinity target of a request's session, or `None` if the request has no session
-    /// or an open endpoint is known to have cached a prompt of it.
+    /// Returns the affinity target of a request's session, or `None` if the request has no session,
+    /// an open endpoint is known to have cached a prompt of the session, or no endpoint that
+    /// processes prompts is open.
     pub(crate) fn affinity_target(
         &self,
         spec: &RequestSpec,
--- a/crates/routing-policy/src/lane_selection/lanes.rs
+++ b/crates/routing-policy/src/lane_selection/lanes.rs
@@ -30,7 +30,8 @@
 /// Limit on how far apart the endpoints of a lane may be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum PairingScope {
-    /// Both endpoints of a lane are in the same [`LaneCandidate::group`].
+    /// Both endpoints of a lane are in the same [`LaneCandidate::group`]. A decode endpoint whose
+    /// group is its zone is also paired with prefill endpoints whose group is its cell.
     Narrowest,
     /// Both endpoints of a lane are in the same cell.
     Cell,
@@ -167,7 +168,7 @@
     }
 }
 
-/// Returns the best lane whose sides are in the same group of a scope.
+/// Returns the best lane that a scope allows among the candidates that the selection includes.
 fn best_within(
     prefill: &[LaneCandidate],
     decode: &[LaneCandidate],
--- a/crates/routing-policy/src/lane_selection/mod.rs
+++ b/crates/routing-policy/src/lane_selection/mod.rs
@@ -44,8 +44,8 @@
         )
     }
 
-    /// Returns the decode endpoint for KV state that waits at `prefill`: the one with the reserved
-    /// slot if it accepts the request, otherwise the best by the lane score.
+    /// Returns the decode endpoint for KV state that waits at `prefill`: the planned one if it
+    /// accepts the request, otherwise the best by the lane score.
     pub(crate) fn choose_decode_endpoint(
         &mut self,
         id: RequestId,
@@ -54,9 +54,9 @@
         let salt = self.rng.next_u64();
         let request = self.requests.get(&id)?;
         let prefill_endpoint = self.endpoints.get(prefill)?;
-        let reserved = request.planned_decode_endpoint;
-        if let Some(reserved) = reserved.filter(|id| self.accepts(*id, request, SendKind::Any)) {
-            return Some(reserved);
+        let planned = request.planned_decode_endpoint;
+        if let Some(planned) = planned.filter(|id| self.accepts(*id, request, SendKind::Any)) {
+            return Some(planned);
         }
         let fleet = self.fleet_view();
         let no_contribution = score::Contribution::default();
--- a/crates/routing-policy/src/lane_selection/score.rs
+++ b/crates/routing-policy/src/lane_selection/score.rs
@@ -1,5 +1,5 @@
-//! The lane score, S = 0.4 C + 0.1 (1 - M) + 0.3 (1 - Q) + 0.2 (1 - L), and the bound on M/100 + 2
-//! Q above which a lane is overloaded.
+//! The lane score, S = 0.4 C + 0.1 (1 - M) + 0.3 (1 - Q) + 0.2 (1 - L), and the bound above which
+//! a lane is overloaded, which applies to M/100 + 2 Q.
 //!
 //! Both are from StreamServe's FlowGuard, section 3.3. C is the cached share of the prompt and Q
 //! the share of the queue in use at the prefill endpoint. M is the share of memory and L the share
@@ -31,8 +31,8 @@
 
 /// Weight of this router's prefills in flight at which an endpoint's queue counts as full.
 const FULL_QUEUE_PREFILL_WEIGHT: f64 = 8.0;
-/// Weight, relative to the mean prefill, of a prefill whose prompt is wholly cached: it still takes
-/// a step of the endpoint and the hand-over of the KV state.
+/// Weight, relative to the mean prefill, of a prefill whose prompt is wholly cached: the endpoint
+/// still runs a scheduling step for it and hands over its KV state.
 const MIN_PREFILL_WEIGHT: f64 = 0.2;
 /// Time for which a decode endpoint counts as full after it has refused a slot reservation.
 const SLOT_REFUSAL_DURATION: Micros = 1_000_000;
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Returns whether the load report of an endpoint, if it has one, is recent enough and no
-    /// health check has waited for a response longer than [`CHECK_TIMEOUT`].
+    /// Returns whether the load report of an endpoint, if it has one, is recent enough, and less
+    /// than [`CHECK_TIMEOUT`] has passed since [`Endpoint::unresponsive_since`].
     fn is_fresh(&self, endpoint: &Endpoint) -> bool {
         let stale_intervals = STALE_SEND_INTERVALS * self.traffic_estimates.arrival_interval();
         let stale_after = STALE_AFTER.max(stale_intervals * self.endpoints.entries.len() as f64);
--- a/crates/routing-policy/src/load_report.rs
+++ b/crates/routing-policy/src/load_report.rs
@@ -47,8 +47,9 @@
         }
     }
 
-    /// Returns a value between the reported one and the mean of all endpoints. The older the report
-    /// is, the less it says about its endpoint and the closer the result is to the mean.
+    /// Returns a value between the reported one and `mean`, or `mean` if nothing is reported. The
+    /// older the report is, the less it says about its endpoint and the closer the result is to
+    /// `mean`.
     pub(crate) fn age_adjusted_load(
         &self,
         endpoint: &Endpoint,
