--- a/crates/routing-policy/src/concurrency.rs
+++ b/crates/routing-policy/src/concurrency.rs
@@ -27,9 +27,11 @@
 const MAX_PREFILL_LIMIT: f64 = 8.0;
 /// Initial and maximum limit of an endpoint on streams.
 const MAX_STREAM_LIMIT: f64 = 1_000.0;
-/// Minimum total limit of all routers on weighted prefills, for each endpoint that takes prefills.
+/// Minimum of the total limit on weighted prefills, summed over all routers, for each endpoint that
+/// takes prefills. Each router has an equal part of it.
 const MIN_TOTAL_PREFILLS: f64 = 12.0;
-/// Minimum total limit of all routers on streams, for each endpoint that takes streams.
+/// Minimum of the total limit on streams, summed over all routers, for each endpoint that takes
+/// streams. Each router has an equal part of it.
 const MIN_TOTAL_STREAMS: f64 = 24.0;
 /// Share of late responses above which a resource at all endpoints together counts as overloaded.
 const OVERLOAD_LATE_SHARE: f64 = 0.3;
@@ -68,7 +70,8 @@
         }
     }
 
-    /// Returns the minimum total limit of all routers, for each endpoint that uses the resource.
+    /// Returns the minimum of the total limit on the resource, summed over all routers, for each
+    /// endpoint that uses the resource.
     fn min_total_per_endpoint(self) -> f64 {
         match self {
             Resource::Prefill => MIN_TOTAL_PREFILLS,
--- a/crates/routing-policy/src/dispatch.rs
+++ b/crates/routing-policy/src/dispatch.rs
@@ -87,8 +87,9 @@
         }
     }
 
-    /// Sends a request to an endpoint that takes this role for it. Returns false if the request may
-    /// not be sent there.
+    /// Sends a request to an endpoint that takes this role for it. `decode_endpoint` is the decode
+    /// endpoint of the lane if the attempt is a prefill at another endpoint. Returns false if the
+    /// request may not be sent to `to`.
     fn send(
         &mut self,
         id: RequestId,
@@ -235,9 +236,10 @@
             && !endpoint.ejections.apply_to(request.spec.class, self.now)
     }
 
-    /// The time by which another attempt of the request must be written so that it cannot repeat an
-    /// effect; `None` if no attempt may be made. If `to` is given, whatever its role, the time is
-    /// for an attempt at that endpoint, else for one at any endpoint.
+    /// The time by which the next attempt of the request, which may be its first, must be written
+    /// so that it cannot repeat an effect; `None` if no attempt may be made now. If `to` is given,
+    /// whatever its role, the time is for an attempt at that endpoint, else for one at any
+    /// endpoint.
     pub(crate) fn retry_deadline(
         &self,
         request: &Request,
--- a/crates/routing-policy/src/estimators.rs
+++ b/crates/routing-policy/src/estimators.rs
@@ -9,7 +9,8 @@
 pub(crate) const REQUEST_SMOOTHING: f64 = 0.05;
 /// Smoothing factor of the moving average of the interval between dequeued requests.
 const DEQUEUE_SMOOTHING: f64 = 0.2;
-/// Multiple of the mean time to first token within which two in three requests get theirs.
+/// Factor by which the mean time to first token is multiplied to get a time that about two in three
+/// requests do not exceed.
 const FIRST_TOKEN_MARGIN: f64 = 1.3;
 /// Time constant with which the sums of completed work decay.
 const COMPLETED_WORK_TIME_CONSTANT: Micros = 10_000_000;
@@ -228,8 +229,9 @@
         ((self.dequeue_interval + overdue * DEQUEUE_SMOOTHING) * requests as f64) as Micros
     }
 
-    /// Returns the time from the first send to the first token that two in three requests do not
-    /// exceed.
+    /// Returns the mean time from the first send to the first token times [`FIRST_TOKEN_MARGIN`],
+    /// which about two in three requests do not exceed. The moving average starts at 0, so the
+    /// result is too low until some streams have started.
     pub(crate) fn likely_time_to_first_token(&self) -> Micros {
         self.time_to_first_token_with_margin as Micros
     }
--- a/crates/routing-policy/src/events.rs
+++ b/crates/routing-policy/src/events.rs
@@ -159,7 +159,7 @@
 /// An event, which is delivered with the time at which it happened.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The endpoint list has changed.
+    /// An update of the endpoint list has arrived, or a poll of the list has failed.
     EndpointsUpdated(EndpointUpdate),
     /// A request has arrived.
     RequestArrived(RequestSpec),
@@ -195,7 +195,8 @@
     SlotReservationCompleted {
         /// The request that the slot is for.
         id: RequestId,
-        /// The endpoint of the prefill attempt during which the slot was requested.
+        /// The prefill or the decode endpoint of the lane, depending on the driver. The policy does
+        /// not use it.
         endpoint: EndpointId,
         /// Whether the slot is reserved.
         granted: bool,
--- a/crates/routing-policy/src/gossip.rs
+++ b/crates/routing-policy/src/gossip.rs
@@ -42,19 +42,21 @@
         }
     }
 
-    fn peers_to_notify(&self) -> u32 {
+    /// The number of peers that this router notifies of its shutdown. Equally many notify this
+    /// router of theirs.
+    fn notified_peer_count(&self) -> u32 {
         self.parameters.peer_count.min(MAX_PEERS_NOTIFIED)
     }
 
-    /// Whether at least one of the peers that notify this router of their shutdown still serves
-    /// clients.
+    /// Whether fewer peers are known to be shutting down than notify this router of their shutdown.
+    /// Peers that have sent no gossip count as available, even if gossip is disabled.
     pub(crate) fn has_available_peer(&self) -> bool {
-        self.peers.unavailable_count(self.now) < self.peers_to_notify() as usize
+        self.peers.unavailable_count(self.now) < self.notified_peer_count() as usize
     }
 
     /// Notifies some peers, spread evenly over all of them, that this router is shutting down.
     pub(crate) fn announce_shutdown(&mut self) {
-        let notified_count = self.peers_to_notify();
+        let notified_count = self.notified_peer_count();
         if notified_count == 0 {
             return;
         }
--- a/crates/routing-policy/src/idempotency.rs
+++ b/crates/routing-policy/src/idempotency.rs
@@ -66,7 +66,8 @@
         self.idempotency
     }
 
-    /// The time by which another attempt must be written so that the request is not executed twice;
+    /// The time by which the next attempt must be written so that the request is not executed
+    /// twice; `Micros::MAX` if no attempt may have been executed or a repetition is harmless,
     /// `None` if no attempt may be made. If `to` is given, whatever its role, the time is for an
     /// attempt at that endpoint, else for one at any endpoint.
     pub fn retry_deadline(
--- a/crates/routing-policy/src/ids.rs
+++ b/crates/routing-policy/src/ids.rs
@@ -41,7 +41,7 @@
 /// The purpose of a timer. The driver returns it in [`crate::Event::TimerFired`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TimerKey {
-    /// The periodic check of timeouts, endpoints and queued requests.
+    /// The policy's periodic work: overdue attempts, the queue, a shutdown and health checks.
     Tick,
     /// The next poll of the endpoint list.
     PollEndpoints,
--- a/crates/routing-policy/src/parameters.rs
+++ b/crates/routing-policy/src/parameters.rs
@@ -5,7 +5,9 @@
 use crate::idempotency::RetryRule;
 use crate::ids::{ClassId, KindId, Micros, ZoneId};
 
-/// Interval between the periodic checks of attempts, health checks and queued requests.
+/// Interval of the policy's periodic work, in microseconds: it looks for overdue attempts, advances
+/// the queue and a shutdown, and sends the next health check. It is also the default event
+/// interval, and the lower bound of the poll interval and of `Retry-After`.
 pub(crate) const TICK: Micros = 50_000;
 
 const DEFAULT_LATENCY_OBJECTIVE: Micros = 2_000_000;
--- a/crates/routing-policy/src/policy.rs
+++ b/crates/routing-policy/src/policy.rs
@@ -18,7 +18,8 @@
 use crate::requests::Request;
 use crate::shutdown::Shutdown;
 
-/// The stream selector of the random number generator.
+/// The stream selector of the random number generator. It is arbitrary, but another value changes
+/// the decisions for every seed.
 const RNG_STREAM: u64 = 0xda3e_39cb_94b9_5bdb;
 
 /// The policy of one router: takes events from the driver and returns actions.
--- a/crates/routing-policy/src/requests.rs
+++ b/crates/routing-policy/src/requests.rs
@@ -15,7 +15,7 @@
 pub(crate) enum Overdue {
     /// The attempt has not been found to be overdue.
     No,
-    /// The attempt is overdue, and the concurrency limit of its endpoint has been decreased for it.
+    /// The attempt is overdue and has been recorded as late.
     Recorded,
     /// The attempt is overdue and has been cancelled.
     Cancelled,
--- a/crates/routing-policy/src/shutdown.rs
+++ b/crates/routing-policy/src/shutdown.rs
@@ -30,10 +30,12 @@
 }
 
 impl Policy {
-    /// Advances a shutdown of this router at a tick. Announces the shutdown to peers, and from
-    /// `migrate_from` on migrates some resumable streams, the newest first, unless all peers that
-    /// notify this router of their shutdown are shutting down too. From `respond_by` on, migrates
-    /// all resumable streams and gives all requests without a stream their final response.
+    /// Advances a shutdown of this router at a tick. If gossip is enabled, notifies peers in the
+    /// first `ANNOUNCEMENT_COUNT` ticks. If streams are resumable, migrates up to
+    /// [`MAX_MIGRATIONS_PER_TICK`] streams in each tick from `migrate_from` on, the newest first,
+    /// unless all peers that notify this router of their shutdown are shutting down too. From
+    /// `respond_by` on, migrates all resumable streams at once and gives all requests without a
+    /// stream their final response.
     pub(crate) fn continue_shutdown(&mut self) {
         let Some(shutdown) = self.shutdown.as_mut() else {
             return;
--- a/crates/routing-policy/src/slow_start.rs
+++ b/crates/routing-policy/src/slow_start.rs
@@ -1,9 +1,9 @@
 //! Slow start: limits how much is sent to an endpoint that has started recently.
 //!
 //! An endpoint that has just started has only a part of its capacity, and is overloaded if all
-//! routers together send it more than a multiple of that part. Each router therefore waits between
-//! its sends to such an endpoint for an interval that keeps the sum over all routers within the
-//! budget.
+//! routers together send it more than a multiple of that part, here called its budget. Each router
+//! therefore waits between its sends to such an endpoint for an interval that keeps the sum over
+//! all routers within the budget.
 
 use crate::config::Role;
 use crate::endpoints::Endpoint;
@@ -29,8 +29,8 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct SendTurn {
     since: Micros,
-    /// Length of the wait as a multiple of the send interval.
-    fraction: f64,
+    /// Length of the wait in send intervals.
+    intervals: f64,
 }
 
 /// The waits for the next send of each kind to an endpoint in slow start.
@@ -47,21 +47,21 @@
         SendTurns {
             any: SendTurn {
                 since: now,
-                fraction: first_fraction,
+                intervals: first_fraction,
             },
             affinity: SendTurn {
                 since: now,
-                fraction: 0.0,
+                intervals: 0.0,
             },
         }
     }
 
-    /// Returns the waits after a send. `fraction` is the expected work of the request as a multiple
-    /// of the mean work.
-    pub(crate) fn after_send(now: Micros, fraction: f64) -> SendTurns {
+    /// Returns the waits after a send. `intervals` is the expected work of the request as a
+    /// multiple of the mean work, because the send interval is the one for mean work.
+    pub(crate) fn after_send(now: Micros, intervals: f64) -> SendTurns {
         let turn = SendTurn {
             since: now,
-            fraction,
+            intervals,
         };
         SendTurns {
             any: turn,
@@ -90,10 +90,12 @@
 
     fn next_send(&self, endpoint: &Endpoint, kind: SendKind) -> Micros {
         let turn = endpoint.send_turns.get(kind);
-        turn.since + (self.send_interval(endpoint) * turn.fraction) as Micros
+        turn.since + (self.send_interval(endpoint) * turn.intervals) as Micros
     }
 
-    /// Returns the minimum share of its capacity that an endpoint has by now.
+    /// Returns the share of its whole capacity that an endpoint has by now at least. It grows
+    /// linearly from the cold capacity to 1 during the warm-up, and is 1 if the start time is not
+    /// known.
     pub(crate) fn warm_fraction(&self, endpoint: &Endpoint) -> f64 {
         let Some(started_at) = endpoint.spec.started_at.filter(|at| *at > 0) else {
             return 1.0;
