--- a/crates/routing-policy/tests/fleet_sums.rs
+++ b/crates/routing-policy/tests/fleet_sums.rs
@@ -34,7 +34,7 @@
 }
 
 /// The limit applies to the sum over all routers, whether there is one router or hundreds, whether
-/// they have just started or get several times the mean load, and also during a burst.
+/// they have just started or one gets several times the load of each other, and during a burst.
 #[test]
 fn all_routers_together_keep_a_cold_endpoint_within_its_budget() {
     for routers in [1, 3, 20, 30, 300] {
@@ -81,8 +81,9 @@
     }
 }
 
-/// With spare capacity, hardly any request is rejected: neither the longest prompts nor all
-/// requests of a session, even at a router that gets several times the mean load.
+/// With spare capacity, at most one request in a hundred is rejected, at most one of the longest
+/// prompts, and never all requests of a session, even if one router gets several times the load of
+/// each other.
 #[test]
 fn a_fleet_with_spare_capacity_rejects_hardly_any_request() {
     for routers in [3, 30] {
--- a/crates/routing-policy/tests/rules.rs
+++ b/crates/routing-policy/tests/rules.rs
@@ -77,8 +77,8 @@
     }
 }
 
-/// Advances the clock by one step. Attempts whose deadline has passed time out, as the driver would
-/// have it.
+/// Advances the clock by one step, and ends the attempts whose deadline has passed with a timeout,
+/// as a real driver does.
 fn advance(driver: &mut Driver, model: &mut Model) {
     for (at, action) in driver.advance(TIME_STEP) {
         model.check(at, &[action]);
--- a/crates/routing-policy/tests/rules/model.rs
+++ b/crates/routing-policy/tests/rules/model.rs
@@ -284,8 +284,8 @@
         );
     }
 
-    /// Ends the attempt in flight of a request. Where its endpoint may not report `outcome`, the
-    /// attempt ends with a similar one that it may.
+    /// Ends the attempt in flight of a request. If its endpoint may not report `outcome`, the
+    /// attempt ends with a similar outcome that the endpoint may report.
     pub(crate) fn finish(&mut self, now: Micros, id: u32, outcome: Outcome, detail: u64) -> Event {
         let attempt = self.in_flight.remove(&id).unwrap();
         let is_prefill = kind_of(attempt.endpoint) == 0;
--- a/crates/routing-policy/tests/shutdown.rs
+++ b/crates/routing-policy/tests/shutdown.rs
@@ -163,8 +163,9 @@
     );
 }
 
-/// Messages from all routers to all others would cost more than the requests: 300 routers that were
-/// restarted one after another notified each of the others 46 times.
+/// If every router notified all others, the number of messages would grow with the square of the
+/// number of routers. When 300 routers are restarted one after another, each would notify each of
+/// the others 46 times, which would cost more than the requests.
 #[test]
 fn shutdown_gossip_grows_linearly_with_the_fleet_and_is_spread_evenly() {
     for (router_count, peer_count) in [(2, 1), (3, 2), (4, 3), (5, 3), (30, 3), (100, 3), (300, 3)]
--- a/crates/routing-policy/tests/slow_start.rs
+++ b/crates/routing-policy/tests/slow_start.rs
@@ -77,8 +77,8 @@
 #[test]
 fn many_routers_together_do_not_overload_a_restarted_endpoint() {
     // Each of the two warm prefill endpoints carries half of all requests meanwhile. In two
-    // seconds, the cold one can bear 2.5 times its warm fraction of that, which is a quarter at
-    // first and the whole after 13 s.
+    // seconds, the cold one can bear 2.5 times what a warm one carries, times its warm fraction.
+    // That fraction is 0.25 at first and 1 after 13 s.
     for router_count in [3, 120] {
         let (sent, worst) = most_sends_to_a_cold_endpoint(router_count);
         assert!(
