--- a/crates/batch-scheduler/src/deficit_round_robin.rs
+++ b/crates/batch-scheduler/src/deficit_round_robin.rs
@@ -1,5 +1,6 @@
-//! Deficit round robin over tokens. Every flow sends the same number of tokens over time, whatever
-//! the number of its batches and the size of their slices. Within a flow, batches take turns.
+//! Deficit round robin over tokens. All flows that have ready batches send the same number of
+//! tokens over time, whatever the number of their batches and the size of the slices. Within a
+//! flow, batches take turns.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -51,7 +52,7 @@
 #[derive(Debug)]
 pub struct DeficitRoundRobin {
     quantum: i64,
-    /// Flows that are in the ring or in debt.
+    /// Flows that are in the ring, and flows that left it with a debt.
     flows: HashMap<Flow, FlowState>,
     /// Flows with ready batches, in the order of their turns. The first one has the current turn.
     ring: VecDeque<Flow>,
@@ -138,16 +139,17 @@
     }
 
     /// Skips the rounds in which no flow in the ring could send: as many as the flow with the least
-    /// debt needs before it can send again. Reduces all debts by the quanta of these rounds.
+    /// debt needs before it can send again. Adds the quanta of these rounds to all flows with a
+    /// debt, also to those outside the ring, up to a deficit of 0.
     fn skip_rounds_without_sender(&mut self) {
-        let least_debt = self
+        let highest_deficit = self
             .ring
             .iter()
             .filter_map(|flow| self.flows.get(flow))
             .map(|state| state.deficit)
             .max()
             .unwrap_or(0);
-        let rounds = -least_debt / self.quantum;
+        let rounds = -highest_deficit / self.quantum;
         for state in self.flows.values_mut() {
             if state.deficit < 0 {
                 state.deficit = (state.deficit + rounds * self.quantum).min(0);
@@ -155,7 +157,8 @@
         }
     }
 
-    /// Returns the number of flows that have ready batches or a debt.
+    /// Returns the number of flows that are kept: those in the ring, and those that left it with a
+    /// debt.
     pub fn flow_count(&self) -> usize {
         self.flows.len()
     }
--- a/crates/batch-scheduler/src/scheduler.rs
+++ b/crates/batch-scheduler/src/scheduler.rs
@@ -276,8 +276,8 @@
         }
     }
 
-    /// Updates the concurrency window or the model of slice durations after a failure. Returns
-    /// whether this kind of failure permits a retry of the slice.
+    /// Updates the concurrency window after a rejection, and the model of slice durations after
+    /// [`SliceFailure::Failed`]. Returns whether the failure permits a retry of the slice.
     fn record_failure(&mut self, now: Micros, id: BatchId, failure: SliceFailure) -> bool {
         match failure {
             SliceFailure::Rejected { .. } => {
