--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -75,7 +75,8 @@
 
     /// Runs until all handles have been dropped.
     pub async fn run(mut self, mut events: mpsc::UnboundedReceiver<CoreEvent>) {
-        // The policy sets its first timer in response to its first event, so it gets an empty one.
+        // The policy returns its first timers with the actions of its first event, so it gets an
+        // event that changes nothing.
         self.catching_panics(|core| {
             core.handle_policy_event(Event::EndpointsUpdated(EndpointUpdate::Delta(Vec::new())));
         });
@@ -209,10 +210,12 @@
         }
     }
 
-    /// Replaces the policy by a new one with the current endpoint list. Open requests fail, as they
-    /// may have been executed.
+    /// Replaces the policy by a new one with the current endpoint list. Requests without a response
+    /// fail, as they may have been executed; responses that stream go on.
     fn restart_policy(&mut self) {
-        tracing::error!("a decision failed: the policy is restarted and all open requests fail");
+        tracing::error!(
+            "a decision failed: the policy is restarted, and requests without a response fail"
+        );
         let now = self.clock.now();
         self.policy = Policy::new(self.settings.clone(), self.seed ^ now as u64, now);
         self.timers.clear();
--- a/crates/router/src/core/handle.rs
+++ b/crates/router/src/core/handle.rs
@@ -39,7 +39,9 @@
         reports.await.ok()
     }
 
-    /// Submits a request and returns the handle for its final response.
+    /// Submits a request and returns the handle for its final response. When the handle, or the
+    /// guard that it gives with the response, is dropped, the core receives
+    /// [`CoreEvent::ClientDisconnected`].
     pub fn submit(&self, request: IncomingRequest) -> ResponseHandle {
         let id = RequestId(self.next_request.get());
         self.next_request.set(id.0.wrapping_add(1));
--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -33,7 +33,7 @@
     pub prompt_tokens: u64,
     /// The number of prompt tokens that belong to the shared prefix.
     pub shared_prefix_tokens: u64,
-    /// The maximum number of tokens in the response.
+    /// The maximum number of tokens in the response; 0 if the request gives none.
     pub max_tokens: u64,
     /// Whether the client says that it is trying again.
     pub is_retry: bool,
@@ -212,7 +212,7 @@
         /// The endpoint's load report, if it sent one.
         load: Option<LoadReport>,
     },
-    /// The endpoint list has changed.
+    /// An update of the endpoint list has arrived. It may contain no changes.
     EndpointsUpdated(EndpointListUpdate),
     /// The endpoints with these names accept no new requests; the rest of their entries could not
     /// be read.
@@ -288,7 +288,8 @@
         decode: Rc<Endpoint>,
     );
     /// Releases all state that is held for a request, through the first of these endpoints that can
-    /// be reached.
+    /// be reached. `request` is the request's number at this router, `request_id` its id on the
+    /// wire.
     fn release_state(
         &mut self,
         request: RequestId,
--- a/crates/router/src/core/recorder.rs
+++ b/crates/router/src/core/recorder.rs
@@ -12,7 +12,8 @@
 use super::messages::{SlotReservation, WireTrace};
 
 /// The maximum number of steps that are kept for one request; further steps are only counted. Five
-/// attempts with a slot reservation and a release each take less than half of it.
+/// attempts with a slot reservation and a release each take 27 steps, with the request's arrival
+/// and end.
 const STEP_LIMIT: usize = 48;
 const MICROS_PER_MILLISECOND: f64 = 1_000.0;
 
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -71,8 +71,7 @@
     End,
 }
 
-/// The frontend's half of an exchange. If it is dropped before the response has ended, the client
-/// has disconnected.
+/// The frontend's half of an exchange. If it is dropped, the client has disconnected.
 pub struct ResponseHandle {
     response: oneshot::Receiver<FinalResponse>,
     disconnect: DisconnectGuard,
@@ -81,7 +80,8 @@
 /// The core's half of an exchange.
 pub struct Responder(oneshot::Sender<FinalResponse>);
 
-/// A guard that reports on its drop that the client has disconnected. Nothing else reports that.
+/// A guard that reports on its drop that the client has disconnected or has received its whole
+/// response. Nothing else reports that.
 pub struct DisconnectGuard(Option<Box<dyn FnOnce()>>);
 
 /// Opens an exchange. `on_disconnect` runs when the frontend's [`DisconnectGuard`] is dropped.
--- a/crates/router/tests/core.rs
+++ b/crates/router/tests/core.rs
@@ -269,8 +269,8 @@
     );
 }
 
-/// A panic must not end the process: open requests fail, as they may have been executed, and the
-/// core goes on.
+/// A panic must not end the process: requests without a response fail, as they may have been
+/// executed, and the core goes on.
 #[tokio::test(start_paused = true)]
 async fn a_panic_fails_open_requests_and_the_next_one_is_served() {
     let harness = CoreHarness::new(Idempotency::Idempotent);
--- a/crates/router/tests/core/harness.rs
+++ b/crates/router/tests/core/harness.rs
@@ -34,7 +34,7 @@
     pub(crate) write_by: Rc<Cell<Option<Instant>>>,
     /// Whether the request of the latest attempt still needs a response.
     pub(crate) needs_response: Rc<RefCell<Rc<Cell<bool>>>>,
-    /// The endpoints of the latest release of state, in the order in which they are to be tried.
+    /// The endpoints of the latest release of state, in the order in which they are tried.
     pub(crate) release_endpoints: Rc<RefCell<Vec<String>>>,
 }
 
