--- a/crates/router/src/upstream/attempt.rs
+++ b/crates/router/src/upstream/attempt.rs
@@ -48,8 +48,8 @@
     pub(super) async fn run(mut self, mut end_guard: AttemptEndGuard) {
         let mut held_connection = None;
         let start = self.start(&mut held_connection).await;
-        // `None` after a complete response without a stream: the connection is back in the pool and
-        // its trace is in the report.
+        // `None` if no connection was acquired, or after a complete response without a stream: then
+        // the connection is back in the pool, and its trace is in the report.
         let trace_at_start = held_connection.as_ref().map(PooledConnection::trace);
         end_guard.report = match start {
             ResponseStart::Streaming(stream) => self.stream(stream, &mut held_connection).await,
--- a/crates/router/src/upstream/attempt/relay.rs
+++ b/crates/router/src/upstream/attempt/relay.rs
@@ -16,7 +16,8 @@
 const CLIENT_READ_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Relays a response body unchanged, chunk by chunk, to its end; `first_chunk` is what has been
-/// read from the body already. The error is the outcome of the attempt.
+/// read from the body already. Returns the end of the stream for the attempt's report, or as an
+/// error the outcome of the attempt if the stream breaks, stalls or is cancelled.
 pub(super) async fn relay(
     body: &mut Incoming,
     first_chunk: Bytes,
--- a/crates/router/src/upstream/attempt/start.rs
+++ b/crates/router/src/upstream/attempt/start.rs
@@ -138,7 +138,8 @@
     }
 }
 
-/// Acquires a connection, and checks that the request is still to be sent.
+/// Acquires a connection, and checks that the endpoint is still active and the request still needs
+/// a response.
 async fn acquire_connection(
     shared: &Shared,
     spec: &AttemptSpec,
@@ -250,9 +251,10 @@
     }
 }
 
-/// Reads the first data of a stream, or the first complete event of an event stream; `None` if the
-/// stream ends or breaks without any. From then on the request can only be served by this stream,
-/// so the endpoint must have sent usable data first.
+/// Reads the first data of a stream. Of an event stream, reads up to the end of the first event, to
+/// the end of the stream, or until the data exceeds [`BODY_BYTES_LIMIT`]. Returns `None` if the
+/// stream breaks before that or has no data. From then on the request can only be served by this
+/// stream, so the endpoint must have sent usable data first.
 async fn read_first_chunk(body: &mut Incoming, is_event_stream: bool) -> Option<Bytes> {
     let mut buffered = BytesMut::new();
     while let Some(frame) = body.frame().await {
--- a/crates/router/src/upstream/calls.rs
+++ b/crates/router/src/upstream/calls.rs
@@ -24,17 +24,17 @@
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(250);
 /// Time without a response after which the release is also sent to the next endpoint.
 const RELEASE_STAGGER: Duration = Duration::from_millis(40);
-/// Time after which no more calls to release a request's state are started.
+/// Time from the start of a release after which no more calls are started for it.
 const RELEASE_RETRY_WINDOW: Duration = Duration::from_secs(10);
 
-/// Why a call got no response.
+/// Why a call got no complete response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 enum CallError {
     /// The request was not written completely, so the endpoint cannot have executed it.
     #[error("the request was not written completely")]
     NotWritten,
     /// The request was written; whether the endpoint has executed it is unknown.
-    #[error("the endpoint did not respond in time")]
+    #[error("the endpoint did not send a complete response in time")]
     NoResponse,
 }
 
@@ -117,7 +117,8 @@
     }
 
     /// Requests a slot at a decode endpoint once the prefill request has been written; `None` if no
-    /// slot is needed any more, or the endpoint has certainly not reserved one.
+    /// slot is needed any more, the endpoint accepts no new requests or knows of no prefill, or the
+    /// reservation could not be written.
     pub(super) async fn request_reservation(
         &self,
         mut prefill_written: watch::Receiver<bool>,
@@ -162,7 +163,7 @@
                 return;
             }
         }
-        tracing::warn!(%request_id, "KV state not released: no endpoint responded in time");
+        tracing::warn!(%request_id, "KV state and slots not released: no endpoint responded");
     }
 
     /// Asks one endpoint to release what is held for a request at any endpoint. Returns whether the
--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -146,15 +146,16 @@
         self.idle_for.is_some() && self.progress.nothing_written()
     }
 
-    /// Whether the connection is closed, as far as the async runtime knows.
+    /// Whether hyper has noticed that the connection is closed. It may notice late, so
+    /// [`PooledConnection::is_reusable`] checks the socket too.
     pub(super) fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
     /// Whether the connection can take a request now: no data has arrived since the last response,
-    /// and it has not been closed. The socket is checked too, as the async runtime may not have
-    /// processed the latest input yet. This can be the end of the connection, or a second response
-    /// that would be taken for the response to the next request.
+    /// and it has not been closed. The socket is checked too, as hyper may not have processed the
+    /// latest input yet. Such input can be the end of the connection, or a second response that
+    /// would be taken for the response to the next request.
     pub(super) fn is_reusable(&self) -> bool {
         self.sender.is_ready() && self.has_no_pending_input()
     }
--- a/crates/router/src/upstream/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -28,7 +28,8 @@
 use attempt::{Attempt, AttemptEndGuard};
 use pool::ConnectionPool;
 
-/// Maximum number of bytes buffered of a response body. Streams are relayed without buffering.
+/// Maximum number of bytes buffered of a response body. Of an event stream, the first event is
+/// buffered until it exceeds this limit; the rest of a stream is relayed without buffering.
 const BODY_BYTES_LIMIT: usize = 64 * 1024;
 /// The interval at which expired idle connections are closed.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
@@ -48,7 +49,8 @@
     pub load_report_columns: LoadReportSettings,
 }
 
-/// Carries out the core's calls to endpoints, and sends its gossip to other routers.
+/// Makes the calls to endpoints that the core requests, and sends the core's gossip to other
+/// routers.
 pub struct Upstream {
     shared: Rc<Shared>,
     attempts: AttemptTable,
@@ -67,7 +69,7 @@
 /// Controls of the attempts in flight, by attempt id.
 type AttemptTable = Rc<RefCell<HashMap<AttemptId, AttemptControl>>>;
 
-/// Signals to an attempt in flight, and the state of its request.
+/// Signals that end an attempt in flight, and whether its request has been written.
 struct AttemptControl {
     /// Cancels the attempt before its response begins to stream.
     cancel: Option<oneshot::Sender<()>>,
@@ -136,6 +138,7 @@
             attempt: spec.attempt,
             handle: self.shared.handle.clone(),
             attempts: self.attempts.clone(),
+            // Reported if the task panics or is aborted: the request may have been executed.
             report: Outcome::ConnectionReset(ResetCause::InUse).into(),
         };
         let attempt = Attempt {
@@ -159,7 +162,7 @@
             control.cancel.take()
         };
         if let Some(signal) = signal {
-            // Fails if the attempt has just ended and dropped the receiver.
+            // The receiver has been dropped if the attempt has just ended.
             let _ = signal.send(());
         }
     }
