--- a/crates/router/src/discovery/client.rs
+++ b/crates/router/src/discovery/client.rs
@@ -26,8 +26,8 @@
     /// No response arrived in time: the connection is broken, or discovery is down.
     #[error("discovery did not respond in time")]
     TimedOut,
-    /// The service rejected the call because it is overloaded.
-    #[error("discovery rejected the call")]
+    /// The service responded with another status than 200, as it does when it is overloaded.
+    #[error("discovery responded with another status than 200")]
     Rejected,
     /// The connection failed, or the response is not an endpoint list.
     #[error("discovery cannot be reached, or its response is not an endpoint list")]
