--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -76,7 +76,8 @@
     /// Runs until all handles have been dropped.
     pub async fn run(mut self, mut events: mpsc::UnboundedReceiver<CoreEvent>) {
         // The policy returns its first timers with the actions of its first event, so it gets an
-        // event that changes nothing.
+        // empty delta. The policy counts that as a received endpoint list, so that a start in a
+        // list that follows within 5 s counts as recent.
         self.catching_panics(|core| {
             core.handle_policy_event(Event::EndpointsUpdated(EndpointUpdate::Delta(Vec::new())));
         });
--- a/crates/routing-policy/src/idempotency.rs
+++ b/crates/routing-policy/src/idempotency.rs
@@ -67,9 +67,9 @@
     }
 
     /// The time by which the next attempt must be written so that the request is not executed
-    /// twice; `Micros::MAX` if no attempt may have been executed or a repetition is harmless,
-    /// `None` if no attempt may be made. If `to` is given, whatever its role, the time is for an
-    /// attempt at that endpoint, else for one at any endpoint.
+    /// twice; `Micros::MAX` if the request cannot have been executed yet or the class is
+    /// idempotent, `None` if no attempt may be made. If `to` is given, whatever its role, the time
+    /// is for an attempt at that endpoint, else for one at any endpoint.
     pub fn retry_deadline(
         &self,
         executed: Option<PossibleExecution>,
