--- a/crates/routing-policy/src/idempotency.rs
+++ b/crates/routing-policy/src/idempotency.rs
@@ -66,9 +66,10 @@
         self.idempotency
     }
 
-    /// The time by which another attempt must be written so that the request is not executed twice;
-    /// `None` if no attempt may be made. If `to` is given, whatever its role, the time is for an
-    /// attempt at that endpoint, else for one at any endpoint.
+    /// The time by which the next attempt must be written so that the request is not executed
+    /// twice; `Micros::MAX` if the request cannot have been executed yet or the class is
+    /// idempotent, `None` if no attempt may be made. If `to` is given, whatever its role, the time
+    /// is for an attempt at that endpoint, else for one at any endpoint.
     pub fn retry_deadline(
         &self,
         executed: Option<PossibleExecution>,
