--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Sends requests until the run is finished. The pauses between them are random, up to twice the
-    /// mean.
+    /// Sends requests until the run is finished. The pauses between them are random, up to twice
+    /// the mean.
     pub async fn run(mut self, mean_pause_ms: u64) {
         while !self.state.finished.get() {
             sleep(self.state.draw_millis(1, 2 * mean_pause_ms)).await;
@@ -156,8 +156,8 @@
             }
         }
         if sent {
-            // The client gives up. Either no router has accepted the request, or the oracle already
-            // knows of the one that did.
+            // The client gives up, which the oracle treats as a disconnection. If the client sent
+            // the request again after it had been forwarded, the oracle has already reported that.
             let mut oracle = state.oracle.borrow_mut();
             oracle.client_disconnected(&request.id, state.now());
         }
@@ -211,9 +211,9 @@
     }
 }
 
-/// Sends a request and reads the response to its end. Calls `report_outcome` as soon as the head has
-/// arrived: a stream that breaks off later counts as served, as a client would send a new request
-/// for the rest.
+/// Sends a request and reads the response to its end. Calls `report_outcome` as soon as the head
+/// has arrived: a stream that breaks off later counts as served, as a client would send a new
+/// request for the rest.
 async fn send_and_receive(
     mut stream: TcpStream,
     request: &[u8],
--- a/crates/soak/src/discovery_server.rs
+++ b/crates/soak/src/discovery_server.rs
@@ -24,10 +24,10 @@
 use crate::router_settings::endpoint_kind;
 use crate::run_state::RunState;
 
-/// Duration after which the oracle treats a router as notified of a change that its discovery server
-/// has, if the server has been serving for all of this time.
+/// Duration after which the oracle treats a router as notified of a change that its discovery
+/// server has, if the server has been serving for all of this time.
 const ASSUMED_NOTIFIED_AFTER: Duration = Duration::from_secs(6);
-/// Interval at which an unresponsive server checks whether it is to respond again.
+/// Interval at which an unresponsive server checks whether its mode has changed.
 const RESPONSIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How a discovery server behaves.
@@ -133,8 +133,8 @@
         self.encode_list(None)
     }
 
-    /// Reports to the oracle that the router is notified of the versions that it has had enough time
-    /// to request, though it has not requested them.
+    /// Reports to the oracle that the router is notified of the versions that it has had enough
+    /// time to request, though it has not requested them.
     pub fn assume_notified(&self, state: &RunState) {
         if self.mode.get() != DiscoveryMode::Serving {
             return;
@@ -237,8 +237,8 @@
         response
     }
 
-    /// Reports to the oracle, as an injected violation, that the router is notified that all endpoints
-    /// accept no work, though it is not.
+    /// Reports to the oracle, as an injected violation, that the router is notified that all
+    /// endpoints accept no work, though it is not.
     fn report_false_drain(&self, state: &RunState) {
         let mut oracle = state.oracle.borrow_mut();
         for endpoint in 0..self.proxies.len() {
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -60,8 +60,8 @@
     }
 }
 
-/// A fault, with the router and the fake server that it can affect. Each kind of fault lasts a fixed
-/// multiple or fraction of `duration`.
+/// A fault, with the router and the fake server that it can affect. The faults that last for some
+/// time derive it from `duration`; the others ignore it.
 struct Fault {
     kind: FaultKind,
     router: usize,
@@ -202,8 +202,8 @@
     }
 }
 
-/// Stops the discovery servers of one router or of all from serving the list, for twice the duration
-/// of the fault.
+/// Stops the discovery servers of one router or of all from serving the list, for twice the
+/// duration of the fault.
 async fn disrupt_discovery(environment: &TestEnvironment, fault: &Fault, mode: DiscoveryMode) {
     let routers = draw_routers(environment, fault.router);
     let set_mode = |mode| {
--- a/crates/soak/src/fault_proxy.rs
+++ b/crates/soak/src/fault_proxy.rs
@@ -26,8 +26,8 @@
 const RELEASE_RESPONSE: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
 /// Delay of an attempt as an injected violation.
 const INJECTED_DELAY: Duration = Duration::from_millis(900);
-/// Duration for which the proxy keeps a connection open after the router has closed it, in a run with
-/// an injected violation, so that bytes that were delayed on purpose reach the fake server.
+/// Duration for which the proxy keeps a connection open after the router has closed it, in a run
+/// with an injected violation, so that bytes that were delayed on purpose reach the fake server.
 const INJECTED_CLOSE_DELAY: Duration = Duration::from_millis(90);
 /// Maximum number of bytes that are forwarded at once.
 const BUFFER_SIZE: usize = 16 * 1024;
@@ -186,8 +186,8 @@
     }
 }
 
-/// Writes all bytes. Takes a shared reference to the stream, as both directions of a connection write
-/// to the router.
+/// Writes all bytes. Takes a shared reference to the stream, as both directions of a connection
+/// write to the router.
 async fn write_all(stream: &OwnedWriteHalf, mut rest: &[u8]) -> io::Result<()> {
     while !rest.is_empty() {
         match stream.try_write(rest) {
@@ -199,8 +199,8 @@
     Ok(())
 }
 
-/// Reports the end of the attempt on a connection when it is dropped, which covers each way in which
-/// a connection can end.
+/// Reports the end of the attempt on a connection when it is dropped, which covers each way in
+/// which a connection can end.
 struct EndAttemptOnDrop {
     state: Rc<RunState>,
     connection: u64,
--- a/crates/soak/src/injected_violation.rs
+++ b/crates/soak/src/injected_violation.rs
@@ -11,8 +11,8 @@
     /// Some attempts are reported to the oracle twice.
     #[value(name = "duplicate")]
     DuplicateExecution,
-    /// Some attempts are reported to the oracle twice, as for `duplicate`, but the oracle must report
-    /// concurrent attempts.
+    /// Some attempts are reported to the oracle twice, as for `duplicate`, but the oracle must
+    /// report concurrent attempts.
     #[value(name = "second-copy")]
     ConcurrentAttempts,
     /// Some releases are dropped on their way to the endpoint.
@@ -24,7 +24,8 @@
     /// Some attempts are delayed, so that they state more time until the deadline than is left.
     #[value(name = "deadline")]
     Deadline,
-    /// Drains are reported to the oracle as delivered to a router, though the router is not notified.
+    /// Drains are reported to the oracle as delivered to a router, though the router is not
+    /// notified.
     #[value(name = "drain")]
     Drain,
     /// A router process is killed without a report to the oracle.
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,9 +1,9 @@
-//! A randomized fault soak. It runs real router processes on loopback, together with fake model
-//! servers, fake discovery servers and clients, with a fault proxy between each router and each fake
-//! model server, and injects overlapping faults such as signals, stalled connections and failures.
-//! Each run checks the rules in [`oracle`]. The faults of a run are drawn from a seed. The scheduling
-//! of the routers is up to the operating system, so a seed reproduces the faults, but not the exact
-//! sequence of events.
+//! A soak test with random faults. It runs real router processes on loopback, together with fake
+//! model servers, fake discovery servers and clients, with a fault proxy between each router and
+//! each fake model server, and injects overlapping faults such as signals, stalled connections and
+//! failures. Each run checks the rules in [`oracle`]. The faults of a run are drawn from a seed.
+//! The operating system schedules the router processes, so a seed reproduces the faults, but not
+//! the exact sequence of events.
 
 pub mod client;
 pub mod discovery_server;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,5 +1,5 @@
-//! The soak program: it executes one run per seed, and prints one line for each run, followed by the
-//! violations of the run.
+//! The soak program: it executes one run per seed, and prints one line for each run, followed by
+//! the violations of the run.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -124,8 +124,8 @@
     Ok(failed == 0)
 }
 
-/// Returns whether a run passed: no rule was broken or, in a run with an injected violation, the rule
-/// of this violation was broken.
+/// Returns whether a run passed: no rule was broken or, in a run with an injected violation, the
+/// rule of this violation was broken.
 fn has_passed(report: &RunReport, injected: Option<InjectedViolation>) -> bool {
     match injected {
         None => report.violations.is_empty(),
--- a/crates/soak/src/misbehaving_clients.rs
+++ b/crates/soak/src/misbehaving_clients.rs
@@ -11,8 +11,8 @@
 use crate::router_process::RouterProcess;
 use crate::run_state::RunState;
 
-/// Maximum time until a router responds to a malformed request or closes its connection: the timeout
-/// of the router plus a tolerance.
+/// Maximum time until a router responds to a malformed request or closes its connection: the
+/// timeout of the router plus a tolerance.
 const MALFORMED_REQUEST_TIMEOUT: Duration = Duration::from_millis(3_000 + 200);
 /// Maximum time for which an idle client waits for its connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
@@ -39,7 +39,8 @@
     let closed = timeout(MALFORMED_REQUEST_TIMEOUT, reading).await.is_ok();
     if !closed && received.is_empty() && router.is_running() {
         let detail = format!(
-            "router {} neither responded to a malformed request nor closed its connection",
+            "router {} neither responded to a malformed request nor closed its connection within \
+             {MALFORMED_REQUEST_TIMEOUT:?}",
             router.index
         );
         state.report_violation(Rule::MissingAnswer, detail);
--- a/crates/soak/src/model_server.rs
+++ b/crates/soak/src/model_server.rs
@@ -1,5 +1,5 @@
-//! Fake prefill and decode servers, which are the endpoints of the routers under test. They report to
-//! the oracle which attempts arrive and which leases they hold.
+//! Fake prefill and decode servers, which are the endpoints of the routers under test. They report
+//! to the oracle which attempts arrive and which leases they hold.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
--- a/crates/soak/src/oracle/deadline.rs
+++ b/crates/soak/src/oracle/deadline.rs
@@ -1,4 +1,5 @@
-//! The rule that an attempt does not state more time until the deadline than is left for its client.
+//! The rule that an attempt does not state more time until the deadline than is left for its
+//! client.
 
 use std::time::Duration;
 
--- a/crates/soak/src/oracle/duplicate_execution.rs
+++ b/crates/soak/src/oracle/duplicate_execution.rs
@@ -56,8 +56,8 @@
     Some(violation(at, detail))
 }
 
-/// Returns a violation if a non-idempotent request reaches a decode endpoint again after it may have
-/// been executed.
+/// Returns a violation if a non-idempotent request reaches a decode endpoint again after it may
+/// have been executed.
 pub(super) fn check_repeated(
     attempt: &ReceivedAttempt<'_>,
     request: &RequestRecord,
--- a/crates/soak/src/oracle/leaked_lease.rs
+++ b/crates/soak/src/oracle/leaked_lease.rs
@@ -6,11 +6,12 @@
 use super::request::RequestRecord;
 use super::violation::{Rule, Violation};
 
-/// Tolerance added to the KV lease timeout of the settings.
+/// Time after the KV lease timeout in which a lease may still be used or released.
 const LEASE_TOLERANCE: Duration = Duration::from_millis(300);
 
 /// Returns a violation if the request has had leases without an attempt in flight for longer than
-/// the KV lease timeout. Each request is reported at most once.
+/// the KV lease timeout plus [`LEASE_TOLERANCE`] and [`OBSERVATION_SLACK`]. Each request is
+/// reported at most once.
 pub(super) fn check(
     id: &str,
     request: &mut RequestRecord,
--- a/crates/soak/src/oracle/limits.rs
+++ b/crates/soak/src/oracle/limits.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-/// Maximum delay between an event and its report to the oracle. There is one, as all fake clients
-/// and servers share one busy thread.
+/// Tolerance for the delay between an event and its report to the oracle: all fake clients and
+/// servers share one busy thread.
 pub(super) const OBSERVATION_SLACK: Duration = Duration::from_millis(120);
 
 /// The limits from the routers' settings that the rules use.
--- a/crates/soak/src/oracle/mod.rs
+++ b/crates/soak/src/oracle/mod.rs
@@ -95,15 +95,16 @@
         self.report(violation);
     }
 
-    /// Records that the client closed its connection before it had a response.
+    /// Records that the client disconnected before it had a response, or gave up sending the
+    /// request. From then on no response is expected, and no new attempt is allowed.
     pub fn client_disconnected(&mut self, id: &str, at: Duration) {
         if let Some(request) = self.requests.get_mut(id) {
             request.disconnected_at = Some(at);
         }
     }
 
-    /// Records the outcome of a request. It is ignored if the client has disconnected or
-    /// the request is exempt from checks.
+    /// Records the outcome of a request. It is ignored if the client has disconnected or the
+    /// request is exempt from checks.
     pub fn request_finished(&mut self, id: &str, outcome: Outcome, at: Duration) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
--- a/crates/soak/src/oracle/request.rs
+++ b/crates/soak/src/oracle/request.rs
@@ -78,8 +78,8 @@
     /// The roles of the endpoints that have an attempt in flight, by the number of the attempt. An
     /// attempt is in flight from the arrival of its last byte to its end.
     in_flight: BTreeMap<u64, Role>,
-    /// Number of decode attempts that have arrived and were not rejected. Each may have executed the
-    /// request.
+    /// Number of decode attempts that have arrived and were not rejected. Each may have executed
+    /// the request.
     pub(super) possible_executions: usize,
     /// The resources that endpoints reserve for the request.
     pub(super) leases: BTreeSet<Lease>,
--- a/crates/soak/src/ports.rs
+++ b/crates/soak/src/ports.rs
@@ -6,8 +6,8 @@
 
 use crate::run_state::RunState;
 
-/// Range of the ports that routers listen on. It lies below the ephemeral ports, so that no outgoing
-/// connection takes a port before its router listens on it.
+/// Range of the ports that routers listen on. It lies below the ephemeral ports, so that no
+/// outgoing connection takes a port before its router listens on it.
 const PORTS: Range<u16> = 12_000..30_000;
 
 /// Returns `count` different loopback addresses that are free now, both for TCP and for UDP.
--- a/crates/soak/src/router_process.rs
+++ b/crates/soak/src/router_process.rs
@@ -87,8 +87,8 @@
     pub address: SocketAddr,
     /// Whether clients send new requests to the router.
     pub in_rotation: Cell<bool>,
-    /// Number of times that the process was killed. The router may have read a request that was sent
-    /// to it before a kill, so clients do not send such a request again.
+    /// Number of times that the process was killed. The router may have read a request that was
+    /// sent to it before a kill, so clients do not send such a request again.
     pub kill_count: Cell<u32>,
     discovery: Rc<DiscoveryServer>,
     peers: Vec<SocketAddr>,
@@ -228,8 +228,8 @@
         self.signal(Signal::Continue);
     }
 
-    /// Stops the process and starts it again after `downtime`. Does nothing if a restart is already in
-    /// progress.
+    /// Stops the process and starts it again after `downtime`. Does nothing if a restart is already
+    /// in progress.
     pub async fn restart(&self, state: &RunState, shutdown: Shutdown, downtime: Duration) {
         if self.restarting.replace(true) {
             return;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -32,8 +32,8 @@
 /// Mean pause of a client between two requests, in milliseconds.
 const CLIENT_PAUSE_MS: u64 = 60;
 
-/// Executes one run and returns its report. Must be called within a `LocalSet`, which owns all tasks
-/// of the run.
+/// Executes one run and returns its report. Must be called within a `LocalSet`, which owns all
+/// tasks of the run.
 pub async fn run(options: RunOptions) -> Result<RunReport, SoakError> {
     std::fs::create_dir_all(&options.folder).map_err(|source| SoakError::File {
         path: options.folder.clone(),
--- a/crates/soak/src/run_state.rs
+++ b/crates/soak/src/run_state.rs
@@ -1,5 +1,5 @@
-//! The state that all components of a run share: the clock, the random number generator, the oracle,
-//! the leases at the fake servers, and the connections through the fault proxies.
+//! The state that all components of a run share: the clock, the random number generator, the
+//! oracle, the leases at the fake servers, and the connections through the fault proxies.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Records that bytes have been forwarded to the router. If the fake server had already sent the
-    /// complete response, this ends the attempt.
+    /// Records that bytes have been forwarded to the router. If the fake server had already sent
+    /// the complete response, this ends the attempt.
     pub fn response_delivered(&self, connection: u64) {
         let was_undelivered = self.undelivered_responses.borrow_mut().remove(&connection);
         if was_undelivered {
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Releases the KV state and the decode slot of a request, except for KV state that an attempt is
-    /// waiting for.
+    /// Releases the KV state and the decode slot of a request, except for KV state that an attempt
+    /// is waiting for.
     pub fn release(&self, id: &str) {
         let mut oracle = self.oracle.borrow_mut();
         if !self.fetching.borrow().contains(id) {
--- a/crates/soak/tests/oracle.rs
+++ b/crates/soak/tests/oracle.rs
@@ -34,8 +34,8 @@
     }
 }
 
-/// Returns an oracle with a non-idempotent request `a`, whose prompt was processed at endpoint 1. The
-/// KV state is leased from 100 ms on.
+/// Returns an oracle with a non-idempotent request `a`, whose prompt was processed at endpoint 1.
+/// The KV state is leased from 100 ms on.
 fn prefilled_request() -> Oracle {
     let mut oracle = Oracle::new(LIMITS);
     oracle.request_sent("a", 0, Idempotency::NonIdempotent, ms(0), ms(5_000));
