--- a/crates/router/src/frontend/body.rs
+++ b/crates/router/src/frontend/body.rs
@@ -49,7 +49,7 @@
 }
 
 impl BodyError {
-    /// The HTTP status of the response to the request.
+    /// Returns the HTTP status of the response to the request.
     pub fn status(self) -> StatusCode {
         match self {
             BodyError::TooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
--- a/crates/router/src/frontend/client_stream.rs
+++ b/crates/router/src/frontend/client_stream.rs
@@ -52,7 +52,7 @@
                 return Poll::Ready(());
             }
             self.buffer_or_discard(read.filled());
-            // The reader of the buffered bytes was polled before they were there.
+            // The HTTP library was polled before these bytes were buffered, so it is polled again.
             cx.waker().wake_by_ref();
         }
         Poll::Pending
--- a/crates/router/src/frontend/connection_state.rs
+++ b/crates/router/src/frontend/connection_state.rs
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The limits of the connection's frontend.
+    /// Returns the limits of the connection's frontend.
     pub(super) fn limits(&self) -> &ClientLimits {
         &self.limits
     }
--- a/crates/router/src/frontend/inference/batches.rs
+++ b/crates/router/src/frontend/inference/batches.rs
@@ -15,7 +15,7 @@
 use super::batch_queue::{from_micros, to_micros, BatchEvent, OpenBatch};
 use super::buffered_body::BufferedBody;
 use super::collect::{collect_body, CollectedBody};
-use super::error::{json_response, RequestError, MEMORY_RETRY_AFTER};
+use super::error::{json_response, RequestError, DEFAULT_RETRY_AFTER};
 use super::request::{RequestContext, ServedModel};
 use super::service::Service;
 use crate::exchange::{BodyStream, FinalResponse};
@@ -191,7 +191,7 @@
         let body = batch.encode(&dispatch.items, model.name);
         let Some(request_reservation) = self.budget.reserve(body.len()) else {
             return Err(SliceError::Failed(SliceFailure::OutOfMemory {
-                retry_after: to_micros(MEMORY_RETRY_AFTER),
+                retry_after: to_micros(DEFAULT_RETRY_AFTER),
             }));
         };
         let message = context.forwarded_request(batch.form.endpoint_path(), body);
--- a/crates/router/src/frontend/inference/buffered_body.rs
+++ b/crates/router/src/frontend/inference/buffered_body.rs
@@ -14,8 +14,9 @@
 const FRAME_SIZE: usize = 16 * 1024;
 
 /// A response body that is held in memory as a whole. It is passed to the connection in frames of
-/// limited size, and its bytes stay reserved until then. So the router notices a client that reads
-/// slowly, and the bytes that the client has not read stay reserved.
+/// limited size, so that the router notices a client that reads slowly. The bytes that have not
+/// been passed on stay reserved, and so do those of one more frame, which the connection may still
+/// hold.
 pub(super) struct BufferedBody {
     remaining: Bytes,
     reservation: ByteReservation,
--- a/crates/router/src/frontend/inference/chat.rs
+++ b/crates/router/src/frontend/inference/chat.rs
@@ -34,8 +34,8 @@
         let model = self.resolve_model(&chat.model, ApiEndpoint::Chat)?;
         let forwarded = chat.encode(&body, model.name)?;
         drop(body);
-        // Memory for the forwarded body, and then for the response, is reserved before the request
-        // is sent.
+        // Before the request is sent, memory is reserved for the forwarded body, and at least as
+        // much as the chunks of a stream need. An unstreamed response reserves more as it arrives.
         if !reservation.try_grow_to(forwarded.len().max(STREAM_RESERVATION)) {
             return Err(RequestError::Body(BodyError::BudgetExhausted));
         }
--- a/crates/router/src/frontend/inference/error.rs
+++ b/crates/router/src/frontend/inference/error.rs
@@ -11,7 +11,7 @@
 
 /// Delay after which a retry is worthwhile if the byte budget is used up, or if the directory of
 /// tenants has not been read yet.
-pub(super) const MEMORY_RETRY_AFTER: Duration = Duration::from_millis(500);
+pub(super) const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// The `code` of the error for requests that arrive before the directory of tenants has been read.
 const TENANTS_UNKNOWN: &str = "tenants_unknown";
 
@@ -51,8 +51,8 @@
     pub(super) fn retry_after(&self) -> Option<Duration> {
         match self {
             RequestError::Rejected { retry_after } => Some(*retry_after),
-            RequestError::Body(BodyError::BudgetExhausted) => Some(MEMORY_RETRY_AFTER),
-            RequestError::Api(error) if error.code == TENANTS_UNKNOWN => Some(MEMORY_RETRY_AFTER),
+            RequestError::Body(BodyError::BudgetExhausted) => Some(DEFAULT_RETRY_AFTER),
+            RequestError::Api(error) if error.code == TENANTS_UNKNOWN => Some(DEFAULT_RETRY_AFTER),
             _ => None,
         }
     }
--- a/crates/router/src/frontend/inference/request.rs
+++ b/crates/router/src/frontend/inference/request.rs
@@ -142,7 +142,9 @@
         }
     }
 
-    /// Builds the request that is submitted to the core for one part of this request.
+    /// Builds the request that is submitted to the core for one part of this request. Clients
+    /// of this API cannot state a shared prefix or an expected duration. `max_tokens` is 0; a chat
+    /// request sets it afterwards if its client states a maximum.
     pub(super) fn incoming_request(
         &self,
         request_id: Rc<str>,
--- a/crates/router/src/frontend/inference/setup.rs
+++ b/crates/router/src/frontend/inference/setup.rs
@@ -49,7 +49,7 @@
     pub class: String,
     /// Time to first byte in milliseconds for requests whose client gives none.
     pub deadline_ms: u32,
-    /// Tokens of a batch's slice as long as too little is known about how long slices take.
+    /// Maximum number of tokens of a batch's slice until enough durations of slices are known.
     #[serde(rename = "slice_tokens", default = "default_initial_slice_tokens")]
     pub initial_slice_tokens: u64,
 }
--- a/crates/router/src/frontend/inference/setup/batches.rs
+++ b/crates/router/src/frontend/inference/setup/batches.rs
@@ -15,10 +15,13 @@
 pub struct BatchSetup {
     /// Target duration of a slice in milliseconds.
     pub slice_target_ms: u32,
-    /// Minimum number of tokens of a slice, except for the last slice of its batch.
+    /// Minimum of the token limit of a slice, once a slice of its class has been served or has
+    /// failed. A slice may hold fewer tokens: it ends before the first item that would exceed the
+    /// limit.
     #[serde(rename = "least_tokens")]
     pub min_slice_tokens: u64,
-    /// Maximum number of tokens of a slice, except for a slice of a single item.
+    /// Maximum of the token limit of a slice, once a slice of its class has been served or has
+    /// failed. A slice of a single item may be larger.
     #[serde(rename = "most_tokens")]
     pub max_slice_tokens: u64,
     /// Maximum number of slices in flight, over all batches.
--- a/crates/router/src/frontend/inference/setup/limits.rs
+++ b/crates/router/src/frontend/inference/setup/limits.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 
 const MIB: usize = 1024 * 1024;
-/// Maximum of `body_bytes`: offsets in a body are stored in 32 bits.
+/// Maximum of `body_bytes`. Offsets in a body are stored as `u32`, so it must be below 4 GiB.
 const MAX_BODY_BYTES: usize = 1 << 30;
 /// Maximum of `depth`.
 const MAX_DEPTH: usize = 100;
@@ -20,7 +20,8 @@
     /// Maximum size in bytes of all request and response bodies in flight together.
     #[serde(rename = "held_bytes")]
     pub byte_budget: usize,
-    /// Maximum time in milliseconds for a request to arrive.
+    /// Maximum time in milliseconds from the first byte of a request, or from the start of its
+    /// connection for the first request, until the whole request has arrived.
     #[serde(rename = "body_wait_ms")]
     pub request_timeout_ms: u64,
     /// Maximum time in milliseconds for which a client may leave response data unread.
