--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -82,8 +82,8 @@
     /// A key is missing or of the wrong type.
     #[error("{}: {}", .0.path(), .0.inner())]
     Key(serde_path_to_error::Error<serde_json::Error>),
-    /// The seed is not a hexadecimal number.
-    #[error("seed: not a hexadecimal number: {0}")]
+    /// The seed is not a hexadecimal number of at most 64 bits.
+    #[error("seed: must be a hexadecimal number of at most 64 bits: {0}")]
     Seed(std::num::ParseIntError),
     /// The limit of file descriptors is too low.
     #[error("limits.sockets: {0} is too low, at least {MIN_SOCKETS} are needed")]
--- a/crates/router/src/config/tests.rs
+++ b/crates/router/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of reloading the configuration file at a hangup.
+//! Tests of reloading the configuration file at a hangup (SIGHUP).
 
 use serde_json::json;
 use tokio::sync::mpsc;
--- a/crates/router/src/framing.rs
+++ b/crates/router/src/framing.rs
@@ -5,7 +5,8 @@
 //! whose end two servers may see at different bytes (request smuggling), and a response with a
 //! chunk that exceeds [`CHUNK_BYTES_LIMIT`], as no valid chunk does.
 
-/// Maximum number of bytes of a line that are stored. Every line that matters here is shorter.
+/// Maximum number of bytes of a line that are stored. The rest of a longer line is ignored, and the
+/// line is parsed as if it ended there.
 const LINE_BYTES_LIMIT: usize = 128;
 /// Maximum size of a chunk of a response, in bytes.
 const CHUNK_BYTES_LIMIT: u64 = 4 * 1024 * 1024;
--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -61,7 +61,7 @@
         if payload.len() > MESSAGE_BYTES_LIMIT {
             tracing::warn!(
                 length = payload.len(),
-                "gossip message not sent: it exceeds the maximum size"
+                "gossip message not sent: it exceeds the maximum of {MESSAGE_BYTES_LIMIT} bytes"
             );
             return;
         }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -102,9 +102,9 @@
         } = self;
         let (parts, events) = Parts::new(config, gossip.as_ref(), signal);
         let mut releases_in_progress = parts.start_core(events, gossip);
-        let list_received = parts.start_discovery(discovery_address);
+        let discovery_done = parts.start_discovery(discovery_address);
         parts.start_shutdown_notification();
-        let readiness = Readiness::new(list_received, parts.phase.clone());
+        let readiness = Readiness::new(discovery_done, parts.phase.clone());
         let service = Platform::new(parts.handle.clone(), &parts.config.site, readiness);
         tracing::info!(name = parts.config.name, listen = %parts.config.listen, "serving");
         let connection_limit = parts.client_connection_limit(inference.is_some());
@@ -119,7 +119,9 @@
         tokio::time::sleep(FINAL_EVENTS_DELAY).await;
         let released = releases_in_progress.wait_for(|count| *count == 0);
         if timeout(FINAL_RELEASES_TIMEOUT, released).await.is_err() {
-            tracing::warn!("router ends before all KV state has been released");
+            tracing::warn!(
+                "router ends: KV state was not released within {FINAL_RELEASES_TIMEOUT:?}"
+            );
         }
     }
 }
--- a/crates/router/src/router/parts.rs
+++ b/crates/router/src/router/parts.rs
@@ -32,8 +32,8 @@
 /// that, they resume it at another router.
 const RESUMABLE_STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// Time without data after which a stream that cannot be resumed counts as broken. Ending such a
-/// stream loses it, so this is as much as is safe of the 5 s for which clients wait after the last
-/// event.
+/// stream loses it, so this leaves only a small margin to the 5 s for which clients wait after the
+/// last event.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(4_500);
 /// Time that establishing a connection may take, if the settings do not set one.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
@@ -52,8 +52,8 @@
 type CoreEvents = mpsc::UnboundedReceiver<CoreEvent>;
 
 impl Parts {
-    /// Starts to receive gossip, and to wait for `signal`, which starts the shutdown. The second
-    /// returned value is for [`Parts::start_core`].
+    /// Starts to receive gossip, and to wait for `signal`, which starts the shutdown. Returns the
+    /// parts, and the receiver of events that [`Parts::start_core`] takes.
     pub(super) fn new(
         config: Config,
         gossip: Option<&GossipSocket>,
@@ -121,7 +121,7 @@
         &self,
         address: watch::Receiver<SocketAddr>,
     ) -> watch::Receiver<bool> {
-        let (list_received, receiver) = watch::channel(false);
+        let (list_received, discovery_done) = watch::channel(false);
         let timeout_sender = list_received.clone();
         let settings = &self.config.settings;
         let poll_interval = settings
@@ -142,7 +142,7 @@
             tokio::time::sleep(LIST_TIMEOUT).await;
             timeout_sender.send_replace(true);
         });
-        receiver
+        discovery_done
     }
 
     /// Starts a task that notifies the core when the shutdown starts. If streams cannot be resumed
--- a/crates/router/src/shutdown.rs
+++ b/crates/router/src/shutdown.rs
@@ -14,8 +14,8 @@
 /// Longest time to the beginning of a response that the schedule allows for. Whoever ends the
 /// program does not wait for a response that may take longer to begin.
 const MAX_RESPONSE_WAIT: Duration = Duration::from_millis(3_000);
-/// Margin between the time when all requests must have their response and the end of the longest
-/// wait of a request that is accepted last.
+/// Time by which all responses are due before the client of the last accepted request stops
+/// waiting, if that client waits for as long as the schedule allows for.
 const SAFETY_MARGIN: Duration = Duration::from_millis(400);
 /// Time, before the last response is due, during which streams are migrated, a few at a time.
 const MIGRATION_DURATION: Duration = Duration::from_millis(1_000);
--- a/crates/router/src/tenants/directory.rs
+++ b/crates/router/src/tenants/directory.rs
@@ -19,7 +19,7 @@
     Ldap(#[from] LdapError),
     #[error("cannot read the password file: {0}")]
     Password(#[from] std::io::Error),
-    #[error("timed out while binding and searching")]
+    #[error("binding and searching took longer than {SEARCH_TIMEOUT:?}")]
     TimedOut(#[from] tokio::time::error::Elapsed),
 }
 
@@ -58,7 +58,7 @@
     let Some(name) = values(entry, &setup.name_attribute).next() else {
         tracing::warn!(
             dn = entry.dn,
-            "tenant ignored: its directory entry has no name attribute"
+            "tenant ignored: its directory entry lacks the attribute that name_attribute sets"
         );
         return;
     };
--- a/crates/router/tests/client_model.rs
+++ b/crates/router/tests/client_model.rs
@@ -52,13 +52,13 @@
 struct Client {
     connection: ManualConnection,
     /// The request that the client has only partly sent.
-    unsent: Option<UnsentRequest>,
+    partly_sent: Option<PartlySentRequest>,
     /// Whether the client waits for a response.
     is_waiting: bool,
 }
 
 /// A request that has only partly been sent, and the rest of its bytes.
-struct UnsentRequest {
+struct PartlySentRequest {
     request_id: usize,
     rest: String,
 }
@@ -92,6 +92,7 @@
     async fn start() -> Model {
         let endpoint = ManualServer::start().await;
         let mut settings = test_settings();
+        // Without slot reservations, the endpoint receives only attempts and releases.
         settings["domain"]["ahead"] = false.into();
         let router =
             TestRouter::start_with_settings(vec![endpoint.endpoint_entry("mixed", "up")], settings)
@@ -112,7 +113,7 @@
                 let connection = ManualConnection::connect(self.router.platform).await;
                 self.clients[client] = Some(Client {
                     connection,
-                    unsent: None,
+                    partly_sent: None,
                     is_waiting: false,
                 });
             }
@@ -133,12 +134,12 @@
         else {
             return;
         };
-        let UnsentRequest {
+        let PartlySentRequest {
             request_id: id,
             rest: unsent,
-        } = client.unsent.take().unwrap_or_else(|| {
+        } = client.partly_sent.take().unwrap_or_else(|| {
             self.request_count += 1;
-            UnsentRequest {
+            PartlySentRequest {
                 request_id: self.request_count,
                 rest: request(self.request_count),
             }
@@ -146,7 +147,7 @@
         let (sent_now, sent_later) = unsent.split_at(length.min(unsent.len()));
         client.connection.send(sent_now).await;
         if !sent_later.is_empty() {
-            client.unsent = Some(UnsentRequest {
+            client.partly_sent = Some(PartlySentRequest {
                 request_id: id,
                 rest: sent_later.to_owned(),
             });
@@ -229,7 +230,7 @@
 }
 
 #[test]
-fn client_connections_match_the_model() {
+fn complete_requests_get_one_attempt_each_and_disconnections_cancel_it() {
     let config = Config {
         cases: 60,
         failure_persistence: None,
--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -143,8 +143,8 @@
     });
 }
 
-/// SIGHUP ends a program by default. If the router ignored it during the start, it would miss an
-/// address of discovery that is written just then.
+/// SIGHUP ends a program by default. If the router ignored it during the start, it would miss a
+/// change of discovery's address in the configuration file at that time.
 #[test]
 fn a_hangup_during_the_start_is_handled() {
     run_test(async {
