--- a/crates/inference-api/src/events.rs
+++ b/crates/inference-api/src/events.rs
@@ -13,7 +13,7 @@
 
 /// Error for a stream that does not consist of valid events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the stream is not one of events")]
+#[error("the stream does not consist of valid events")]
 pub struct InvalidEventStream;
 
 /// Splits a stream into sequences of complete events, so that no partial event is passed on if the
--- a/crates/inference-client/src/client.rs
+++ b/crates/inference-client/src/client.rs
@@ -108,7 +108,7 @@
         self.fetch(Call::post(RERANK_PATH, request)?).await
     }
 
-    /// Lists the models that the service offers to this client.
+    /// Lists the models that the service offers.
     pub async fn models(&self) -> Result<ModelList, Error> {
         self.fetch(Call::get(MODELS_PATH)).await
     }
--- a/crates/inference-client/src/connection.rs
+++ b/crates/inference-client/src/connection.rs
@@ -17,7 +17,8 @@
 
 /// Maximum number of idle connections that a client keeps.
 const MAX_IDLE_CONNECTIONS: usize = 16;
-/// Maximum time that an idle connection is kept. The service keeps idle connections for longer.
+/// Idle time after which a connection is not used again. The service keeps idle connections for
+/// longer.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Why no response head was received for a request.
--- a/crates/inference-client/src/options.rs
+++ b/crates/inference-client/src/options.rs
@@ -16,7 +16,7 @@
     pub idempotency: Idempotency,
     /// API key of the tenant.
     pub api_key: Option<String>,
-    /// Id of the session, a series of requests of which each prompt begins with the previous one.
+    /// Id of the session: a series of requests in which each prompt begins with the previous one.
     pub session: Option<String>,
     /// When and how often calls are retried.
     pub retry_policy: RetryPolicy,
--- a/crates/inference-client/src/types.rs
+++ b/crates/inference-client/src/types.rs
@@ -1,5 +1,5 @@
-//! Requests and responses of the API. Fields that a type does not list are sent from, and received
-//! into, its field `extra`.
+//! Requests and responses of the API. If a type has a field `extra`, it contains the fields, to be
+//! sent or received, that the type does not list. Other types ignore such fields.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
