--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,6 +1,7 @@
-//! `make measure-front`: measures the inference API of the current version and of an earlier one,
-//! with fake model servers. Each router runs as a separate process; the fake servers and the
-//! clients run in this process. All figures are measured in this run.
+//! `make measure-front`: measures the inference API of the current version, with fake model
+//! servers. Chat latency beside reranks, batches while servers fail, and chat throughput are also
+//! measured with an earlier version, the baseline. Each router runs as a separate process; the fake
+//! servers and the clients run in this process. All figures are measured in this run.
 
 mod environment;
 mod latency;
@@ -54,6 +55,7 @@
 async fn measure(arguments: &Arguments) -> std::io::Result<Report> {
     let mut random = Pcg64::seed_from_u64(arguments.seed);
     let progress = ProgressLog(Instant::now());
+    // The baseline is called "before", and the current version "after".
     let baseline = TestEnvironment::start("before", &arguments.baseline, |file| file).await?;
     let current = start_current("after").await?;
     progress.report("chat latency beside reranks");
@@ -74,8 +76,8 @@
     let throughput_before = chat_throughput::measure(&baseline).await;
     let throughput = chat_throughput::measure(&current).await;
     progress.report("large bodies");
-    // The large bodies need a new router: the other one has learnt service times according to which
-    // these requests could not meet their deadline.
+    // The large bodies need a new router: the previous one has learnt service times according to
+    // which these requests could not meet their deadline.
     drop((baseline, current));
     let environment = start_current("large").await?;
     let large_bodies = large_bodies::measure(&environment).await;
--- a/crates/bench/src/router_process.rs
+++ b/crates/bench/src/router_process.rs
@@ -146,7 +146,8 @@
         tokio::time::sleep(READINESS_POLL_INTERVAL).await;
     }
     Err(io::Error::other(format!(
-        "the router '{name}' did not become ready in time"
+        "the router '{name}' was not ready after {MAX_READINESS_POLLS} checks, \
+         {READINESS_POLL_INTERVAL:?} apart"
     )))
 }
 
--- a/crates/conformance/src/check.rs
+++ b/crates/conformance/src/check.rs
@@ -25,9 +25,9 @@
     check_texts(expect, &body, &excerpt, &mut problems);
     if expect.truncated != response.truncated {
         let state = if response.truncated {
-            "was closed before its end"
+            "is truncated, expected a complete one"
         } else {
-            "is complete, but expected to be closed before its end"
+            "is complete, expected a truncated one"
         };
         problems.push(format!("the response {state}"));
     }
--- a/crates/syscall-fault-shim/src/faults.rs
+++ b/crates/syscall-fault-shim/src/faults.rs
@@ -33,8 +33,8 @@
     monotonic_ms() % BURST_INTERVAL_MS < BURST_DURATION_MS && draw(100) < FAILURE_PERCENT
 }
 
-/// Sets `errno` of the calling thread to one of `errors`, drawn at random, and returns -1, the result
-/// of a failed call.
+/// Sets `errno` of the calling thread to one of `errors`, drawn at random, and returns -1, the
+/// result of a failed call.
 pub(crate) fn fail_with(errors: &[c_int]) -> c_int {
     let error = errors[draw(errors.len() as u64) as usize];
     // SAFETY: `__errno_location` always returns a valid pointer to the `errno` of this thread.
--- a/crates/syscall-fault-shim/src/lib.rs
+++ b/crates/syscall-fault-shim/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! | variable | meaning |
 //! | --- | --- |
-//! | `SOAK_CLOCK_STEP_S` | seconds added to the wall clock (may be negative); the monotonic clock is not shifted |
+//! | `SOAK_CLOCK_STEP_S` | seconds added to the wall clock, not the monotonic; may be negative |
 //! | `SOAK_FAULTS_SEED` | seed of the random faults; without it no call fails |
 //! | `SOAK_FAULTS` | names of the faults to inject, separated by commas |
 //!
--- a/crates/syscall-fault-shim/tests/program.rs
+++ b/crates/syscall-fault-shim/tests/program.rs
@@ -104,12 +104,13 @@
     let _router = start_router(&config_path, faults);
     timeout(STARTUP_TIMEOUT, wait_until_ready(address))
         .await
-        .expect("the router must be ready within the startup timeout");
+        .expect("the router was not ready within 8 s (STARTUP_TIMEOUT)");
     let mut client = Client::connect(address).await;
     for index in 0..request_count {
         let id = format!("a{index}");
         let response = timeout(RESPONSE_TIMEOUT, client.send_chat(&id, "chat", DEADLINE_MS)).await;
-        let (status, _, body) = response.unwrap_or_else(|_| panic!("request {index} timed out"));
+        let (status, _, body) = response
+            .unwrap_or_else(|_| panic!("request {index} got no response in {RESPONSE_TIMEOUT:?}"));
         assert_eq!((status, body.is_some()), (200, true), "request {index}");
     }
     std::fs::remove_file(&config_path).unwrap();
--- a/crates/testkit/src/fake_server/fault.rs
+++ b/crates/testkit/src/fake_server/fault.rs
@@ -22,13 +22,14 @@
     /// Streams one event and closes the connection.
     #[serde(rename = "break_stream")]
     TruncateStream,
-    /// Streams events until the connection is closed, and keeps the slot until then.
+    /// Streams events until the connection is closed. A release of the slot is recorded both when
+    /// the stream begins and when it ends.
     #[serde(rename = "stream_on")]
     StreamEndlessly,
     /// Rejects the request with status 503 and a header that says that it was not executed.
     #[serde(rename = "full")]
     Reject,
-    /// Responds with status 500, after which the request may have been executed.
+    /// Responds with status 500. The request may have been executed.
     Error,
 }
 
--- a/crates/testkit/src/fake_server/mod.rs
+++ b/crates/testkit/src/fake_server/mod.rs
@@ -328,8 +328,9 @@
     response
 }
 
-/// An attempt that waits for a slot or has one. Dropping it records the release of the slot. If the
-/// connection is closed, the future of the request is dropped and this value with it.
+/// An attempt that waits for a slot or has one. Dropping it records a release of the slot, even if
+/// the attempt has not got one. If the connection is closed, the future of the request is dropped
+/// and this value with it.
 struct AttemptInFlight<'a> {
     server: &'a FakeServer,
     id: String,
--- a/crates/testkit/src/runtime.rs
+++ b/crates/testkit/src/runtime.rs
@@ -17,7 +17,7 @@
     LocalSet::new().block_on(&runtime, async {
         tokio::time::timeout(TEST_TIMEOUT, test)
             .await
-            .expect("the test did not finish within TEST_TIMEOUT")
+            .expect("the test did not finish within 20 s (TEST_TIMEOUT)")
     });
 }
 
--- a/crates/testkit/src/scripted_server.rs
+++ b/crates/testkit/src/scripted_server.rs
@@ -12,7 +12,8 @@
 
 use crate::endpoint_entry::endpoint_entry_at;
 
-/// The response to calls that reserve or release decode slots.
+/// The response to calls that reserve or release decode slots. A release succeeds; after a
+/// reservation, the router does not know whether it has a slot.
 const SLOT_RESPONSE: &str = "HTTP/1.1 204 No Content\r\n\r\n";
 /// The pause after each part of a response, so that the router receives the parts one at a time.
 const PART_INTERVAL: Duration = Duration::from_millis(2);
@@ -29,18 +30,18 @@
 #[derive(Clone)]
 struct Script {
     parts: Rc<Vec<String>>,
-    requests: Rc<Cell<usize>>,
+    request_count: Rc<Cell<usize>>,
 }
 
 /// Starts a server that responds to each request by sending `parts` as they are, and leaves the
-/// connection open. Calls that reserve or release decode slots get a valid response.
+/// connection open. Calls that reserve or release decode slots get status 204 instead.
 pub async fn start_scripted_server(server_type: &str, parts: Vec<String>) -> ScriptedServer {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let requests = Rc::new(Cell::new(0));
+    let count = Rc::new(Cell::new(0));
     let script = Script {
         parts: Rc::new(parts),
-        requests: requests.clone(),
+        request_count: count.clone(),
     };
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
@@ -50,7 +51,7 @@
     });
     ScriptedServer {
         entry: endpoint_entry_at(address, server_type, "up"),
-        request_count: requests,
+        request_count: count,
     }
 }
 
@@ -80,7 +81,7 @@
         if head.contains("/bootstrap/") {
             return send_part(stream, SLOT_RESPONSE).await;
         }
-        self.requests.set(self.requests.get() + 1);
+        self.request_count.set(self.request_count.get() + 1);
         for part in self.parts.iter() {
             send_part(stream, part).await?;
         }
